--- a/lib/src/direct/request/rollout_page.rs
+++ b/lib/src/direct/request/rollout_page.rs
@@ -9,7 +9,7 @@
 
 use crate::direct::request::page::said;
 use crate::direct::request::page::shown;
-use crate::direct::rolling::Command;
+use crate::direct::rollout_driver::Command;
 use crate::direct::traffic::Traffic;
 
 const USAGE: &str = "GET /rollouts, or POST /rollouts/SERVICE/hold, /resume or /revert\n";
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -38,12 +38,12 @@
 use crate::direct::membership::spread;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::front;
-use crate::direct::rolling;
-use crate::direct::rolling::DueStatuses;
 use crate::direct::rollout::book::Book;
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::order::Order;
 use crate::direct::rollout::order::Status;
+use crate::direct::rollout_driver;
+use crate::direct::rollout_driver::DueStatuses;
 use crate::direct::sharing::allotment::Tolerance;
 use crate::direct::sharing::attempt_budget::AttemptLimits;
 use crate::direct::traffic::Traffic;
@@ -249,7 +249,7 @@
     spawn_local(Peers::new(&traffic, links).run());
     spawn_local(take_views(view, own, Rc::clone(&traffic)));
     spawn_local(sweep(Rc::clone(&traffic)));
-    spawn_local(rolling::run(Rc::clone(&traffic), orders, due));
+    spawn_local(rollout_driver::run(Rc::clone(&traffic), orders, due));
     spawn_local(log_size_shares(Rc::clone(&traffic)));
     Line::new(Level::Info, "started")
         .field("address", settings.callers)
