--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -6,14 +6,13 @@
 //!
 //! Parts that decide and know no socket: [`placement`], [`sharing`], [`membership`], [`view`],
 //! [`quarantine`], [`rollout`] and [`notices`].
-//! [`request`] and [`links`] carry bytes. [`traffic`] is what all requests of an entry have in
+//! [`request`] and [`replication`] carry bytes. [`traffic`] is what all requests of an entry have in
 //! common; [`rooms`] and [`charging`] carry out what placement and sharing decide for one of them.
 //! The direct mode uses the library's store client, headers and logs, and no claims, agents or
 //! operators.
 
 pub mod charging;
 pub mod figures;
-pub mod links;
 pub mod log_budget;
 pub mod membership;
 pub mod notices;
@@ -21,6 +20,7 @@
 pub mod placement;
 pub mod quarantine;
 pub mod quarantining;
+pub mod replication;
 pub mod request;
 pub mod rollout;
 pub mod rollout_driver;
--- a/lib/src/direct/links/follow.rs
+++ b/lib/src/direct/replication/follow.rs
@@ -17,9 +17,9 @@
 use tokio::time::sleep;
 
 use crate::backoff::Backoff;
-use crate::direct::links::pull;
-use crate::direct::links::pull::Copies;
 use crate::direct::membership::peer_message::Revisions;
+use crate::direct::replication::pull;
+use crate::direct::replication::pull::Copies;
 use crate::direct::view::replica::Decoders;
 use crate::direct::view::replica::Replica;
 use crate::direct::view::replica::View;
--- a/lib/src/direct/links/orders.rs
+++ b/lib/src/direct/replication/orders.rs
@@ -11,9 +11,9 @@
 use tokio::time::sleep;
 
 use crate::backoff::Backoff;
-use crate::direct::links::follow::FIRST_PAUSE_MS;
-use crate::direct::links::follow::MEET;
-use crate::direct::links::follow::MOST_PAUSE_MS;
+use crate::direct::replication::follow::FIRST_PAUSE_MS;
+use crate::direct::replication::follow::MEET;
+use crate::direct::replication::follow::MOST_PAUSE_MS;
 use crate::direct::rollout::order::Order;
 use crate::direct::rollout::order::Status;
 use crate::logging::Level;
--- a/lib/src/direct/links/peers.rs
+++ b/lib/src/direct/replication/peers.rs
@@ -8,13 +8,13 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-use crate::direct::links::follow::StoreAnswers;
 use crate::direct::membership::peer_message::Heartbeat;
 use crate::direct::membership::peer_message::Message;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::membership::report::RunningPart;
 use crate::direct::membership::report::SpentReport;
+use crate::direct::replication::follow::StoreAnswers;
 use crate::direct::sharing::door::Asker;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
--- a/lib/src/direct/links/pull.rs
+++ b/lib/src/direct/replication/pull.rs
@@ -18,8 +18,8 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use crate::direct::links::follow::Follower;
 use crate::direct::membership::peer_message::Revisions;
+use crate::direct::replication::follow::Follower;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ObjectList;
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -15,10 +15,10 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::direct::links::orders::OrderView;
 use crate::direct::membership::peer_message::Message;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
+use crate::direct::replication::orders::OrderView;
 use crate::direct::request::call::Call;
 use crate::direct::rollout::book::RunEnd;
 use crate::direct::rollout::order::Order;
--- a/lib/src/direct/view/replica.rs
+++ b/lib/src/direct/view/replica.rs
@@ -10,10 +10,10 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::direct::links::pull::Copies;
-use crate::direct::links::pull::UpstreamChanges;
-use crate::direct::links::pull::UpstreamCopy;
 use crate::direct::membership::peer_message::Revisions;
+use crate::direct::replication::pull::Copies;
+use crate::direct::replication::pull::UpstreamChanges;
+use crate::direct::replication::pull::UpstreamCopy;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Directory;
 use crate::direct::view::directory::Upstream;
