--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -30,7 +30,7 @@
 use crate::direct::request::no_answer::refuse;
 use crate::direct::request::no_answer::unknown;
 use crate::direct::request::relay::Relay;
-use crate::direct::rollout::book::RunEnd;
+use crate::direct::rollout::table::RunEnd;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
--- a/lib/src/direct/request/pace.rs
+++ b/lib/src/direct/request/pace.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use crate::direct::request::call::Call;
-use crate::direct::rollout::book::RunEnd;
+use crate::direct::rollout::table::RunEnd;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 
--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -5,11 +5,11 @@
 //! beside the old one. [`progress`] is one order at one entry; [`versions`] says which version
 //! serves while there is none.
 
-pub mod book;
 pub mod exposure;
 pub mod order;
 pub mod progress;
 pub mod report;
+pub mod table;
 pub mod tally;
 pub mod verdict;
 pub mod versions;
--- a/lib/src/direct/rollout/book.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -78,7 +78,7 @@
 /// The orders of all services at one entry.
 ///
 /// ```
-/// use sardinewood::direct::rollout::book::Book;
+/// use sardinewood::direct::rollout::table::Book;
 ///
 /// let book = Book::new(None, 1);
 /// assert!(book.states(0).is_empty());
@@ -159,7 +159,7 @@
     /// The upstreams that are listed.
     ///
     /// ```
-    /// assert!(sardinewood::direct::rollout::book::Book::new(None, 1).upstreams().is_empty());
+    /// assert!(sardinewood::direct::rollout::table::Book::new(None, 1).upstreams().is_empty());
     /// ```
     #[must_use]
     pub fn upstreams(&self) -> &[Arc<Upstream>] {
@@ -169,7 +169,7 @@
     /// Short names of the upstreams that are listed.
     ///
     /// ```
-    /// assert!(sardinewood::direct::rollout::book::Book::new(None, 1).upstream_names().is_empty());
+    /// assert!(sardinewood::direct::rollout::table::Book::new(None, 1).upstream_names().is_empty());
     /// ```
     #[must_use]
     pub fn upstream_names(&self) -> IndexSet<u32> {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -35,7 +35,7 @@
 use crate::direct::quarantine::suspects::Suspects;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
-use crate::direct::rollout::book::Book;
+use crate::direct::rollout::table::Book;
 use crate::direct::rooms;
 use crate::direct::rooms::AskedDoor;
 use crate::direct::sharing::allotment::Allotments;
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -4,8 +4,6 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::rollout::book::Book;
-use sardinewood::direct::rollout::book::RunEnd;
 use sardinewood::direct::rollout::exposure::Allowance;
 use sardinewood::direct::rollout::exposure::Exposure;
 use sardinewood::direct::rollout::order::Order;
@@ -18,6 +16,8 @@
 use sardinewood::direct::rollout::report::Phase;
 use sardinewood::direct::rollout::report::Reason;
 use sardinewood::direct::rollout::report::RolloutMessage;
+use sardinewood::direct::rollout::table::Book;
+use sardinewood::direct::rollout::table::RunEnd;
 use sardinewood::direct::rollout::tally::Cell;
 use sardinewood::direct::rollout::tally::Outcome;
 use sardinewood::direct::rollout::verdict::Evidence;
