--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -6,7 +6,7 @@
 //! serves while there is none.
 
 pub mod exposure;
-pub mod order;
+pub mod object;
 pub mod progress;
 pub mod report;
 pub mod table;
--- a/lib/src/direct/rollout/order.rs
+++ b/lib/src/direct/rollout/object.rs
@@ -24,7 +24,7 @@
     /// Whether nothing follows.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::order::Status;
+    /// use sardinewood::direct::rollout::object::Status;
     ///
     /// assert!(Status::Reverted.is_final() && !Status::InProgress.is_final());
     /// ```
@@ -36,7 +36,7 @@
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::order::Status::Ordered.name(), "ordered");
+    /// assert_eq!(sardinewood::direct::rollout::object::Status::Ordered.name(), "ordered");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -6,8 +6,8 @@
 
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::exposure::Exposure;
-use crate::direct::rollout::order::Order;
-use crate::direct::rollout::order::Status;
+use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::Status;
 use crate::direct::rollout::report::NextCounts;
 use crate::direct::rollout::report::Phase;
 use crate::direct::rollout::report::Reason;
--- a/lib/src/direct/rollout/report.rs
+++ b/lib/src/direct/rollout/report.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::rollout::order::Order;
-use crate::direct::rollout::order::OrderId;
+use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::OrderId;
 use crate::direct::rollout::tally::Cell;
 use crate::direct::rollout::tally::Tally;
 
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -8,8 +8,8 @@
 
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::rollout::exposure::Allowance;
-use crate::direct::rollout::order::Order;
-use crate::direct::rollout::order::OrderId;
+use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::OrderId;
 use crate::direct::rollout::progress::Facts;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
--- a/lib/src/direct/rollout/versions.rs
+++ b/lib/src/direct/rollout/versions.rs
@@ -4,8 +4,8 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::order::Order;
-use crate::direct::rollout::order::Status;
+use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::Status;
 use crate::direct::view::directory::Upstream;
 
 /// The versions that serve, by service. One that nobody ordered gets nothing.
