--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -9,7 +9,7 @@
 use crate::direct::membership::report::RunningPart;
 use crate::direct::notices::record::Told as ToldNotice;
 use crate::direct::quarantine::record::Told;
-use crate::direct::rollout::report::RolloutMessage;
+use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::allotment::Charge;
 use crate::direct::sharing::allotment::Demand;
 use crate::direct::sharing::allotment::Due;
--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -6,9 +6,9 @@
 //! serves while there is none.
 
 pub mod exposure;
+pub mod message;
 pub mod object;
 pub mod progress;
-pub mod report;
 pub mod table;
 pub mod tally;
 pub mod verdict;
--- a/lib/src/direct/rollout/report.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -58,7 +58,7 @@
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::report::Reason::Slow.name(), "all requests are slow");
+    /// assert_eq!(sardinewood::direct::rollout::message::Reason::Slow.name(), "all requests are slow");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -113,7 +113,7 @@
 /// Chooses what the next report tells: what has changed, and then what was told least of late.
 ///
 /// ```
-/// use sardinewood::direct::rollout::report::NextCounts;
+/// use sardinewood::direct::rollout::message::NextCounts;
 /// use sardinewood::direct::rollout::tally::Tally;
 ///
 /// assert!(NextCounts::default().next(&Tally::default()).is_empty());
@@ -127,7 +127,7 @@
     /// The counts for the next report.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{report::NextCounts, tally::Tally};
+    /// # use sardinewood::direct::rollout::{message::NextCounts, tally::Tally};
     /// assert!(NextCounts::default().next(&Tally::default()).is_empty());
     /// ```
     pub fn next(&mut self, tally: &Tally) -> Vec<(Cell, u32)> {
@@ -154,7 +154,7 @@
 /// The entries that judge: the first of those that are heard, in an order that all agree on.
 ///
 /// ```
-/// use sardinewood::direct::rollout::report::judges;
+/// use sardinewood::direct::rollout::message::judges;
 ///
 /// let entries = [4, 2, 3, 1].map(|last| format!("10.0.0.{last}:7").parse().unwrap());
 /// assert_eq!(judges(entries)[0], "10.0.0.1:7".parse().unwrap());
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -6,13 +6,13 @@
 
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::exposure::Exposure;
+use crate::direct::rollout::message::NextCounts;
+use crate::direct::rollout::message::Phase;
+use crate::direct::rollout::message::Reason;
+use crate::direct::rollout::message::Report;
+use crate::direct::rollout::message::State;
 use crate::direct::rollout::object::Order;
 use crate::direct::rollout::object::Status;
-use crate::direct::rollout::report::NextCounts;
-use crate::direct::rollout::report::Phase;
-use crate::direct::rollout::report::Reason;
-use crate::direct::rollout::report::Report;
-use crate::direct::rollout::report::State;
 use crate::direct::rollout::tally::Cell;
 use crate::direct::rollout::tally::Outcome;
 use crate::direct::rollout::tally::Tally;
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -8,15 +8,15 @@
 
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::rollout::exposure::Allowance;
+use crate::direct::rollout::message::Phase;
+use crate::direct::rollout::message::RolloutMessage;
+use crate::direct::rollout::message::State;
 use crate::direct::rollout::object::Order;
 use crate::direct::rollout::object::OrderId;
 use crate::direct::rollout::progress::Facts;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
 use crate::direct::rollout::progress::Progress;
-use crate::direct::rollout::report::Phase;
-use crate::direct::rollout::report::RolloutMessage;
-use crate::direct::rollout::report::State;
 use crate::direct::rollout::tally::OTHERS;
 use crate::direct::rollout::tally::Outcome;
 use crate::direct::rollout::verdict::Part;
