--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -8,8 +8,8 @@
 pub mod exposure;
 pub mod message;
 pub mod object;
+pub mod outcome_counts;
 pub mod progress;
 pub mod table;
-pub mod tally;
 pub mod verdict;
 pub mod versions;
--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -7,8 +7,8 @@
 
 use crate::direct::rollout::object::Order;
 use crate::direct::rollout::object::OrderId;
-use crate::direct::rollout::tally::Cell;
-use crate::direct::rollout::tally::Tally;
+use crate::direct::rollout::outcome_counts::Cell;
+use crate::direct::rollout::outcome_counts::Tally;
 
 /// Entries that collect what all others have seen, and write to the store. One would do; the others
 /// are there for the case that it is killed or cut off.
@@ -114,7 +114,7 @@
 ///
 /// ```
 /// use sardinewood::direct::rollout::message::NextCounts;
-/// use sardinewood::direct::rollout::tally::Tally;
+/// use sardinewood::direct::rollout::outcome_counts::Tally;
 ///
 /// assert!(NextCounts::default().next(&Tally::default()).is_empty());
 /// ```
@@ -127,7 +127,7 @@
     /// The counts for the next report.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{message::NextCounts, tally::Tally};
+    /// # use sardinewood::direct::rollout::{message::NextCounts, outcome_counts::Tally};
     /// assert!(NextCounts::default().next(&Tally::default()).is_empty());
     /// ```
     pub fn next(&mut self, tally: &Tally) -> Vec<(Cell, u32)> {
--- a/lib/src/direct/rollout/tally.rs
+++ b/lib/src/direct/rollout/outcome_counts.rs
@@ -31,7 +31,7 @@
     /// An answer that took so many times as long as is usual on its route.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::tally::Outcome;
+    /// use sardinewood::direct::rollout::outcome_counts::Outcome;
     ///
     /// assert_eq!(Outcome::took(1.0), Outcome::Took(6));
     /// assert_eq!(Outcome::took(2.0), Outcome::Took(8));
@@ -49,7 +49,7 @@
     /// The same without the time.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::tally::Outcome;
+    /// use sardinewood::direct::rollout::outcome_counts::Outcome;
     ///
     /// assert_eq!(Outcome::Took(3).untimed(), Outcome::Untimed);
     /// ```
@@ -81,7 +81,7 @@
 /// may be lost, repeated or late.
 ///
 /// ```
-/// use sardinewood::direct::rollout::tally::{Cell, Outcome, Tally};
+/// use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome, Tally};
 ///
 /// let cell = Cell { is_new: true, upstream: 1, route: 2, turn: 0, outcome: Outcome::Failed };
 /// let mut tally = Tally::default();
@@ -100,7 +100,7 @@
     /// Counts a request.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::tally::{Cell, Outcome, Tally};
+    /// # use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome, Tally};
     /// # let cell = Cell { is_new: true, upstream: 1, route: 2, turn: 0, outcome: Outcome::Failed };
     /// let mut tally = Tally::default();
     /// tally.add(cell);
@@ -113,7 +113,7 @@
     /// Adds requests of a route at upstreams of the old version that are not told apart.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{tally::Tally, verdict::Part};
+    /// # use sardinewood::direct::rollout::{outcome_counts::Tally, verdict::Part};
     /// let mut tally = Tally::default();
     /// tally.add_old(1, Part { requests: 9, spoiled: 2 });
     /// assert_eq!(tally.iter().map(|(_, count)| count).sum::<u32>(), 9);
@@ -139,7 +139,7 @@
     /// Takes the counts of a later or earlier state of the same tally.
     ///
     /// ```
-    /// sardinewood::direct::rollout::tally::Tally::default().merge(std::iter::empty());
+    /// sardinewood::direct::rollout::outcome_counts::Tally::default().merge(std::iter::empty());
     /// ```
     pub fn merge(&mut self, counts: impl Iterator<Item = (Cell, u32)>) {
         for (cell, count) in counts {
@@ -151,7 +151,7 @@
     /// All counts.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::tally::Tally::default().iter().count(), 0);
+    /// assert_eq!(sardinewood::direct::rollout::outcome_counts::Tally::default().iter().count(), 0);
     /// ```
     pub fn iter(&self) -> impl Iterator<Item = (Cell, u32)> {
         self.counts.iter().map(|(cell, count)| (*cell, *count))
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -7,10 +7,10 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::tally::Cell;
-use crate::direct::rollout::tally::Outcome;
-use crate::direct::rollout::tally::STEPS;
-use crate::direct::rollout::tally::STEPS_PER_OCTAVE;
+use crate::direct::rollout::outcome_counts::Cell;
+use crate::direct::rollout::outcome_counts::Outcome;
+use crate::direct::rollout::outcome_counts::STEPS;
+use crate::direct::rollout::outcome_counts::STEPS_PER_OCTAVE;
 use crate::numbers;
 
 /// Likelihood ratio, as a logarithm, at which the new version counts as bad: one good version in
@@ -185,7 +185,7 @@
 /// The evidence for and against a version.
 ///
 /// ```
-/// use sardinewood::direct::rollout::tally::{Cell, Outcome};
+/// use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome};
 /// use sardinewood::direct::rollout::verdict::{Evidence, Verdict};
 ///
 /// let cell = |upstream, outcome| Cell { is_new: true, upstream, route: 1, turn: 0, outcome };
@@ -205,7 +205,7 @@
     /// Adds requests.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{tally::{Cell, Outcome}, verdict::Evidence};
+    /// # use sardinewood::direct::rollout::{outcome_counts::{Cell, Outcome}, verdict::Evidence};
     /// let mut evidence = Evidence::default();
     /// evidence.add(Cell { is_new: true, upstream: 1, route: 2, turn: 0, outcome: Outcome::Untimed }, 3);
     /// assert_eq!(evidence.at_new().requests, 3);
