--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -10,6 +10,6 @@
 pub mod object;
 pub mod outcome_counts;
 pub mod progress;
+pub mod serving_versions;
 pub mod table;
 pub mod verdict;
-pub mod versions;
--- a/lib/src/direct/rollout/versions.rs
+++ b/lib/src/direct/rollout/serving_versions.rs
@@ -11,7 +11,7 @@
 /// The versions that serve, by service. One that nobody ordered gets nothing.
 ///
 /// ```
-/// use sardinewood::direct::rollout::versions::Versions;
+/// use sardinewood::direct::rollout::serving_versions::Versions;
 ///
 /// assert_eq!(Versions::default().serving("s"), None);
 /// ```
@@ -24,7 +24,7 @@
     /// The version that serves, if any upstream of the service was ever listed.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::versions::Versions;
+    /// # use sardinewood::direct::rollout::serving_versions::Versions;
     /// assert_eq!(Versions::default().serving("s"), None);
     /// ```
     #[must_use]
@@ -38,7 +38,7 @@
     /// upstreams are listed beside the old ones, at times before their order can be read.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::versions::Versions;
+    /// # use sardinewood::direct::rollout::serving_versions::Versions;
     /// Versions::default().update(&[], &[]);
     /// ```
     pub fn update(&mut self, upstreams: &[Arc<Upstream>], orders: &[Order]) {
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -19,8 +19,8 @@
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
 use crate::direct::rollout::progress::Progress;
+use crate::direct::rollout::serving_versions::Versions;
 use crate::direct::rollout::verdict::Part;
-use crate::direct::rollout::versions::Versions;
 use crate::direct::view::directory::Upstream;
 
 /// Upstreams of the old version that are counted beside the new one.
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -18,11 +18,11 @@
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
 use sardinewood::direct::rollout::progress::Progress;
+use sardinewood::direct::rollout::serving_versions::Versions;
 use sardinewood::direct::rollout::table::Book;
 use sardinewood::direct::rollout::table::RunEnd;
 use sardinewood::direct::rollout::verdict::Evidence;
 use sardinewood::direct::rollout::verdict::Verdict;
-use sardinewood::direct::rollout::versions::Versions;
 use sardinewood::direct::view::directory::Upstream;
 
 use crate::direct_fixture;
