--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -2,7 +2,7 @@
 //!
 //! It decides and knows no socket and no clock: events, facts and the time go in, and what to do
 //! next comes out. A small part of each route's requests goes to the new version, which is judged
-//! beside the old one. [`progress`] is one order at one entry; [`versions`] says which version
+//! beside the old one. [`progress`] is one order at one entry; [`serving_versions`] says which version
 //! serves while there is none.
 
 pub mod exposure;
