--- a/lib/src/direct/replication/orders.rs
+++ b/lib/src/direct/replication/orders.rs
@@ -11,9 +11,9 @@
 use tokio::time::sleep;
 
 use crate::backoff::Backoff;
-use crate::direct::replication::follow::FIRST_PAUSE_MS;
-use crate::direct::replication::follow::MEET;
-use crate::direct::replication::follow::MOST_PAUSE_MS;
+use crate::direct::replication::store_follower::FIRST_PAUSE_MS;
+use crate::direct::replication::store_follower::MEET;
+use crate::direct::replication::store_follower::MOST_PAUSE_MS;
 use crate::direct::rollout::object::Order;
 use crate::direct::rollout::object::Status;
 use crate::logging::Level;
--- a/lib/src/direct/replication/peers.rs
+++ b/lib/src/direct/replication/peers.rs
@@ -14,7 +14,7 @@
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::membership::report::RunningPart;
 use crate::direct::membership::report::SpentReport;
-use crate::direct::replication::follow::StoreAnswers;
+use crate::direct::replication::store_follower::StoreAnswers;
 use crate::direct::sharing::door::Asker;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
--- a/lib/src/direct/replication/pull.rs
+++ b/lib/src/direct/replication/pull.rs
@@ -19,7 +19,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::direct::membership::peer_message::Revisions;
-use crate::direct::replication::follow::Follower;
+use crate::direct::replication::store_follower::Follower;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ObjectList;
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use sardinewood::direct::membership::peer_message::Revisions;
-use sardinewood::direct::replication::follow::Follower;
-use sardinewood::direct::replication::follow::ObjectSource;
-use sardinewood::direct::replication::follow::StoreAnswers;
 use sardinewood::direct::replication::pull::UpstreamCopy;
+use sardinewood::direct::replication::store_follower::Follower;
+use sardinewood::direct::replication::store_follower::ObjectSource;
+use sardinewood::direct::replication::store_follower::StoreAnswers;
 use sardinewood::direct::view::catalog::Catalog;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::direct::view::replica::Decoders;
