--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -18,7 +18,7 @@
 use crate::direct::membership::peer_message::Message;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
-use crate::direct::replication::orders::OrderView;
+use crate::direct::replication::rollout_follower::OrderView;
 use crate::direct::request::call::Call;
 use crate::direct::rollout::message::Reason;
 use crate::direct::rollout::message::RolloutMessage;
