--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -18,8 +18,8 @@
 
 use crate::backoff::Backoff;
 use crate::direct::membership::peer_message::Revisions;
-use crate::direct::replication::pull;
-use crate::direct::replication::pull::Copies;
+use crate::direct::replication::peer_pull;
+use crate::direct::replication::peer_pull::Copies;
 use crate::direct::view::replica::Decoders;
 use crate::direct::view::replica::Replica;
 use crate::direct::view::replica::View;
@@ -252,7 +252,7 @@
                 continue;
             };
             let own = self.replica.borrow().revisions();
-            match pull::pull(peer, own).await {
+            match peer_pull::pull(peer, own).await {
                 Ok(copies) => self.take_copies(peer, copies),
                 Err(error) => {
                     Line::new(Level::Warn, "peer gives no copy")
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -29,7 +29,7 @@
 use crate::direct::membership::spread;
 use crate::direct::replication::heartbeats::ControlLinks;
 use crate::direct::replication::heartbeats::Peers;
-use crate::direct::replication::pull;
+use crate::direct::replication::peer_pull;
 use crate::direct::replication::rollout_follower::OrderFollower;
 use crate::direct::replication::rollout_follower::OrderStore;
 use crate::direct::replication::rollout_follower::OrderView;
--- a/lib/src/direct/view/replica.rs
+++ b/lib/src/direct/view/replica.rs
@@ -11,9 +11,9 @@
 use indexmap::IndexSet;
 
 use crate::direct::membership::peer_message::Revisions;
-use crate::direct::replication::pull::Copies;
-use crate::direct::replication::pull::UpstreamChanges;
-use crate::direct::replication::pull::UpstreamCopy;
+use crate::direct::replication::peer_pull::Copies;
+use crate::direct::replication::peer_pull::UpstreamChanges;
+use crate::direct::replication::peer_pull::UpstreamCopy;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Directory;
 use crate::direct::view::directory::Upstream;
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sardinewood::direct::membership::peer_message::Revisions;
-use sardinewood::direct::replication::pull::UpstreamCopy;
+use sardinewood::direct::replication::peer_pull::UpstreamCopy;
 use sardinewood::direct::replication::store_follower::Follower;
 use sardinewood::direct::replication::store_follower::ObjectSource;
 use sardinewood::direct::replication::store_follower::StoreAnswers;
@@ -170,7 +170,7 @@
     };
     other.take_copies(
         peer(),
-        sardinewood::direct::replication::pull::Copies {
+        sardinewood::direct::replication::peer_pull::Copies {
             catalog: None,
             upstreams: Some(UpstreamCopy::Whole(first)),
         },
@@ -189,7 +189,7 @@
     };
     follower.take_copies(
         peer(),
-        sardinewood::direct::replication::pull::Copies {
+        sardinewood::direct::replication::peer_pull::Copies {
             catalog: None,
             upstreams: Some(UpstreamCopy::Whole(old)),
         },
@@ -201,7 +201,7 @@
 async fn older_configuration_not_taken() {
     let (follower, view) = follower();
     for version in [7, 5] {
-        let copies = sardinewood::direct::replication::pull::Copies {
+        let copies = sardinewood::direct::replication::peer_pull::Copies {
             catalog: Some(Arc::new(object("c", "main", version))),
             upstreams: None,
         };
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -1,9 +1,9 @@
 //! The replica of the list of upstreams: what comes late, out of order or spoiled.
 
 use sardinewood::direct::membership::peer_message::Revisions;
-use sardinewood::direct::replication::pull::Copies;
-use sardinewood::direct::replication::pull::UpstreamChanges;
-use sardinewood::direct::replication::pull::UpstreamCopy;
+use sardinewood::direct::replication::peer_pull::Copies;
+use sardinewood::direct::replication::peer_pull::UpstreamChanges;
+use sardinewood::direct::replication::peer_pull::UpstreamCopy;
 use sardinewood::direct::view::catalog::Catalog;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::direct::view::replica::Decoders;
