--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -189,7 +189,7 @@
 ) {
     match TcpListener::bind(peers).await {
         Ok(listener) => {
-            spawn_local(pull::serve(listener, follower.clone()));
+            spawn_local(peer_pull::serve(listener, follower.clone()));
         }
         Err(error) => Line::new(Level::Error, "peers can't be served")
             .field("address", peers)
