--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use rand::Rng;
+use sardinewood::direct::membership::heartbeat_payload::RunningPart;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::Message;
-use sardinewood::direct::membership::report::RunningPart;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door;
 use sardinewood::direct::sharing::door::Ask;
--- a/lib/src/direct/membership/report.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -43,7 +43,7 @@
     /// All that an entry runs.
     ///
     /// ```
-    /// assert!(sardinewood::direct::membership::report::RunningPart::whole(Vec::new()).covers(7));
+    /// assert!(sardinewood::direct::membership::heartbeat_payload::RunningPart::whole(Vec::new()).covers(7));
     /// ```
     #[must_use]
     pub fn whole(running: Vec<Running>) -> Self {
@@ -58,7 +58,7 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_message::Running;
-    /// use sardinewood::direct::membership::report::RunningPart;
+    /// use sardinewood::direct::membership::heartbeat_payload::RunningPart;
     ///
     /// let one = Running { upstream: 7, count: 2, ..Running::default() };
     /// assert_eq!(RunningPart::of(vec![one], 3), RunningPart::whole(vec![one]));
@@ -92,7 +92,7 @@
     /// Whether an upstream lies within the range.
     ///
     /// ```
-    /// let part = sardinewood::direct::membership::report::RunningPart { from: 5, to: 9, running: Vec::new() };
+    /// let part = sardinewood::direct::membership::heartbeat_payload::RunningPart { from: 5, to: 9, running: Vec::new() };
     /// assert!(part.covers(9) && !part.covers(10));
     /// ```
     #[must_use]
@@ -112,7 +112,7 @@
 /// told least often, so that a lost datagram is made up for.
 ///
 /// ```
-/// use sardinewood::direct::membership::report::SpentReport;
+/// use sardinewood::direct::membership::heartbeat_payload::SpentReport;
 ///
 /// let mut report = SpentReport::default();
 /// let customer = "c".into();
@@ -128,7 +128,7 @@
     /// What goes into the next heartbeat, of all that customers have spent here.
     ///
     /// ```
-    /// let mut report = sardinewood::direct::membership::report::SpentReport::default();
+    /// let mut report = sardinewood::direct::membership::heartbeat_payload::SpentReport::default();
     /// assert!(report.next(std::iter::empty()).is_empty());
     /// ```
     pub fn next<'a>(&mut self, spent: impl Iterator<Item = (&'a Arc<str>, u64)>) -> Vec<Spent> {
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::report::RunningPart;
+use crate::direct::membership::heartbeat_payload::RunningPart;
 use crate::direct::notices::record::Told as ToldNotice;
 use crate::direct::quarantine::record::Told;
 use crate::direct::rollout::message::RolloutMessage;
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -8,9 +8,9 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
+use crate::direct::membership::heartbeat_payload::RunningPart;
 use crate::direct::membership::peer_message::Condition;
 use crate::direct::membership::peer_message::Running;
-use crate::direct::membership::report::RunningPart;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::health::Ended;
 use crate::direct::placement::health::Health;
@@ -109,7 +109,7 @@
     /// Takes what a peer has running, and how fast it is served.
     ///
     /// ```
-    /// # use sardinewood::direct::{membership::peer_message::Running, membership::report::RunningPart};
+    /// # use sardinewood::direct::{membership::peer_message::Running, membership::heartbeat_payload::RunningPart};
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// let two = Running { upstream: 7, count: 2, ..Running::default() };
     /// dispatcher.set_peer_load(1, &RunningPart::whole(vec![two]), 0);
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
+use crate::direct::membership::heartbeat_payload::RunningPart;
+use crate::direct::membership::heartbeat_payload::SpentReport;
 use crate::direct::membership::peer_message::Heartbeat;
 use crate::direct::membership::peer_message::Message;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
-use crate::direct::membership::report::RunningPart;
-use crate::direct::membership::report::SpentReport;
 use crate::direct::replication::store_follower::StoreAnswers;
 use crate::direct::sharing::door::Asker;
 use crate::direct::traffic::Traffic;
--- a/lib/src/direct/sharing/door.rs
+++ b/lib/src/direct/sharing/door.rs
@@ -18,7 +18,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::report::RunningPart;
+use crate::direct::membership::heartbeat_payload::RunningPart;
 use crate::direct::placement::baseline::FIRST_HOLD_MS;
 use crate::direct::placement::dispatch::WAY_MS;
 use crate::direct::placement::dispatch::short_name;
@@ -453,7 +453,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::door::Doors;
-    /// # use sardinewood::direct::membership::report::RunningPart;
+    /// # use sardinewood::direct::membership::heartbeat_payload::RunningPart;
     /// let nothing = RunningPart::whole(Vec::new());
     /// Doors::default().reconcile("10.0.0.1:7".parse().unwrap(), &nothing, 0);
     /// ```
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
+use sardinewood::direct::membership::heartbeat_payload::RunningPart;
 use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::Running;
-use sardinewood::direct::membership::report::RunningPart;
 use sardinewood::direct::placement::asking::Asking;
 use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
--- a/lib/tests/test_direct_door.rs
+++ b/lib/tests/test_direct_door.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
+use sardinewood::direct::membership::heartbeat_payload::RunningPart;
 use sardinewood::direct::membership::peer_message::Running;
-use sardinewood::direct::membership::report::RunningPart;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door::Ask;
 use sardinewood::direct::sharing::door::AskId;
--- a/lib/tests/test_direct_report.rs
+++ b/lib/tests/test_direct_report.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
+use sardinewood::direct::membership::heartbeat_payload::RunningPart;
+use sardinewood::direct::membership::heartbeat_payload::SpentReport;
 use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::Message;
 use sardinewood::direct::membership::peer_message::Running;
 use sardinewood::direct::membership::peer_message::Spent;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::membership::report::RunningPart;
-use sardinewood::direct::membership::report::SpentReport;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door::Ask;
 use sardinewood::direct::sharing::door::AskId;
@@ -116,7 +116,8 @@
 fn parts_cover_every_engine_once() {
     let parts = running()
         .len()
-        .div_ceil(sardinewood::direct::membership::report::MAX_RUNNING) as u64;
+        .div_ceil(sardinewood::direct::membership::heartbeat_payload::MAX_RUNNING)
+        as u64;
     let parts: Vec<RunningPart> = (0..parts)
         .map(|sequence| RunningPart::of(running(), sequence))
         .collect();
