--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -5,8 +5,8 @@
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
+use sardinewood::direct::membership::gossip;
 use sardinewood::direct::membership::peer_message::Message;
-use sardinewood::direct::membership::spread;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::quarantine::fingerprint::Asked;
--- a/lib/src/direct/membership/spread.rs
+++ b/lib/src/direct/membership/gossip.rs
@@ -18,7 +18,7 @@
 /// Whether this entry, of so many, tells a peer that has started or was silent, by a random number.
 ///
 /// ```
-/// use sardinewood::direct::membership::spread::greets;
+/// use sardinewood::direct::membership::gossip::greets;
 ///
 /// assert!(greets(3, 7));
 /// assert_eq!((0..100).filter(|random| greets(100, *random)).count(), 4);
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -11,8 +11,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::Message;
-use crate::direct::membership::spread;
 use crate::direct::notices::book::Change;
 use crate::direct::notices::notice::Notice;
 use crate::direct::notices::record::Told;
--- a/lib/src/direct/quarantining.rs
+++ b/lib/src/direct/quarantining.rs
@@ -12,8 +12,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::Message;
-use crate::direct::membership::spread;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::quarantine::ends::End;
 use crate::direct::quarantine::ends::Next;
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -24,9 +24,9 @@
 use tokio::time::sleep;
 
 use crate::direct::figures::Figures;
+use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
-use crate::direct::membership::spread;
 use crate::direct::replication::heartbeats::ControlLinks;
 use crate::direct::replication::heartbeats::Peers;
 use crate::direct::replication::peer_pull;
