--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -423,7 +423,7 @@
                 }
             }
             Next::Write(status) => {
-                let order = self.entries[number].book.order(SERVICE);
+                let order = self.entries[number].book.progress(SERVICE);
                 if let Some(order) = order.map(Progress::order).cloned() {
                     let event = Event::Write(number, Box::new(order), status);
                     self.at(self.now_ms + WRITE_MS, event);
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -139,7 +139,7 @@
 
     /// The order of a service.
     #[must_use]
-    pub fn order(&self, service: &str) -> Option<&Progress> {
+    pub fn progress(&self, service: &str) -> Option<&Progress> {
         self.orders.get(service)
     }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -118,7 +118,7 @@
             });
         }
         for order in known {
-            let is_gone = self.rollouts.borrow().order(&order.id.service).is_none();
+            let is_gone = self.rollouts.borrow().progress(&order.id.service).is_none();
             if is_gone {
                 self.log(Level::Warn, "roll-out withdrawn", |line| {
                     line.field("rollout", order.id.to_string())
@@ -202,7 +202,7 @@
             }
             Some(Next::Write(status)) => {
                 let book = self.rollouts.borrow();
-                let order = book.order(service).map(Progress::order);
+                let order = book.progress(service).map(Progress::order);
                 if let Some(order) = order
                     && due.send((order.clone(), status)).is_err()
                 {
@@ -253,7 +253,7 @@
     /// A service's order as logs name it.
     fn rollout_name(&self, service: &str) -> String {
         let book = self.rollouts.borrow();
-        let order = book.order(service).map(Progress::order);
+        let order = book.progress(service).map(Progress::order);
         order.map_or_else(String::new, |order| order.id.to_string())
     }
 
@@ -276,7 +276,7 @@
     #[must_use]
     pub fn rollout_page(&self, service: &str) -> Value {
         let book = self.rollouts.borrow();
-        let Some(progress) = book.order(service) else {
+        let Some(progress) = book.progress(service) else {
             return Value::Null;
         };
         let evidence = progress.evidence();
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -379,7 +379,7 @@
     book.reject("pool", 1_000);
     book.hear(other(), &RolloutMessage::State(state), 2, 1_100);
     assert_eq!(
-        book.order("pool").map(Progress::phase),
+        book.progress("pool").map(Progress::phase),
         Some(Phase::Rejected)
     );
 }
@@ -402,13 +402,13 @@
     book.hold("pool", true, 100);
     book.step(&judge(&[]), 11_600);
     assert_eq!(
-        book.order("pool").map(Progress::phase),
+        book.progress("pool").map(Progress::phase),
         Some(Phase::Judging)
     );
     book.hold("pool", false, 11_700);
     book.step(&judge(&[]), 11_750);
     assert_eq!(
-        book.order("pool").map(Progress::phase),
+        book.progress("pool").map(Progress::phase),
         Some(Phase::Shifting)
     );
 }
@@ -421,7 +421,7 @@
     book.take_orders(&[], 20, 1, 1_000);
     assert_eq!(versions_used(&mut book), [("v1".into(), false)]);
     book.hear(other(), &RolloutMessage::State(state), 2, 1_100);
-    assert!(book.order("pool").is_none());
+    assert!(book.progress("pool").is_none());
 }
 
 #[test]
@@ -444,7 +444,10 @@
     second.id.service = "app".into();
     book.take_orders(&[order(10, Status::Ordered), second], 11, 1, 0);
     book.reject("pool", 1_000);
-    assert_eq!(book.order("app").map(Progress::phase), Some(Phase::Judging));
+    assert_eq!(
+        book.progress("app").map(Progress::phase),
+        Some(Phase::Judging)
+    );
 }
 
 #[test]
