--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -14,8 +14,8 @@
 use sardinewood::direct::rollout::exposure::Allowance;
 use sardinewood::direct::rollout::message::RolloutMessage;
 use sardinewood::direct::rollout::message::judges;
-use sardinewood::direct::rollout::object::Order;
-use sardinewood::direct::rollout::object::OrderId;
+use sardinewood::direct::rollout::object::Rollout;
+use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::Status;
 use sardinewood::direct::rollout::progress::Facts;
 use sardinewood::direct::rollout::progress::Lane;
@@ -168,9 +168,9 @@
     Request,
     Ended(Box<Run>),
     Message(usize, usize, Box<RolloutMessage>),
-    Write(usize, Box<Order>, Status),
+    Write(usize, Box<Rollout>, Status),
     Step(usize),
-    Order,
+    Rollout,
     Kill(usize),
     Start(usize),
 }
@@ -210,7 +210,7 @@
     running: Vec<u32>,
     runs: IndexMap<u64, Run>,
     entries: Vec<Entry>,
-    order: Option<Order>,
+    rollout: Option<Rollout>,
     turns_bad_ms: u64,
     fiftieth_ms: Option<u64>,
     ended: Ended,
@@ -266,7 +266,7 @@
             is_grey,
             runs: IndexMap::new(),
             entries: Vec::new(),
-            order: None,
+            rollout: None,
             turns_bad_ms,
             fiftieth_ms: None,
             ended: Ended::default(),
@@ -277,7 +277,7 @@
             play.at(entry as u64 % STEP_MS, Event::Step(entry));
         }
         play.at(0, Event::Request);
-        play.at(BEFORE_MS, Event::Order);
+        play.at(BEFORE_MS, Event::Rollout);
         play.plan_kills(window_ms);
         play
     }
@@ -298,12 +298,12 @@
         let incarnation = self.rng.random();
         let mut book = Book::new(Some(ALLOWANCE), incarnation);
         book.set_upstreams(&self.upstreams[..self.old]);
-        if self.order.is_some() {
+        if self.rollout.is_some() {
             book.set_upstreams(&self.upstreams);
         }
-        if let Some(order) = &self.order {
-            let orders = [order.clone()];
-            book.take_orders(&orders, order.revision, self.setup.entries, self.now_ms);
+        if let Some(rollout) = &self.rollout {
+            let rollouts = [rollout.clone()];
+            book.take_orders(&rollouts, rollout.revision, self.setup.entries, self.now_ms);
         }
         let placement = book.placement();
         Entry {
@@ -341,9 +341,9 @@
             Event::Request => self.request(),
             Event::Ended(run) => self.run_ended(&run),
             Event::Message(to, from, message) => self.hear(to, from, &message),
-            Event::Write(entry, order, status) => self.write(entry, &order, status),
+            Event::Write(entry, rollout, status) => self.write(entry, &rollout, status),
             Event::Step(entry) => self.step(entry),
-            Event::Order => self.give_order(),
+            Event::Rollout => self.give_order(),
             Event::Kill(entry) => {
                 self.entries[entry].is_up = false;
                 self.at(self.now_ms + RESTART_MS, Event::Start(entry));
@@ -353,8 +353,8 @@
     }
 
     fn give_order(&mut self) {
-        let order = Order {
-            id: OrderId {
+        let rollout = Rollout {
+            id: RolloutId {
                 service: SERVICE.into(),
                 to: "v2".into(),
                 created: 1,
@@ -363,7 +363,7 @@
             revision: 1_000,
             status: Status::Ordered,
         };
-        self.order = Some(order);
+        self.rollout = Some(rollout);
         for entry in &mut self.entries {
             entry.book.set_upstreams(&self.upstreams);
         }
@@ -372,18 +372,18 @@
 
     /// Shows the order to those that ask the store: the first three.
     fn show_order(&mut self) {
-        let Some(order) = self.order.clone() else {
+        let Some(rollout) = self.rollout.clone() else {
             return;
         };
         let up = (0..self.entries.len()).filter(|entry| self.entries[*entry].is_up);
         let askers: Vec<usize> = up.take(3).collect();
         for asker in askers {
             let entry = &mut self.entries[asker];
-            let orders = [order.clone()];
+            let rollouts = [rollout.clone()];
             let entries = self.setup.entries;
             entry
                 .book
-                .take_orders(&orders, order.revision, entries, self.now_ms);
+                .take_orders(&rollouts, rollout.revision, entries, self.now_ms);
             entry.placement = entry.book.placement();
         }
     }
@@ -423,9 +423,9 @@
                 }
             }
             Next::Write(status) => {
-                let order = self.entries[number].book.progress(SERVICE);
-                if let Some(order) = order.map(Progress::order).cloned() {
-                    let event = Event::Write(number, Box::new(order), status);
+                let rollout = self.entries[number].book.progress(SERVICE);
+                if let Some(rollout) = rollout.map(Progress::rollout).cloned() {
+                    let event = Event::Write(number, Box::new(rollout), status);
                     self.at(self.now_ms + WRITE_MS, event);
                 }
             }
@@ -458,11 +458,11 @@
         }
     }
 
-    fn write(&mut self, entry: usize, order: &Order, status: Status) {
-        let Some(known) = &mut self.order else {
+    fn write(&mut self, entry: usize, rollout: &Rollout, status: Status) {
+        let Some(known) = &mut self.rollout else {
             return;
         };
-        if !self.entries[entry].is_up || known.revision != order.revision {
+        if !self.entries[entry].is_up || known.revision != rollout.revision {
             return;
         }
         known.revision += 1;
--- a/lib/src/direct/replication/rollout_follower.rs
+++ b/lib/src/direct/replication/rollout_follower.rs
@@ -14,7 +14,7 @@
 use crate::direct::replication::store_follower::FIRST_PAUSE_MS;
 use crate::direct::replication::store_follower::MEET;
 use crate::direct::replication::store_follower::MOST_PAUSE_MS;
-use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::Status;
 use crate::logging::Level;
 use crate::logging::Line;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderEvent {
     /// It was given or has changed.
-    Put(Order),
+    Put(Rollout),
     /// It was taken away, or is none any more.
     Gone {
         /// The name of its object.
@@ -91,16 +91,16 @@
     /// When it has changed, or the store does not answer.
     fn write_status(
         &self,
-        order: &Order,
+        rollout: &Rollout,
         status: Status,
-    ) -> impl Future<Output = Result<Order, WriteError>>;
+    ) -> impl Future<Output = Result<Rollout, WriteError>>;
 }
 
 /// The orders as the store last showed them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OrderView {
     /// All orders.
-    pub orders: Vec<Order>,
+    pub rollouts: Vec<Rollout>,
     /// The store's revision of them.
     pub revision: u64,
 }
@@ -108,7 +108,7 @@
 /// Keeps the orders that the store shows.
 #[derive(Clone, Debug)]
 pub struct OrderFollower {
-    known: Rc<RefCell<IndexMap<Arc<str>, Order>>>,
+    known: Rc<RefCell<IndexMap<Arc<str>, Rollout>>>,
     view: watch::Sender<Option<OrderView>>,
     asks_store: watch::Receiver<bool>,
 }
@@ -167,19 +167,19 @@
     pub async fn write(
         &self,
         store: &impl OrderStore,
-        mut due: UnboundedReceiver<(Order, Status)>,
+        mut due: UnboundedReceiver<(Rollout, Status)>,
     ) {
-        while let Some((order, status)) = due.recv().await {
-            if self.is_behind(&order) {
+        while let Some((rollout, status)) = due.recv().await {
+            if self.is_behind(&rollout) {
                 continue;
             }
             let line = |level, message| {
                 Line::new(level, message)
-                    .field("rollout", order.id.to_string())
+                    .field("rollout", rollout.id.to_string())
                     .field("status", status.name())
-                    .revision(order.revision)
+                    .revision(rollout.revision)
             };
-            match store.write_status(&order, status).await {
+            match store.write_status(&rollout, status).await {
                 Ok(written) => {
                     line(Level::Info, "roll-out status written").send();
                     let revision = written.revision;
@@ -197,10 +197,10 @@
     }
 
     /// Whether the store has shown a later state than the one that a write was meant for.
-    fn is_behind(&self, order: &Order) -> bool {
+    fn is_behind(&self, rollout: &Rollout) -> bool {
         let known = self.known.borrow();
-        let known = known.values().find(|known| known.id == order.id);
-        known.is_some_and(|known| known.revision > order.revision)
+        let known = known.values().find(|known| known.id == rollout.id);
+        known.is_some_and(|known| known.revision > rollout.revision)
     }
 
     /// Sees what became of a write that may have been done.
@@ -215,25 +215,25 @@
 
     fn take(&self, batch: OrderBatch, is_whole: bool) {
         let mut known = self.known.borrow_mut();
-        let is_newer = |known: &IndexMap<Arc<str>, Order>, name: &str, revision: u64| {
+        let is_newer = |known: &IndexMap<Arc<str>, Rollout>, name: &str, revision: u64| {
             known
                 .get(name)
-                .is_none_or(|order| order.revision < revision)
+                .is_none_or(|rollout| rollout.revision < revision)
         };
         if is_whole {
             let listed = |name: &Arc<str>| {
                 batch.events.iter().any(
-                    |event| matches!(event, OrderEvent::Put(order) if order.id.service == *name),
+                    |event| matches!(event, OrderEvent::Put(rollout) if rollout.id.service == *name),
                 )
             };
-            known.retain(|name, order| order.revision > batch.revision || listed(name));
+            known.retain(|name, rollout| rollout.revision > batch.revision || listed(name));
         }
         for event in batch.events {
             match event {
-                OrderEvent::Put(order) => {
-                    let name = Arc::clone(&order.id.service);
-                    if is_newer(&known, &name, order.revision) {
-                        known.insert(name, order);
+                OrderEvent::Put(rollout) => {
+                    let name = Arc::clone(&rollout.id.service);
+                    if is_newer(&known, &name, rollout.revision) {
+                        known.insert(name, rollout);
                     }
                 }
                 OrderEvent::Gone { name, revision } => {
@@ -243,11 +243,11 @@
                 }
             }
         }
-        let orders: Vec<Order> = known.values().cloned().collect();
+        let rollouts: Vec<Rollout> = known.values().cloned().collect();
         drop(known);
         self.view.send_modify(|view| {
             let view = view.get_or_insert_default();
-            view.orders = orders;
+            view.rollouts = rollouts;
             view.revision = view.revision.max(batch.revision);
         });
     }
--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::rollout::object::Order;
-use crate::direct::rollout::object::OrderId;
+use crate::direct::rollout::object::Rollout;
+use crate::direct::rollout::object::RolloutId;
 use crate::direct::rollout::outcome_counts::Cell;
 use crate::direct::rollout::outcome_counts::Tally;
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// The order as the store last showed it.
-    pub order: Order,
+    pub rollout: Rollout,
     /// Time since it was first seen.
     pub elapsed_ms: u64,
     /// How far it has come.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The order.
-    pub id: OrderId,
+    pub id: RolloutId,
     /// A random number of this start of the process.
     pub incarnation: u64,
     /// Whether it sends the old version nothing any more.
@@ -137,14 +137,16 @@
                 *told = (count, 0);
             }
         }
-        let mut order: Vec<Cell> = self.told.keys().copied().collect();
-        order.sort_by_key(|cell| (self.told[cell].1, cell.outcome));
-        let news = order.iter().filter(|cell| self.told[*cell].1 < TOLD_TIMES);
-        order.truncate(MAX_CELLS.min(news.count() + REPEATED_CELLS));
-        for cell in &order {
+        let mut rollout: Vec<Cell> = self.told.keys().copied().collect();
+        rollout.sort_by_key(|cell| (self.told[cell].1, cell.outcome));
+        let news = rollout
+            .iter()
+            .filter(|cell| self.told[*cell].1 < TOLD_TIMES);
+        rollout.truncate(MAX_CELLS.min(news.count() + REPEATED_CELLS));
+        for cell in &rollout {
             self.told[cell].1 += 1;
         }
-        order
+        rollout
             .iter()
             .map(|cell| (*cell, self.told[cell].0))
             .collect()
@@ -177,7 +179,7 @@
     /// To all: an operator's order of this service was taken away.
     Withdrawn {
         /// The order.
-        id: OrderId,
+        id: RolloutId,
         /// The store's revision of that.
         revision: u64,
     },
--- a/lib/src/direct/rollout/object.rs
+++ b/lib/src/direct/rollout/object.rs
@@ -51,7 +51,7 @@
 
 /// Tells one order of a service from another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct OrderId {
+pub struct RolloutId {
     /// The service.
     pub service: Arc<str>,
     /// The version that it is to move to.
@@ -61,7 +61,7 @@
     pub created: u64,
 }
 
-impl fmt::Display for OrderId {
+impl fmt::Display for RolloutId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}:{}", self.service, self.to)
     }
@@ -69,9 +69,9 @@
 
 /// An operator's order to move a service to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Rollout {
     /// Which order it is.
-    pub id: OrderId,
+    pub id: RolloutId,
     /// The time that it may take.
     pub window_ms: u64,
     /// Revision of its object in the store.
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -11,7 +11,7 @@
 use crate::direct::rollout::message::Reason;
 use crate::direct::rollout::message::Report;
 use crate::direct::rollout::message::State;
-use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::Status;
 use crate::direct::rollout::outcome_counts::Cell;
 use crate::direct::rollout::outcome_counts::Outcome;
@@ -117,7 +117,7 @@
 /// An order as one entry sees it.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    order: Order,
+    rollout: Rollout,
     allowance: Allowance,
     incarnation: u64,
     /// When the order was first seen anywhere, by this entry's clock; it may lie before its start.
@@ -156,7 +156,7 @@
     /// `before` is what came of requests by route until then.
     #[must_use]
     pub fn new(
-        order: Order,
+        rollout: Rollout,
         allowance: Allowance,
         incarnation: u64,
         entries: usize,
@@ -165,7 +165,7 @@
         now_ms: u64,
     ) -> Self {
         // An entry that starts in the middle can't know what was spent before.
-        let is_new = order.status == Status::Ordered && elapsed_ms < NEW_MS;
+        let is_new = rollout.status == Status::Ordered && elapsed_ms < NEW_MS;
         let first = if is_new {
             Exposure::first_of(allowance, entries)
         } else {
@@ -176,7 +176,7 @@
             own.add_old(*route, *part);
         }
         Self {
-            order,
+            rollout,
             allowance,
             incarnation,
             began_ms: signed(now_ms) - signed(elapsed_ms),
@@ -208,8 +208,8 @@
 
     /// The order.
     #[must_use]
-    pub fn order(&self) -> &Order {
-        &self.order
+    pub fn rollout(&self) -> &Rollout {
+        &self.rollout
     }
 
     /// How far it has come among the entries.
@@ -221,7 +221,7 @@
     /// Whether the store shows its end.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.order.status.is_final()
+        self.rollout.status.is_final()
     }
 
     /// Why it has reached its phase.
@@ -291,7 +291,7 @@
             return Lane::Serving;
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
-        let passed = numbers::as_f64(elapsed_ms) / numbers::as_f64(self.order.window_ms);
+        let passed = numbers::as_f64(elapsed_ms) / numbers::as_f64(self.rollout.window_ms);
         let is_burst = self.spread > 1 || elapsed_ms % BURST_EVERY_MS < BURST_MS;
         if is_fixed && self.is_early {
             return Lane::Trial;
@@ -320,11 +320,11 @@
     }
 
     /// Takes the order as the store shows it now.
-    pub fn take_order(&mut self, order: Order, now_ms: u64) {
-        if order.revision <= self.order.revision {
+    pub fn take_order(&mut self, rollout: Rollout, now_ms: u64) {
+        if rollout.revision <= self.rollout.revision {
             return;
         }
-        self.order = order;
+        self.rollout = rollout;
         self.wrote_at_ms = None;
         self.entered_at_ms = now_ms;
         self.state_at_ms = 0;
@@ -340,10 +340,10 @@
         let mut has_turned = self.take_turn(turn, now_ms);
         has_turned |= state.spread > self.spread;
         self.spread = self.spread.max(state.spread);
-        let status = self.order.status;
-        self.take_order(state.order.clone(), now_ms);
+        let status = self.rollout.status;
+        self.take_order(state.rollout.clone(), now_ms);
         let mut next = Vec::new();
-        if self.order.status != status || has_turned {
+        if self.rollout.status != status || has_turned {
             next.push(Next::Place);
         }
         if state.phase > self.phase {
@@ -432,7 +432,7 @@
             return Vec::new();
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
-        let window_ms = self.order.window_ms;
+        let window_ms = self.rollout.window_ms;
         if facts.old_slots > 0 {
             self.old_seen_ms = now_ms;
         }
@@ -498,7 +498,7 @@
 
     fn due_status(&self, facts: &Facts, now_ms: u64) -> Option<Status> {
         match self.phase {
-            Phase::Judging if self.order.status == Status::Ordered => Some(Status::InProgress),
+            Phase::Judging if self.rollout.status == Status::Ordered => Some(Status::InProgress),
             Phase::Judging => None,
             Phase::Shifting => self.has_run_out(facts, now_ms).then_some(Status::Completed),
             Phase::Rejected => Some(Status::Reverted),
@@ -511,8 +511,8 @@
     /// that. An entry that is silent may still serve callers behind a cut, so the window is given to it.
     fn has_run_out(&self, facts: &Facts, now_ms: u64) -> bool {
         let elapsed_ms = self.elapsed_ms(now_ms);
-        let is_over = elapsed_ms >= self.order.window_ms;
-        let is_seen = elapsed_ms + LAST_WRITE_MS >= self.order.window_ms;
+        let is_over = elapsed_ms >= self.rollout.window_ms;
+        let is_seen = elapsed_ms + LAST_WRITE_MS >= self.rollout.window_ms;
         if !is_seen && self.reason != Reason::NothingToMove {
             return false;
         }
@@ -528,7 +528,7 @@
         if self.phase != Phase::Judging {
             return None;
         }
-        let window_ms = self.order.window_ms;
+        let window_ms = self.rollout.window_ms;
         let is_due = facts.rank == Some(0) && self.is_turn_over(now_ms);
         let turn = self.turn.saturating_add(u8::from(is_due));
         let mut has_turned = self.take_turn(turn, now_ms);
@@ -557,7 +557,7 @@
     }
 
     fn is_turn_over(&self, now_ms: u64) -> bool {
-        now_ms >= self.turn_at_ms + (self.order.window_ms / TURNS).max(1)
+        now_ms >= self.turn_at_ms + (self.rollout.window_ms / TURNS).max(1)
     }
 
     fn take_turn(&mut self, turn: u8, now_ms: u64) -> bool {
@@ -609,7 +609,7 @@
     #[must_use]
     pub fn state(&self, now_ms: u64) -> State {
         State {
-            order: self.order.clone(),
+            rollout: self.rollout.clone(),
             elapsed_ms: self.elapsed_ms(now_ms),
             phase: self.phase,
             reason: self.reason,
@@ -621,7 +621,7 @@
 
     fn report(&mut self, fixed_at_old: u32) -> Report {
         Report {
-            id: self.order.id.clone(),
+            id: self.rollout.id.clone(),
             incarnation: self.incarnation,
             is_shifted: self.phase == Phase::Shifting,
             fixed_at_old,
--- a/lib/src/direct/rollout/serving_versions.rs
+++ b/lib/src/direct/rollout/serving_versions.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::Status;
 use crate::direct::view::directory::Upstream;
 
@@ -41,18 +41,18 @@
     /// # use sardinewood::direct::rollout::serving_versions::Versions;
     /// Versions::default().update(&[], &[]);
     /// ```
-    pub fn update(&mut self, upstreams: &[Arc<Upstream>], orders: &[Order]) {
-        for order in orders {
-            let service = &order.id.service;
-            match order.status {
+    pub fn update(&mut self, upstreams: &[Arc<Upstream>], rollouts: &[Rollout]) {
+        for rollout in rollouts {
+            let service = &rollout.id.service;
+            match rollout.status {
                 Status::Completed => {
-                    let to = Arc::clone(&order.id.to);
+                    let to = Arc::clone(&rollout.id.to);
                     self.serving.insert(Arc::clone(service), to);
                 }
                 // A version that is on trial, or was, never becomes the one that serves by its age.
                 Status::Ordered | Status::InProgress | Status::Reverted => {
-                    if self.serving.get(service) == Some(&order.id.to)
-                        && let Some(other) = oldest(upstreams, service, Some(&order.id.to))
+                    if self.serving.get(service) == Some(&rollout.id.to)
+                        && let Some(other) = oldest(upstreams, service, Some(&rollout.id.to))
                     {
                         self.serving.insert(Arc::clone(service), other);
                     }
@@ -64,8 +64,10 @@
             if self.serving.contains_key(service) {
                 continue;
             }
-            let order = orders.iter().find(|order| order.id.service == *service);
-            let except = order.map(|order| &order.id.to);
+            let rollout = rollouts
+                .iter()
+                .find(|rollout| rollout.id.service == *service);
+            let except = rollout.map(|rollout| &rollout.id.to);
             let version = oldest(upstreams, service, except).or(oldest(upstreams, service, None));
             if let Some(version) = version {
                 self.serving.insert(Arc::clone(service), version);
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -11,8 +11,8 @@
 use crate::direct::rollout::message::Phase;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::State;
-use crate::direct::rollout::object::Order;
-use crate::direct::rollout::object::OrderId;
+use crate::direct::rollout::object::Rollout;
+use crate::direct::rollout::object::RolloutId;
 use crate::direct::rollout::outcome_counts::OTHERS;
 use crate::direct::rollout::outcome_counts::Outcome;
 use crate::direct::rollout::progress::Facts;
@@ -89,8 +89,8 @@
     allowance: Option<Allowance>,
     incarnation: u64,
     versions: Versions,
-    orders: IndexMap<Arc<str>, Progress>,
-    withdrawn: IndexMap<OrderId, u64>,
+    rollouts: IndexMap<Arc<str>, Progress>,
+    withdrawn: IndexMap<RolloutId, u64>,
     upstreams: Vec<Arc<Upstream>>,
     /// Short names of the old upstreams that are counted.
     control: IndexSet<u32>,
@@ -109,7 +109,7 @@
             allowance,
             incarnation,
             versions: Versions::default(),
-            orders: IndexMap::new(),
+            rollouts: IndexMap::new(),
             withdrawn: IndexMap::new(),
             upstreams: Vec::new(),
             control: IndexSet::new(),
@@ -128,25 +128,28 @@
     /// Whether an order is neither completed nor reverted.
     #[must_use]
     pub fn is_busy(&self) -> bool {
-        self.orders.values().any(|progress| !progress.is_over())
+        self.rollouts.values().any(|progress| !progress.is_over())
     }
 
     /// Whether any order is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.orders.is_empty()
+        self.rollouts.is_empty()
     }
 
     /// The order of a service.
     #[must_use]
     pub fn progress(&self, service: &str) -> Option<&Progress> {
-        self.orders.get(service)
+        self.rollouts.get(service)
     }
 
     /// How far all orders have come.
     #[must_use]
     pub fn states(&self, now_ms: u64) -> Vec<State> {
-        let states = self.orders.values().map(|progress| progress.state(now_ms));
+        let states = self
+            .rollouts
+            .values()
+            .map(|progress| progress.state(now_ms));
         states.collect()
     }
 
@@ -182,26 +185,26 @@
     /// Takes the orders as the store lists them, with the revision of that; those that are new here.
     pub fn take_orders(
         &mut self,
-        orders: &[Order],
+        rollouts: &[Rollout],
         at: u64,
         entries: usize,
         now_ms: u64,
-    ) -> Vec<OrderId> {
+    ) -> Vec<RolloutId> {
         if !self.is_active() {
             return Vec::new();
         }
         let mut new = Vec::new();
-        for order in orders {
-            if self.take_order(order, entries, 0, now_ms) {
-                new.push(order.id.clone());
+        for rollout in rollouts {
+            if self.take_order(rollout, entries, 0, now_ms) {
+                new.push(rollout.id.clone());
             }
         }
-        let gone: Vec<OrderId> = self
-            .orders
+        let gone: Vec<RolloutId> = self
+            .rollouts
             .values()
-            .map(Progress::order)
+            .map(Progress::rollout)
             .filter(|known| known.revision < at)
-            .filter(|known| orders.iter().all(|order| order.id != known.id))
+            .filter(|known| rollouts.iter().all(|rollout| rollout.id != known.id))
             .map(|known| known.id.clone())
             .collect();
         for id in gone {
@@ -212,25 +215,31 @@
     }
 
     /// Takes one order; whether it is new here.
-    fn take_order(&mut self, order: &Order, entries: usize, elapsed_ms: u64, now_ms: u64) -> bool {
+    fn take_order(
+        &mut self,
+        rollout: &Rollout,
+        entries: usize,
+        elapsed_ms: u64,
+        now_ms: u64,
+    ) -> bool {
         let Some(allowance) = self.allowance else {
             return false;
         };
-        let withdrawn_at = self.withdrawn.get(&order.id);
-        if withdrawn_at.is_some_and(|revision| *revision >= order.revision) {
+        let withdrawn_at = self.withdrawn.get(&rollout.id);
+        if withdrawn_at.is_some_and(|revision| *revision >= rollout.revision) {
             return false;
         }
-        let known = self.orders.get_mut(&order.id.service);
+        let known = self.rollouts.get_mut(&rollout.id.service);
         match known {
-            Some(known) if known.order().id == order.id => {
-                known.take_order(order.clone(), now_ms);
+            Some(known) if known.rollout().id == rollout.id => {
+                known.take_order(rollout.clone(), now_ms);
                 false
             }
-            Some(known) if known.order().revision >= order.revision => false,
+            Some(known) if known.rollout().revision >= rollout.revision => false,
             Some(_) | None => {
-                let service = Arc::clone(&order.id.service);
+                let service = Arc::clone(&rollout.id.service);
                 let progress = Progress::new(
-                    order.clone(),
+                    rollout.clone(),
                     allowance,
                     self.incarnation,
                     entries,
@@ -238,23 +247,23 @@
                     &self.ends,
                     now_ms,
                 );
-                self.orders.insert(service, progress);
+                self.rollouts.insert(service, progress);
                 true
             }
         }
     }
 
     /// Forgets an order that its operator took away; whether it was known.
-    pub fn withdraw(&mut self, id: &OrderId, revision: u64) -> bool {
-        let known = self.orders.get(&id.service);
-        let is_known =
-            known.is_some_and(|known| known.order().id == *id && known.order().revision < revision);
+    pub fn withdraw(&mut self, id: &RolloutId, revision: u64) -> bool {
+        let known = self.rollouts.get(&id.service);
+        let is_known = known
+            .is_some_and(|known| known.rollout().id == *id && known.rollout().revision < revision);
         self.withdrawn.insert(id.clone(), revision);
         if self.withdrawn.len() > MAX_WITHDRAWN {
             self.withdrawn.shift_remove_index(0);
         }
         if is_known {
-            self.orders.shift_remove(&id.service);
+            self.rollouts.shift_remove(&id.service);
             self.update_versions();
         }
         is_known
@@ -270,9 +279,9 @@
     ) -> Vec<Next> {
         match message {
             RolloutMessage::State(state) => {
-                let is_new = self.take_order(&state.order, entries, state.elapsed_ms, now_ms);
-                let known = self.orders.get_mut(&state.order.id.service);
-                let known = known.filter(|known| known.order().id == state.order.id);
+                let is_new = self.take_order(&state.rollout, entries, state.elapsed_ms, now_ms);
+                let known = self.rollouts.get_mut(&state.rollout.id.service);
+                let known = known.filter(|known| known.rollout().id == state.rollout.id);
                 let mut next = known
                     .map(|known| known.hear_state(state, now_ms))
                     .unwrap_or_default();
@@ -283,8 +292,8 @@
                 next
             }
             RolloutMessage::Report(report) => {
-                let known = self.orders.get_mut(&report.id.service);
-                if let Some(known) = known.filter(|known| known.order().id == report.id) {
+                let known = self.rollouts.get_mut(&report.id.service);
+                if let Some(known) = known.filter(|known| known.rollout().id == report.id) {
                     known.hear_report(from, report);
                 }
                 Vec::new()
@@ -299,8 +308,8 @@
     /// What the time that has passed asks for, by service. `around` is what is true of the entry.
     pub fn step(&mut self, around: &Facts, now_ms: u64) -> Vec<(Arc<str>, Next)> {
         let mut all = Vec::new();
-        for (service, progress) in &mut self.orders {
-            let to = &progress.order().id.to;
+        for (service, progress) in &mut self.rollouts {
+            let to = &progress.rollout().id.to;
             let mut facts = around.clone();
             for upstream in self.upstreams.iter().filter(|up| up.service == *service) {
                 if upstream.version == *to {
@@ -319,13 +328,13 @@
 
     /// Keeps a service's order from being shifted, or lets it go on.
     pub fn hold(&mut self, service: &str, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
-        let progress = self.orders.get_mut(service);
+        let progress = self.rollouts.get_mut(service);
         progress.map_or_else(Vec::new, |progress| progress.hold(is_on_hold, now_ms))
     }
 
     /// Gives a service's new version up.
     pub fn reject(&mut self, service: &str, now_ms: u64) -> Vec<Next> {
-        let progress = self.orders.get_mut(service);
+        let progress = self.rollouts.get_mut(service);
         progress.map_or_else(Vec::new, |progress| progress.reject(now_ms))
     }
 
@@ -350,9 +359,10 @@
                 (short_name(&upstream.instance), Arc::clone(&upstream.name))
             });
             let serving = self.versions.serving(&service);
-            let order = self.orders.get(&service);
-            let order = order.filter(|order| !order.is_over());
-            let is_new = |up: &&Arc<Upstream>| order.is_some_and(|o| o.order().id.to == up.version);
+            let rollout = self.rollouts.get(&service);
+            let rollout = rollout.filter(|rollout| !rollout.is_over());
+            let is_new =
+                |up: &&Arc<Upstream>| rollout.is_some_and(|o| o.rollout().id.to == up.version);
             let new: Vec<Arc<Upstream>> = all.iter().filter(is_new).cloned().collect();
             let old: Vec<Arc<Upstream>> = all
                 .iter()
@@ -362,12 +372,12 @@
             let control = old.iter().take(CONTROL_UPSTREAMS);
             self.control
                 .extend(control.map(|up| short_name(&up.instance)));
-            match order.map(Progress::phase) {
+            match rollout.map(Progress::phase) {
                 None | Some(Phase::Rejected) => placement.usable.extend(old),
                 Some(Phase::Shifting) => placement.usable.extend(new),
                 Some(Phase::Judging) => {
                     placement.usable.extend(old);
-                    let loaded = order.map(|order| order.loaded(&new));
+                    let loaded = rollout.map(|rollout| rollout.loaded(&new));
                     for upstream in loaded.unwrap_or_default() {
                         placement.trials.insert(Arc::clone(&upstream.instance));
                         placement.usable.push(Arc::clone(upstream));
@@ -387,7 +397,7 @@
         now_ms: u64,
         random: f64,
     ) -> Lane {
-        let progress = self.orders.get_mut(service);
+        let progress = self.rollouts.get_mut(service);
         progress.map_or(Lane::Serving, |progress| {
             progress.lane(short_name(route), is_fixed, now_ms, random)
         })
@@ -395,8 +405,8 @@
 
     /// Notes that a request was sent. One that is fixed can't be moved once it runs.
     pub fn sent(&mut self, upstream: &Upstream, route: &str, is_fixed: bool) {
-        if let Some(progress) = self.orders.get_mut(&upstream.service) {
-            let is_new = upstream.version == progress.order().id.to;
+        if let Some(progress) = self.rollouts.get_mut(&upstream.service) {
+            let is_new = upstream.version == progress.rollout().id.to;
             progress.sent(short_name(route), is_new, is_fixed);
         }
     }
@@ -424,11 +434,11 @@
         }
         let route = short_name(route);
         let name = short_name(&upstream.instance);
-        let progress = self.orders.get_mut(&upstream.service);
+        let progress = self.rollouts.get_mut(&upstream.service);
         let progress = progress.filter(|progress| !progress.is_over());
         let is_new = progress
             .as_ref()
-            .is_some_and(|progress| progress.order().id.to == upstream.version);
+            .is_some_and(|progress| progress.rollout().id.to == upstream.version);
         let usual = self.baselines.entry(route).or_default();
         let outcome = match came {
             RunEnd::Failed => Outcome::Failed,
@@ -451,12 +461,12 @@
     }
 
     fn update_versions(&mut self) {
-        let orders: Vec<Order> = self
-            .orders
+        let rollouts: Vec<Rollout> = self
+            .rollouts
             .values()
-            .map(|progress| progress.order().clone())
+            .map(|progress| progress.rollout().clone())
             .collect();
-        self.versions.update(&self.upstreams, &orders);
+        self.versions.update(&self.upstreams, &rollouts);
     }
 }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -23,7 +23,7 @@
 use crate::direct::rollout::message::Reason;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::judges;
-use crate::direct::rollout::object::Order;
+use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::Status;
 use crate::direct::rollout::progress::Facts;
 use crate::direct::rollout::progress::Lane;
@@ -67,7 +67,7 @@
 }
 
 /// The statuses that are to be written.
-pub type DueStatuses = UnboundedSender<(Order, Status)>;
+pub type DueStatuses = UnboundedSender<(Rollout, Status)>;
 
 /// Looks after orders until the process ends.
 pub async fn run(
@@ -101,13 +101,13 @@
 impl Traffic {
     fn take_orders(&self, view: &OrderView) {
         let now_ms = self.now_ms();
-        let known: Vec<Order> = {
+        let known: Vec<Rollout> = {
             let book = self.rollouts.borrow();
             let states = book.states(now_ms).into_iter();
-            states.map(|state| state.order).collect()
+            states.map(|state| state.rollout).collect()
         };
         let new = self.rollouts.borrow_mut().take_orders(
-            &view.orders,
+            &view.rollouts,
             view.revision,
             self.fleet_size(),
             now_ms,
@@ -117,14 +117,18 @@
                 line.field("rollout", id.to_string())
             });
         }
-        for order in known {
-            let is_gone = self.rollouts.borrow().progress(&order.id.service).is_none();
+        for rollout in known {
+            let is_gone = self
+                .rollouts
+                .borrow()
+                .progress(&rollout.id.service)
+                .is_none();
             if is_gone {
                 self.log(Level::Warn, "roll-out withdrawn", |line| {
-                    line.field("rollout", order.id.to_string())
+                    line.field("rollout", rollout.id.to_string())
                 });
                 self.tell_all_rollout(RolloutMessage::Withdrawn {
-                    id: order.id,
+                    id: rollout.id,
                     revision: view.revision,
                 });
             }
@@ -202,9 +206,9 @@
             }
             Some(Next::Write(status)) => {
                 let book = self.rollouts.borrow();
-                let order = book.progress(service).map(Progress::order);
-                if let Some(order) = order
-                    && due.send((order.clone(), status)).is_err()
+                let rollout = book.progress(service).map(Progress::rollout);
+                if let Some(rollout) = rollout
+                    && due.send((rollout.clone(), status)).is_err()
                 {
                     self.log(Level::Error, "roll-out status can't be written", |line| {
                         line
@@ -253,8 +257,8 @@
     /// A service's order as logs name it.
     fn rollout_name(&self, service: &str) -> String {
         let book = self.rollouts.borrow();
-        let order = book.progress(service).map(Progress::order);
-        order.map_or_else(String::new, |order| order.id.to_string())
+        let rollout = book.progress(service).map(Progress::rollout);
+        rollout.map_or_else(String::new, |rollout| rollout.id.to_string())
     }
 
     fn tell_all_rollout(&self, message: RolloutMessage) {
@@ -293,14 +297,14 @@
             .collect();
         json!({
             "service": service,
-            "to": progress.order().id.to,
-            "status": progress.order().status.name(),
+            "to": progress.rollout().id.to,
+            "status": progress.rollout().status.name(),
             "phase": format!("{:?}", progress.phase()).to_lowercase(),
             "reason": progress.reason().name(),
             "evidence_is": progress.verdict().name(),
             "on_hold": progress.is_on_hold(),
             "elapsed_ms": progress.elapsed_ms(self.now_ms()),
-            "window_ms": progress.order().window_ms,
+            "window_ms": progress.rollout().window_ms,
             "sent_by_this_entry": progress.exposure().total(),
             "sent_to_new_by_this_entry": progress.exposure().at_new(),
             "routes": routes,
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -9,8 +9,8 @@
 use sardinewood::direct::rollout::message::Phase;
 use sardinewood::direct::rollout::message::Reason;
 use sardinewood::direct::rollout::message::RolloutMessage;
-use sardinewood::direct::rollout::object::Order;
-use sardinewood::direct::rollout::object::OrderId;
+use sardinewood::direct::rollout::object::Rollout;
+use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::Status;
 use sardinewood::direct::rollout::outcome_counts::Cell;
 use sardinewood::direct::rollout::outcome_counts::Outcome;
@@ -50,9 +50,9 @@
     old.chain(new).collect()
 }
 
-fn order(revision: u64, status: Status) -> Order {
-    Order {
-        id: OrderId {
+fn rollout(revision: u64, status: Status) -> Rollout {
+    Rollout {
+        id: RolloutId {
             service: "pool".into(),
             to: "v2".into(),
             created: 7,
@@ -67,7 +67,7 @@
 fn ordered() -> Book {
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4));
-    book.take_orders(&[order(10, Status::Ordered)], 10, 1, 0);
+    book.take_orders(&[rollout(10, Status::Ordered)], 10, 1, 0);
     book
 }
 
@@ -205,7 +205,7 @@
     // Guards against upstreams left out on a platform that knows no roll-outs.
     let mut book = Book::new(None, 1);
     book.set_upstreams(&both(4));
-    book.take_orders(&[order(10, Status::Completed)], 10, 1, 0);
+    book.take_orders(&[rollout(10, Status::Completed)], 10, 1, 0);
     let used = versions_used(&mut book);
     assert_eq!(used, [("v1".into(), false), ("v2".into(), false)]);
 }
@@ -214,7 +214,7 @@
 fn versions_completed_order_serves_alone() {
     // Guards against an entry that starts after a roll-out and goes back to the old version.
     let mut versions = Versions::default();
-    versions.update(&both(2), &[order(10, Status::Completed)]);
+    versions.update(&both(2), &[rollout(10, Status::Completed)]);
     assert_eq!(
         versions.serving("pool").map(|version| &**version),
         Some("v2")
@@ -226,7 +226,7 @@
     // Guards against a version that was given up and serves since the old one restarted.
     let mut versions = Versions::default();
     let restarted = [upstream(500, "v1"), upstream(101, "v2")];
-    versions.update(&restarted, &[order(10, Status::Reverted)]);
+    versions.update(&restarted, &[rollout(10, Status::Reverted)]);
     assert_eq!(
         versions.serving("pool").map(|version| &**version),
         Some("v1")
@@ -294,7 +294,7 @@
     let mut book = ordered();
     prove(&mut book);
     assert_eq!(writes(&book.step(&judge(&[]), 50)), [Status::InProgress]);
-    book.take_orders(&[order(11, Status::InProgress)], 11, 1, 60);
+    book.take_orders(&[rollout(11, Status::InProgress)], 11, 1, 60);
     assert!(writes(&book.step(&judge(&[]), 11_000)).is_empty());
     book.step(&judge(&[]), 11_600);
     assert_eq!(versions_used(&mut book), [("v2".into(), false)]);
@@ -338,7 +338,7 @@
     // Guards against an order whose upstreams never come and that stays open for ever.
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4)[..4]);
-    book.take_orders(&[order(10, Status::InProgress)], 10, 1, 0);
+    book.take_orders(&[rollout(10, Status::InProgress)], 10, 1, 0);
     let all = book.step(&judge(&[]), 12_050);
     assert!(
         all.iter()
@@ -353,7 +353,7 @@
     // list without the old version for that while its entries may come back.
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4)[4..]);
-    book.take_orders(&[order(10, Status::InProgress)], 10, 1, 0);
+    book.take_orders(&[rollout(10, Status::InProgress)], 10, 1, 0);
     assert!(writes(&book.step(&judge(&[]), 2_000)).is_empty());
     assert_eq!(writes(&book.step(&judge(&[]), 3_100)), [Status::Completed]);
 }
@@ -389,7 +389,7 @@
     // Guards against two entries that decide differently behind a cut: the store's word ends both.
     let mut book = ordered();
     book.reject("pool", 1_000);
-    book.take_orders(&[order(12, Status::Completed)], 12, 1, 1_100);
+    book.take_orders(&[rollout(12, Status::Completed)], 12, 1, 1_100);
     assert!(writes(&book.step(&judge(&[]), 1_200)).is_empty());
     assert_eq!(versions_used(&mut book), [("v2".into(), false)]);
 }
@@ -429,8 +429,8 @@
     // Guards against an order that was taken away and given anew and counts as over.
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4));
-    book.take_orders(&[order(10, Status::Reverted)], 10, 1, 0);
-    let mut again = order(30, Status::Ordered);
+    book.take_orders(&[rollout(10, Status::Reverted)], 10, 1, 0);
+    let mut again = rollout(30, Status::Ordered);
     again.id.created = 30;
     book.take_orders(&[again], 30, 1, 1_000);
     assert!(book.is_busy());
@@ -440,9 +440,9 @@
 fn book_orders_for_two_services_apart() {
     // Guards against a verdict on one service that ends the order of another.
     let mut book = ordered();
-    let mut second = order(11, Status::Ordered);
+    let mut second = rollout(11, Status::Ordered);
     second.id.service = "app".into();
-    book.take_orders(&[order(10, Status::Ordered), second], 11, 1, 0);
+    book.take_orders(&[rollout(10, Status::Ordered), second], 11, 1, 0);
     book.reject("pool", 1_000);
     assert_eq!(
         book.progress("app").map(Progress::phase),
