--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -16,7 +16,7 @@
 use sardinewood::direct::rollout::message::judges;
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
-use sardinewood::direct::rollout::object::Status;
+use sardinewood::direct::rollout::object::RolloutStatus;
 use sardinewood::direct::rollout::progress::Facts;
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
@@ -168,7 +168,7 @@
     Request,
     Ended(Box<Run>),
     Message(usize, usize, Box<RolloutMessage>),
-    Write(usize, Box<Rollout>, Status),
+    Write(usize, Box<Rollout>, RolloutStatus),
     Step(usize),
     Rollout,
     Kill(usize),
@@ -361,7 +361,7 @@
             },
             window_ms: self.setup.window_s * 1_000,
             revision: 1_000,
-            status: Status::Ordered,
+            status: RolloutStatus::Ordered,
         };
         self.rollout = Some(rollout);
         for entry in &mut self.entries {
@@ -458,7 +458,7 @@
         }
     }
 
-    fn write(&mut self, entry: usize, rollout: &Rollout, status: Status) {
+    fn write(&mut self, entry: usize, rollout: &Rollout, status: RolloutStatus) {
         let Some(known) = &mut self.rollout else {
             return;
         };
@@ -469,10 +469,10 @@
         known.status = status;
         if status.is_final() {
             let deadline_ms = BEFORE_MS + self.setup.window_s * 1_000;
-            self.ended.is_completed = Some(status == Status::Completed);
+            self.ended.is_completed = Some(status == RolloutStatus::Completed);
             self.ended.is_in_time = self.now_ms <= deadline_ms;
         }
-        if status == Status::Completed {
+        if status == RolloutStatus::Completed {
             self.stop_old();
         }
         self.show_order();
--- a/lib/src/direct/replication/rollout_follower.rs
+++ b/lib/src/direct/replication/rollout_follower.rs
@@ -15,7 +15,7 @@
 use crate::direct::replication::store_follower::MEET;
 use crate::direct::replication::store_follower::MOST_PAUSE_MS;
 use crate::direct::rollout::object::Rollout;
-use crate::direct::rollout::object::Status;
+use crate::direct::rollout::object::RolloutStatus;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ReadError;
@@ -92,7 +92,7 @@
     fn write_status(
         &self,
         rollout: &Rollout,
-        status: Status,
+        status: RolloutStatus,
     ) -> impl Future<Output = Result<Rollout, WriteError>>;
 }
 
@@ -167,7 +167,7 @@
     pub async fn write(
         &self,
         store: &impl OrderStore,
-        mut due: UnboundedReceiver<(Rollout, Status)>,
+        mut due: UnboundedReceiver<(Rollout, RolloutStatus)>,
     ) {
         while let Some((rollout, status)) = due.recv().await {
             if self.is_behind(&rollout) {
--- a/lib/src/direct/rollout/object.rs
+++ b/lib/src/direct/rollout/object.rs
@@ -8,7 +8,7 @@
 
 /// How far an order has come, as the store says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Status {
+pub enum RolloutStatus {
     /// Nobody has begun it.
     #[default]
     Ordered,
@@ -20,13 +20,13 @@
     Reverted,
 }
 
-impl Status {
+impl RolloutStatus {
     /// Whether nothing follows.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::object::Status;
+    /// use sardinewood::direct::rollout::object::RolloutStatus;
     ///
-    /// assert!(Status::Reverted.is_final() && !Status::InProgress.is_final());
+    /// assert!(RolloutStatus::Reverted.is_final() && !RolloutStatus::InProgress.is_final());
     /// ```
     #[must_use]
     pub fn is_final(self) -> bool {
@@ -36,7 +36,7 @@
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::object::Status::Ordered.name(), "ordered");
+    /// assert_eq!(sardinewood::direct::rollout::object::RolloutStatus::Ordered.name(), "ordered");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -77,5 +77,5 @@
     /// Revision of its object in the store.
     pub revision: u64,
     /// How far it has come.
-    pub status: Status,
+    pub status: RolloutStatus,
 }
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -12,7 +12,7 @@
 use crate::direct::rollout::message::Report;
 use crate::direct::rollout::message::State;
 use crate::direct::rollout::object::Rollout;
-use crate::direct::rollout::object::Status;
+use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::outcome_counts::Cell;
 use crate::direct::rollout::outcome_counts::Outcome;
 use crate::direct::rollout::outcome_counts::Tally;
@@ -92,7 +92,7 @@
     /// Tells the judges what this entry has seen.
     Report(Report),
     /// Writes a status, if the order has not changed meanwhile.
-    Write(Status),
+    Write(RolloutStatus),
     /// Sends requests elsewhere than before.
     Place,
     /// Says why the order has reached another phase.
@@ -165,7 +165,7 @@
         now_ms: u64,
     ) -> Self {
         // An entry that starts in the middle can't know what was spent before.
-        let is_new = rollout.status == Status::Ordered && elapsed_ms < NEW_MS;
+        let is_new = rollout.status == RolloutStatus::Ordered && elapsed_ms < NEW_MS;
         let first = if is_new {
             Exposure::first_of(allowance, entries)
         } else {
@@ -496,12 +496,16 @@
         Some(Next::Write(status))
     }
 
-    fn due_status(&self, facts: &Facts, now_ms: u64) -> Option<Status> {
+    fn due_status(&self, facts: &Facts, now_ms: u64) -> Option<RolloutStatus> {
         match self.phase {
-            Phase::Judging if self.rollout.status == Status::Ordered => Some(Status::InProgress),
+            Phase::Judging if self.rollout.status == RolloutStatus::Ordered => {
+                Some(RolloutStatus::InProgress)
+            }
             Phase::Judging => None,
-            Phase::Shifting => self.has_run_out(facts, now_ms).then_some(Status::Completed),
-            Phase::Rejected => Some(Status::Reverted),
+            Phase::Shifting => self
+                .has_run_out(facts, now_ms)
+                .then_some(RolloutStatus::Completed),
+            Phase::Rejected => Some(RolloutStatus::Reverted),
         }
     }
 
--- a/lib/src/direct/rollout/serving_versions.rs
+++ b/lib/src/direct/rollout/serving_versions.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::direct::rollout::object::Rollout;
-use crate::direct::rollout::object::Status;
+use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::view::directory::Upstream;
 
 /// The versions that serve, by service. One that nobody ordered gets nothing.
@@ -45,12 +45,12 @@
         for rollout in rollouts {
             let service = &rollout.id.service;
             match rollout.status {
-                Status::Completed => {
+                RolloutStatus::Completed => {
                     let to = Arc::clone(&rollout.id.to);
                     self.serving.insert(Arc::clone(service), to);
                 }
                 // A version that is on trial, or was, never becomes the one that serves by its age.
-                Status::Ordered | Status::InProgress | Status::Reverted => {
+                RolloutStatus::Ordered | RolloutStatus::InProgress | RolloutStatus::Reverted => {
                     if self.serving.get(service) == Some(&rollout.id.to)
                         && let Some(other) = oldest(upstreams, service, Some(&rollout.id.to))
                     {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -24,7 +24,7 @@
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::judges;
 use crate::direct::rollout::object::Rollout;
-use crate::direct::rollout::object::Status;
+use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::progress::Facts;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
@@ -67,7 +67,7 @@
 }
 
 /// The statuses that are to be written.
-pub type DueStatuses = UnboundedSender<(Rollout, Status)>;
+pub type DueStatuses = UnboundedSender<(Rollout, RolloutStatus)>;
 
 /// Looks after orders until the process ends.
 pub async fn run(
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -40,7 +40,7 @@
 use crate::direct::request::front;
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::object::Rollout;
-use crate::direct::rollout::object::Status;
+use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::table::Book;
 use crate::direct::rollout_driver;
 use crate::direct::rollout_driver::DueStatuses;
@@ -182,7 +182,7 @@
 
 async fn follow<S: ObjectSource + OrderStore>(
     follower: Follower,
-    orders: Option<(OrderFollower, UnboundedReceiver<(Rollout, Status)>)>,
+    orders: Option<(OrderFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
     source: S,
     peers: SocketAddr,
     ahead: watch::Receiver<Option<SocketAddr>>,
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::rollout::message::RolloutMessage;
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
-use sardinewood::direct::rollout::object::Status;
+use sardinewood::direct::rollout::object::RolloutStatus;
 use sardinewood::direct::rollout::outcome_counts::Cell;
 use sardinewood::direct::rollout::outcome_counts::Outcome;
 use sardinewood::direct::rollout::progress::Facts;
@@ -50,7 +50,7 @@
     old.chain(new).collect()
 }
 
-fn rollout(revision: u64, status: Status) -> Rollout {
+fn rollout(revision: u64, status: RolloutStatus) -> Rollout {
     Rollout {
         id: RolloutId {
             service: "pool".into(),
@@ -67,7 +67,7 @@
 fn ordered() -> Book {
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4));
-    book.take_orders(&[rollout(10, Status::Ordered)], 10, 1, 0);
+    book.take_orders(&[rollout(10, RolloutStatus::Ordered)], 10, 1, 0);
     book
 }
 
@@ -205,7 +205,7 @@
     // Guards against upstreams left out on a platform that knows no roll-outs.
     let mut book = Book::new(None, 1);
     book.set_upstreams(&both(4));
-    book.take_orders(&[rollout(10, Status::Completed)], 10, 1, 0);
+    book.take_orders(&[rollout(10, RolloutStatus::Completed)], 10, 1, 0);
     let used = versions_used(&mut book);
     assert_eq!(used, [("v1".into(), false), ("v2".into(), false)]);
 }
@@ -214,7 +214,7 @@
 fn versions_completed_order_serves_alone() {
     // Guards against an entry that starts after a roll-out and goes back to the old version.
     let mut versions = Versions::default();
-    versions.update(&both(2), &[rollout(10, Status::Completed)]);
+    versions.update(&both(2), &[rollout(10, RolloutStatus::Completed)]);
     assert_eq!(
         versions.serving("pool").map(|version| &**version),
         Some("v2")
@@ -226,7 +226,7 @@
     // Guards against a version that was given up and serves since the old one restarted.
     let mut versions = Versions::default();
     let restarted = [upstream(500, "v1"), upstream(101, "v2")];
-    versions.update(&restarted, &[rollout(10, Status::Reverted)]);
+    versions.update(&restarted, &[rollout(10, RolloutStatus::Reverted)]);
     assert_eq!(
         versions.serving("pool").map(|version| &**version),
         Some("v1")
@@ -280,7 +280,7 @@
     }
 }
 
-fn writes(all: &[(Arc<str>, Next)]) -> Vec<Status> {
+fn writes(all: &[(Arc<str>, Next)]) -> Vec<RolloutStatus> {
     let status = |(_, next): &(Arc<str>, Next)| match next {
         Next::Write(status) => Some(*status),
         _ => None,
@@ -293,12 +293,18 @@
     // Guards against a window that passes without a decision.
     let mut book = ordered();
     prove(&mut book);
-    assert_eq!(writes(&book.step(&judge(&[]), 50)), [Status::InProgress]);
-    book.take_orders(&[rollout(11, Status::InProgress)], 11, 1, 60);
+    assert_eq!(
+        writes(&book.step(&judge(&[]), 50)),
+        [RolloutStatus::InProgress]
+    );
+    book.take_orders(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
     assert!(writes(&book.step(&judge(&[]), 11_000)).is_empty());
     book.step(&judge(&[]), 11_600);
     assert_eq!(versions_used(&mut book), [("v2".into(), false)]);
-    assert_eq!(writes(&book.step(&judge(&[]), 11_850)), [Status::Completed]);
+    assert_eq!(
+        writes(&book.step(&judge(&[]), 11_850)),
+        [RolloutStatus::Completed]
+    );
 }
 
 #[test]
@@ -310,7 +316,10 @@
     book.step(&judge(&[]), 11_600);
     assert!(writes(&book.step(&judge(&[]), 12_500)).is_empty());
     book.unfix(&upstream(1, "v1"));
-    assert_eq!(writes(&book.step(&judge(&[]), 12_600)), [Status::Completed]);
+    assert_eq!(
+        writes(&book.step(&judge(&[]), 12_600)),
+        [RolloutStatus::Completed]
+    );
 }
 
 #[test]
@@ -330,7 +339,10 @@
             book.hear(other(), &RolloutMessage::Report(report), 2, 13_020);
         }
     }
-    assert_eq!(writes(&book.step(&facts, 13_800)), [Status::Completed]);
+    assert_eq!(
+        writes(&book.step(&facts, 13_800)),
+        [RolloutStatus::Completed]
+    );
 }
 
 #[test]
@@ -338,13 +350,13 @@
     // Guards against an order whose upstreams never come and that stays open for ever.
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4)[..4]);
-    book.take_orders(&[rollout(10, Status::InProgress)], 10, 1, 0);
+    book.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
     let all = book.step(&judge(&[]), 12_050);
     assert!(
         all.iter()
             .any(|(_, next)| *next == Next::Log(Reason::TooFewUpstreams))
     );
-    assert_eq!(writes(&all), [Status::Reverted]);
+    assert_eq!(writes(&all), [RolloutStatus::Reverted]);
 }
 
 #[test]
@@ -353,9 +365,12 @@
     // list without the old version for that while its entries may come back.
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4)[4..]);
-    book.take_orders(&[rollout(10, Status::InProgress)], 10, 1, 0);
+    book.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
     assert!(writes(&book.step(&judge(&[]), 2_000)).is_empty());
-    assert_eq!(writes(&book.step(&judge(&[]), 3_100)), [Status::Completed]);
+    assert_eq!(
+        writes(&book.step(&judge(&[]), 3_100)),
+        [RolloutStatus::Completed]
+    );
 }
 
 #[test]
@@ -389,7 +404,7 @@
     // Guards against two entries that decide differently behind a cut: the store's word ends both.
     let mut book = ordered();
     book.reject("pool", 1_000);
-    book.take_orders(&[rollout(12, Status::Completed)], 12, 1, 1_100);
+    book.take_orders(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
     assert!(writes(&book.step(&judge(&[]), 1_200)).is_empty());
     assert_eq!(versions_used(&mut book), [("v2".into(), false)]);
 }
@@ -429,8 +444,8 @@
     // Guards against an order that was taken away and given anew and counts as over.
     let mut book = Book::new(Some(ALLOWANCE), 1);
     book.set_upstreams(&both(4));
-    book.take_orders(&[rollout(10, Status::Reverted)], 10, 1, 0);
-    let mut again = rollout(30, Status::Ordered);
+    book.take_orders(&[rollout(10, RolloutStatus::Reverted)], 10, 1, 0);
+    let mut again = rollout(30, RolloutStatus::Ordered);
     again.id.created = 30;
     book.take_orders(&[again], 30, 1, 1_000);
     assert!(book.is_busy());
@@ -440,9 +455,9 @@
 fn book_orders_for_two_services_apart() {
     // Guards against a verdict on one service that ends the order of another.
     let mut book = ordered();
-    let mut second = rollout(11, Status::Ordered);
+    let mut second = rollout(11, RolloutStatus::Ordered);
     second.id.service = "app".into();
-    book.take_orders(&[rollout(10, Status::Ordered), second], 11, 1, 0);
+    book.take_orders(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
     book.reject("pool", 1_000);
     assert_eq!(
         book.progress("app").map(Progress::phase),
