--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -21,8 +21,8 @@
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
 use sardinewood::direct::rollout::progress::Progress;
-use sardinewood::direct::rollout::table::Book;
 use sardinewood::direct::rollout::table::Placement;
+use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunEnd;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::numbers;
@@ -189,7 +189,7 @@
 }
 
 struct Entry {
-    book: Book,
+    table: RolloutTable,
     incarnation: u64,
     is_up: bool,
     placement: Placement,
@@ -296,18 +296,18 @@
 
     fn started(&mut self) -> Entry {
         let incarnation = self.rng.random();
-        let mut book = Book::new(Some(ALLOWANCE), incarnation);
-        book.set_upstreams(&self.upstreams[..self.old]);
+        let mut table = RolloutTable::new(Some(ALLOWANCE), incarnation);
+        table.set_upstreams(&self.upstreams[..self.old]);
         if self.rollout.is_some() {
-            book.set_upstreams(&self.upstreams);
+            table.set_upstreams(&self.upstreams);
         }
         if let Some(rollout) = &self.rollout {
             let rollouts = [rollout.clone()];
-            book.take_orders(&rollouts, rollout.revision, self.setup.entries, self.now_ms);
+            table.take_orders(&rollouts, rollout.revision, self.setup.entries, self.now_ms);
         }
-        let placement = book.placement();
+        let placement = table.placement();
         Entry {
-            book,
+            table,
             incarnation,
             is_up: true,
             placement,
@@ -365,7 +365,7 @@
         };
         self.rollout = Some(rollout);
         for entry in &mut self.entries {
-            entry.book.set_upstreams(&self.upstreams);
+            entry.table.set_upstreams(&self.upstreams);
         }
         self.show_order();
     }
@@ -382,9 +382,9 @@
             let rollouts = [rollout.clone()];
             let entries = self.setup.entries;
             entry
-                .book
+                .table
                 .take_orders(&rollouts, rollout.revision, entries, self.now_ms);
-            entry.placement = entry.book.placement();
+            entry.placement = entry.table.placement();
         }
     }
 
@@ -403,7 +403,7 @@
             are_some_silent: up.len() < self.entries.len(),
             ..Facts::default()
         };
-        let all = self.entries[number].book.step(&facts, self.now_ms);
+        let all = self.entries[number].table.step(&facts, self.now_ms);
         for (_, next) in all {
             self.carry_out(number, next, &judging);
         }
@@ -423,7 +423,7 @@
                 }
             }
             Next::Write(status) => {
-                let rollout = self.entries[number].book.progress(SERVICE);
+                let rollout = self.entries[number].table.progress(SERVICE);
                 if let Some(rollout) = rollout.map(Progress::rollout).cloned() {
                     let event = Event::Write(number, Box::new(rollout), status);
                     self.at(self.now_ms + WRITE_MS, event);
@@ -431,7 +431,7 @@
             }
             Next::Place => {
                 let entry = &mut self.entries[number];
-                entry.placement = entry.book.placement();
+                entry.placement = entry.table.placement();
             }
             Next::Log(reason) => self.ended.reason = reason.name(),
         }
@@ -451,10 +451,10 @@
         }
         let entries = self.setup.entries;
         let next = entry
-            .book
+            .table
             .hear(address(from), message, entries, self.now_ms);
         if next.contains(&Next::Place) {
-            entry.placement = entry.book.placement();
+            entry.placement = entry.table.placement();
         }
     }
 
@@ -528,15 +528,15 @@
         let name = format!("r{route}");
         let random = self.rng.random();
         let lane = self.entries[number]
-            .book
+            .table
             .lane(SERVICE, &name, is_fixed, self.now_ms, random);
         let Some(upstream) = self.choose(number, lane) else {
             return;
         };
         let entry = &mut self.entries[number];
-        entry.book.sent(&self.upstreams[upstream], &name, is_fixed);
+        entry.table.sent(&self.upstreams[upstream], &name, is_fixed);
         if is_fixed {
-            entry.book.fix(&self.upstreams[upstream]);
+            entry.table.fix(&self.upstreams[upstream]);
         }
         let deadline_ms = BEFORE_MS + self.setup.window_s * 1_000;
         let is_within = (BEFORE_MS..=deadline_ms).contains(&self.now_ms);
@@ -630,7 +630,7 @@
         }
         let upstream = &self.upstreams[run.upstream];
         if run.is_fixed {
-            entry.book.unfix(upstream);
+            entry.table.unfix(upstream);
         }
         let came = if run.has_failed {
             RunEnd::Failed
@@ -640,7 +640,7 @@
             }
         };
         entry
-            .book
+            .table
             .run_ended(upstream, &format!("r{}", run.route), came);
     }
 }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -78,13 +78,13 @@
 /// The orders of all services at one entry.
 ///
 /// ```
-/// use sardinewood::direct::rollout::table::Book;
+/// use sardinewood::direct::rollout::table::RolloutTable;
 ///
-/// let book = Book::new(None, 1);
-/// assert!(book.states(0).is_empty());
+/// let table = RolloutTable::new(None, 1);
+/// assert!(table.states(0).is_empty());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct RolloutTable {
     /// None where versions mean nothing, so that all upstreams serve.
     allowance: Option<Allowance>,
     incarnation: u64,
@@ -101,7 +101,7 @@
     fixed: IndexMap<(Arc<str>, Arc<str>), u32>,
 }
 
-impl Book {
+impl RolloutTable {
     /// An entry's that knows nothing yet. Without an allowance versions mean nothing.
     #[must_use]
     pub fn new(allowance: Option<Allowance>, incarnation: u64) -> Self {
@@ -162,7 +162,7 @@
     /// The upstreams that are listed.
     ///
     /// ```
-    /// assert!(sardinewood::direct::rollout::table::Book::new(None, 1).upstreams().is_empty());
+    /// assert!(sardinewood::direct::rollout::table::RolloutTable::new(None, 1).upstreams().is_empty());
     /// ```
     #[must_use]
     pub fn upstreams(&self) -> &[Arc<Upstream>] {
@@ -172,7 +172,7 @@
     /// Short names of the upstreams that are listed.
     ///
     /// ```
-    /// assert!(sardinewood::direct::rollout::table::Book::new(None, 1).upstream_names().is_empty());
+    /// assert!(sardinewood::direct::rollout::table::RolloutTable::new(None, 1).upstream_names().is_empty());
     /// ```
     #[must_use]
     pub fn upstream_names(&self) -> IndexSet<u32> {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -102,8 +102,8 @@
     fn take_orders(&self, view: &OrderView) {
         let now_ms = self.now_ms();
         let known: Vec<Rollout> = {
-            let book = self.rollouts.borrow();
-            let states = book.states(now_ms).into_iter();
+            let table = self.rollouts.borrow();
+            let states = table.states(now_ms).into_iter();
             states.map(|state| state.rollout).collect()
         };
         let new = self.rollouts.borrow_mut().take_orders(
@@ -205,8 +205,8 @@
                 }
             }
             Some(Next::Write(status)) => {
-                let book = self.rollouts.borrow();
-                let rollout = book.progress(service).map(Progress::rollout);
+                let table = self.rollouts.borrow();
+                let rollout = table.progress(service).map(Progress::rollout);
                 if let Some(rollout) = rollout
                     && due.send((rollout.clone(), status)).is_err()
                 {
@@ -233,13 +233,13 @@
     /// Does what an operator wants of a service's roll-out; whether that changed anything.
     pub fn command_rollout(&self, service: &str, command: Command) -> bool {
         let now_ms = self.now_ms();
-        let mut book = self.rollouts.borrow_mut();
+        let mut table = self.rollouts.borrow_mut();
         let all = match command {
-            Command::Hold => book.hold(service, true, now_ms),
-            Command::Resume => book.hold(service, false, now_ms),
-            Command::Revert => book.reject(service, now_ms),
+            Command::Hold => table.hold(service, true, now_ms),
+            Command::Resume => table.hold(service, false, now_ms),
+            Command::Revert => table.reject(service, now_ms),
         };
-        drop(book);
+        drop(table);
         if all.is_empty() {
             return false;
         }
@@ -256,8 +256,8 @@
 
     /// A service's order as logs name it.
     fn rollout_name(&self, service: &str) -> String {
-        let book = self.rollouts.borrow();
-        let rollout = book.progress(service).map(Progress::rollout);
+        let table = self.rollouts.borrow();
+        let rollout = table.progress(service).map(Progress::rollout);
         rollout.map_or_else(String::new, |rollout| rollout.id.to_string())
     }
 
@@ -279,8 +279,8 @@
     /// What operators see of a service's order; null if there is none.
     #[must_use]
     pub fn rollout_page(&self, service: &str) -> Value {
-        let book = self.rollouts.borrow();
-        let Some(progress) = book.progress(service) else {
+        let table = self.rollouts.borrow();
+        let Some(progress) = table.progress(service) else {
             return Value::Null;
         };
         let evidence = progress.evidence();
@@ -378,21 +378,21 @@
     /// Notes that a request goes to an upstream.
     pub fn sent_to_version(&self, call: &Call, lease: &mut Lease) {
         let is_fixed = !call.route.repeat.is_idempotent();
-        let mut book = self.rollouts.borrow_mut();
-        if !book.is_active() {
+        let mut table = self.rollouts.borrow_mut();
+        if !table.is_active() {
             return;
         }
-        book.sent(&lease.upstream, &call.route.name, is_fixed);
+        table.sent(&lease.upstream, &call.route.name, is_fixed);
         if is_fixed {
-            book.fix(&lease.upstream);
+            table.fix(&lease.upstream);
             lease.is_fixed = true;
         }
     }
 
     /// Notes how a request ended at its upstream, or how fast its answer comes.
     pub fn run_ended_at_version(&self, call: &Call, lease: &Lease, came: RunEnd) {
-        let mut book = self.rollouts.borrow_mut();
-        book.run_ended(&lease.upstream, &call.route.name, came);
+        let mut table = self.rollouts.borrow_mut();
+        table.run_ended(&lease.upstream, &call.route.name, came);
     }
 }
 
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -41,7 +41,7 @@
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
-use crate::direct::rollout::table::Book;
+use crate::direct::rollout::table::RolloutTable;
 use crate::direct::rollout_driver;
 use crate::direct::rollout_driver::DueStatuses;
 use crate::direct::sharing::allotment::Tolerance;
@@ -226,14 +226,14 @@
         .wrap_err_with(|| format!("can't hear peers on {}", settings.peers))?;
     let peers = PeerTable::new(settings.peers, &settings.seeds);
     let figures = Figures::new().wrap_err("can't count")?;
-    let book = Book::new(settings.rollouts, rand::random());
+    let table = RolloutTable::new(settings.rollouts, rand::random());
     let traffic = Traffic::new(
         adapter.dialect,
         settings.attempts,
         peers,
         socket,
         figures,
-        book,
+        table,
     );
     traffic
         .allotments
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -35,7 +35,7 @@
 use crate::direct::quarantine::suspects::Suspects;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
-use crate::direct::rollout::table::Book;
+use crate::direct::rollout::table::RolloutTable;
 use crate::direct::rooms;
 use crate::direct::rooms::AskedDoor;
 use crate::direct::sharing::allotment::Allotments;
@@ -112,7 +112,7 @@
     /// What upstreams say of themselves.
     pub notices: RefCell<Notices>,
     /// Orders to move services to other versions.
-    pub rollouts: RefCell<Book>,
+    pub rollouts: RefCell<RolloutTable>,
     /// Told when an order has come further than this entry has acted on.
     pub rollouts_changed: Notify,
     /// When doors are looked at again for the rate of a limited upstream.
@@ -259,7 +259,7 @@
         peers: PeerTable,
         socket: UdpSocket,
         figures: Figures,
-        rollouts: Book,
+        rollouts: RolloutTable,
     ) -> Rc<Self> {
         Rc::new(Self {
             dialect,
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -19,7 +19,7 @@
 use sardinewood::direct::rollout::progress::Next;
 use sardinewood::direct::rollout::progress::Progress;
 use sardinewood::direct::rollout::serving_versions::Versions;
-use sardinewood::direct::rollout::table::Book;
+use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunEnd;
 use sardinewood::direct::rollout::verdict::Evidence;
 use sardinewood::direct::rollout::verdict::Verdict;
@@ -64,11 +64,11 @@
 }
 
 /// A book that knows four upstreams of each version, and the order.
-fn ordered() -> Book {
-    let mut book = Book::new(Some(ALLOWANCE), 1);
-    book.set_upstreams(&both(4));
-    book.take_orders(&[rollout(10, RolloutStatus::Ordered)], 10, 1, 0);
-    book
+fn ordered() -> RolloutTable {
+    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
+    table.set_upstreams(&both(4));
+    table.take_orders(&[rollout(10, RolloutStatus::Ordered)], 10, 1, 0);
+    table
 }
 
 /// An entry that judges, with these others.
@@ -80,8 +80,8 @@
     }
 }
 
-fn versions_used(book: &mut Book) -> Vec<(Arc<str>, bool)> {
-    let placement = book.placement();
+fn versions_used(table: &mut RolloutTable) -> Vec<(Arc<str>, bool)> {
+    let placement = table.placement();
     let mut used: Vec<(Arc<str>, bool)> = placement
         .usable
         .iter()
@@ -195,18 +195,18 @@
 #[test]
 fn versions_listed_before_its_order_gets_nothing() {
     // Guards against requests at a version whose order can't be read yet, also after a restart.
-    let mut book = Book::new(Some(ALLOWANCE), 1);
-    book.set_upstreams(&both(4));
-    assert_eq!(versions_used(&mut book), [("v1".into(), false)]);
+    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
+    table.set_upstreams(&both(4));
+    assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
 }
 
 #[test]
 fn versions_meaning_nothing_all_serve() {
     // Guards against upstreams left out on a platform that knows no roll-outs.
-    let mut book = Book::new(None, 1);
-    book.set_upstreams(&both(4));
-    book.take_orders(&[rollout(10, RolloutStatus::Completed)], 10, 1, 0);
-    let used = versions_used(&mut book);
+    let mut table = RolloutTable::new(None, 1);
+    table.set_upstreams(&both(4));
+    table.take_orders(&[rollout(10, RolloutStatus::Completed)], 10, 1, 0);
+    let used = versions_used(&mut table);
     assert_eq!(used, [("v1".into(), false), ("v2".into(), false)]);
 }
 
@@ -236,8 +236,8 @@
 #[test]
 fn placement_judging_one_upstream_on_trial() {
     // Guards against thin traces at many new upstreams, by which nothing under load is seen.
-    let mut book = ordered();
-    let placement = book.placement();
+    let mut table = ordered();
+    let placement = table.placement();
     assert_eq!(placement.trials.len(), 1);
     assert_eq!(placement.usable.len(), 5);
 }
@@ -262,20 +262,20 @@
 #[test]
 fn lane_unheard_judges_no_trials() {
     // Guards against an entry behind a cut that goes on trying a version found bad elsewhere.
-    let mut book = ordered();
-    let trials = |book: &mut Book, now_ms| {
-        let lanes = (0..100).map(|_| book.lane("pool", "a", false, now_ms, 0.999));
+    let mut table = ordered();
+    let trials = |table: &mut RolloutTable, now_ms| {
+        let lanes = (0..100).map(|_| table.lane("pool", "a", false, now_ms, 0.999));
         lanes.filter(|lane| *lane == Lane::Trial).count()
     };
-    assert!(trials(&mut book, 200) > 0);
-    assert_eq!(trials(&mut book, 4_100), 0);
+    assert!(trials(&mut table, 200) > 0);
+    assert_eq!(trials(&mut table, 4_100), 0);
 }
 
 /// Lets requests come back well from both versions, so that the new one is proven.
-fn prove(book: &mut Book) {
+fn prove(table: &mut RolloutTable) {
     for up in both(4) {
         for _ in 0..20 {
-            book.run_ended(&up, "a", RunEnd::Answered { part_ms: 20.0 });
+            table.run_ended(&up, "a", RunEnd::Answered { part_ms: 20.0 });
         }
     }
 }
@@ -291,18 +291,18 @@
 #[test]
 fn progress_good_version_completed_before_the_end() {
     // Guards against a window that passes without a decision.
-    let mut book = ordered();
-    prove(&mut book);
+    let mut table = ordered();
+    prove(&mut table);
     assert_eq!(
-        writes(&book.step(&judge(&[]), 50)),
+        writes(&table.step(&judge(&[]), 50)),
         [RolloutStatus::InProgress]
     );
-    book.take_orders(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
-    assert!(writes(&book.step(&judge(&[]), 11_000)).is_empty());
-    book.step(&judge(&[]), 11_600);
-    assert_eq!(versions_used(&mut book), [("v2".into(), false)]);
+    table.take_orders(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
+    assert!(writes(&table.step(&judge(&[]), 11_000)).is_empty());
+    table.step(&judge(&[]), 11_600);
+    assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
     assert_eq!(
-        writes(&book.step(&judge(&[]), 11_850)),
+        writes(&table.step(&judge(&[]), 11_850)),
         [RolloutStatus::Completed]
     );
 }
@@ -310,14 +310,14 @@
 #[test]
 fn progress_fixed_request_at_old_waited_for() {
     // Guards against `completed` while a request runs at the old version that can't be moved.
-    let mut book = ordered();
-    prove(&mut book);
-    book.fix(&upstream(1, "v1"));
-    book.step(&judge(&[]), 11_600);
-    assert!(writes(&book.step(&judge(&[]), 12_500)).is_empty());
-    book.unfix(&upstream(1, "v1"));
+    let mut table = ordered();
+    prove(&mut table);
+    table.fix(&upstream(1, "v1"));
+    table.step(&judge(&[]), 11_600);
+    assert!(writes(&table.step(&judge(&[]), 12_500)).is_empty());
+    table.unfix(&upstream(1, "v1"));
     assert_eq!(
-        writes(&book.step(&judge(&[]), 12_600)),
+        writes(&table.step(&judge(&[]), 12_600)),
         [RolloutStatus::Completed]
     );
 }
@@ -325,22 +325,22 @@
 #[test]
 fn progress_unshifted_peer_waited_for() {
     // Guards against `completed` while another entry still sends the old version requests.
-    let mut book = ordered();
-    prove(&mut book);
+    let mut table = ordered();
+    prove(&mut table);
     let facts = judge(&[other()]);
-    book.step(&facts, 11_600);
-    assert!(writes(&book.step(&facts, 13_000)).is_empty());
+    table.step(&facts, 11_600);
+    assert!(writes(&table.step(&facts, 13_000)).is_empty());
     let mut peer = ordered();
-    let state = book.states(13_000).remove(0);
+    let state = table.states(13_000).remove(0);
     peer.hear(other(), &RolloutMessage::State(state), 2, 13_000);
     let told = peer.step(&Facts::default(), 13_010);
     for (_, next) in told {
         if let Next::Report(report) = next {
-            book.hear(other(), &RolloutMessage::Report(report), 2, 13_020);
+            table.hear(other(), &RolloutMessage::Report(report), 2, 13_020);
         }
     }
     assert_eq!(
-        writes(&book.step(&facts, 13_800)),
+        writes(&table.step(&facts, 13_800)),
         [RolloutStatus::Completed]
     );
 }
@@ -348,10 +348,10 @@
 #[test]
 fn progress_no_upstreams_come_reverted() {
     // Guards against an order whose upstreams never come and that stays open for ever.
-    let mut book = Book::new(Some(ALLOWANCE), 1);
-    book.set_upstreams(&both(4)[..4]);
-    book.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
-    let all = book.step(&judge(&[]), 12_050);
+    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
+    table.set_upstreams(&both(4)[..4]);
+    table.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
+    let all = table.step(&judge(&[]), 12_050);
     assert!(
         all.iter()
             .any(|(_, next)| *next == Next::Log(Reason::TooFewUpstreams))
@@ -363,12 +363,12 @@
 fn progress_version_that_runs_already_completed_early() {
     // Guards against a window's wait for a version that all upstreams have, and against taking a
     // list without the old version for that while its entries may come back.
-    let mut book = Book::new(Some(ALLOWANCE), 1);
-    book.set_upstreams(&both(4)[4..]);
-    book.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
-    assert!(writes(&book.step(&judge(&[]), 2_000)).is_empty());
+    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
+    table.set_upstreams(&both(4)[4..]);
+    table.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
+    assert!(writes(&table.step(&judge(&[]), 2_000)).is_empty());
     assert_eq!(
-        writes(&book.step(&judge(&[]), 3_100)),
+        writes(&table.step(&judge(&[]), 3_100)),
         [RolloutStatus::Completed]
     );
 }
@@ -379,22 +379,22 @@
     let mut judging = ordered();
     judging.reject("pool", 1_000);
     let state = judging.states(1_000).remove(0);
-    let mut book = ordered();
-    let next = book.hear(other(), &RolloutMessage::State(state), 2, 1_000);
+    let mut table = ordered();
+    let next = table.hear(other(), &RolloutMessage::State(state), 2, 1_000);
     assert!(next.contains(&Next::Place));
-    assert_eq!(versions_used(&mut book), [("v1".into(), false)]);
+    assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
 }
 
 #[test]
 fn progress_shift_heard_late_does_not_undo_rejection() {
     // Guards against a late or repeated message that brings a bad version back.
-    let mut book = ordered();
-    let mut state = book.states(0).remove(0);
+    let mut table = ordered();
+    let mut state = table.states(0).remove(0);
     state.phase = Phase::Shifting;
-    book.reject("pool", 1_000);
-    book.hear(other(), &RolloutMessage::State(state), 2, 1_100);
+    table.reject("pool", 1_000);
+    table.hear(other(), &RolloutMessage::State(state), 2, 1_100);
     assert_eq!(
-        book.progress("pool").map(Progress::phase),
+        table.progress("pool").map(Progress::phase),
         Some(Phase::Rejected)
     );
 }
@@ -402,28 +402,28 @@
 #[test]
 fn progress_final_state_of_the_store_holds() {
     // Guards against two entries that decide differently behind a cut: the store's word ends both.
-    let mut book = ordered();
-    book.reject("pool", 1_000);
-    book.take_orders(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
-    assert!(writes(&book.step(&judge(&[]), 1_200)).is_empty());
-    assert_eq!(versions_used(&mut book), [("v2".into(), false)]);
+    let mut table = ordered();
+    table.reject("pool", 1_000);
+    table.take_orders(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
+    assert!(writes(&table.step(&judge(&[]), 1_200)).is_empty());
+    assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
 }
 
 #[test]
 fn progress_held_order_not_shifted() {
     // Guards against a shift that an operator has put off; it goes on when let.
-    let mut book = ordered();
-    prove(&mut book);
-    book.hold("pool", true, 100);
-    book.step(&judge(&[]), 11_600);
+    let mut table = ordered();
+    prove(&mut table);
+    table.hold("pool", true, 100);
+    table.step(&judge(&[]), 11_600);
     assert_eq!(
-        book.progress("pool").map(Progress::phase),
+        table.progress("pool").map(Progress::phase),
         Some(Phase::Judging)
     );
-    book.hold("pool", false, 11_700);
-    book.step(&judge(&[]), 11_750);
+    table.hold("pool", false, 11_700);
+    table.step(&judge(&[]), 11_750);
     assert_eq!(
-        book.progress("pool").map(Progress::phase),
+        table.progress("pool").map(Progress::phase),
         Some(Phase::Shifting)
     );
 }
@@ -431,36 +431,36 @@
 #[test]
 fn book_withdrawn_order_not_brought_back() {
     // Guards against a late message about an order that its operator took away.
-    let mut book = ordered();
-    let state = book.states(0).remove(0);
-    book.take_orders(&[], 20, 1, 1_000);
-    assert_eq!(versions_used(&mut book), [("v1".into(), false)]);
-    book.hear(other(), &RolloutMessage::State(state), 2, 1_100);
-    assert!(book.progress("pool").is_none());
+    let mut table = ordered();
+    let state = table.states(0).remove(0);
+    table.take_orders(&[], 20, 1, 1_000);
+    assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
+    table.hear(other(), &RolloutMessage::State(state), 2, 1_100);
+    assert!(table.progress("pool").is_none());
 }
 
 #[test]
 fn book_order_given_again_is_another() {
     // Guards against an order that was taken away and given anew and counts as over.
-    let mut book = Book::new(Some(ALLOWANCE), 1);
-    book.set_upstreams(&both(4));
-    book.take_orders(&[rollout(10, RolloutStatus::Reverted)], 10, 1, 0);
+    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
+    table.set_upstreams(&both(4));
+    table.take_orders(&[rollout(10, RolloutStatus::Reverted)], 10, 1, 0);
     let mut again = rollout(30, RolloutStatus::Ordered);
     again.id.created = 30;
-    book.take_orders(&[again], 30, 1, 1_000);
-    assert!(book.is_busy());
+    table.take_orders(&[again], 30, 1, 1_000);
+    assert!(table.is_busy());
 }
 
 #[test]
 fn book_orders_for_two_services_apart() {
     // Guards against a verdict on one service that ends the order of another.
-    let mut book = ordered();
+    let mut table = ordered();
     let mut second = rollout(11, RolloutStatus::Ordered);
     second.id.service = "app".into();
-    book.take_orders(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
-    book.reject("pool", 1_000);
+    table.take_orders(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
+    table.reject("pool", 1_000);
     assert_eq!(
-        book.progress("app").map(Progress::phase),
+        table.progress("app").map(Progress::phase),
         Some(Phase::Judging)
     );
 }
@@ -468,15 +468,15 @@
 #[test]
 fn report_of_known_counts_is_short() {
     // Guards against judges of a large fleet that get the same counts over and over.
-    let mut book = ordered();
+    let mut table = ordered();
     for up in both(4) {
         for route in 0..10 {
-            book.run_ended(&up, &format!("route-{route}"), RunEnd::Failed);
+            table.run_ended(&up, &format!("route-{route}"), RunEnd::Failed);
         }
     }
     let mut cells = 0;
     for number in 1..=10 {
-        for (_, next) in book.step(&Facts::default(), number * 200) {
+        for (_, next) in table.step(&Facts::default(), number * 200) {
             if let Next::Report(report) = next {
                 cells = report.counts.len();
             }
@@ -488,16 +488,16 @@
 #[test]
 fn report_fits_into_a_datagram() {
     // Guards against reports that are too long to be sent, whose entry would seem not to be shifted.
-    let mut book = ordered();
+    let mut table = ordered();
     for up in both(4) {
         for route in 0..40 {
             let name = format!("route-{route}");
             assert_ne!(short_name(&name), 0);
-            book.run_ended(&up, &name, RunEnd::Failed);
+            table.run_ended(&up, &name, RunEnd::Failed);
         }
     }
     let facts = Facts::default();
-    let reports = book.step(&facts, 200);
+    let reports = table.step(&facts, 200);
     let mut seen = 0;
     for (_, next) in reports {
         if let Next::Report(report) = next {
