--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -303,7 +303,7 @@
         }
         if let Some(rollout) = &self.rollout {
             let rollouts = [rollout.clone()];
-            table.take_orders(&rollouts, rollout.revision, self.setup.entries, self.now_ms);
+            table.apply_stored(&rollouts, rollout.revision, self.setup.entries, self.now_ms);
         }
         let placement = table.placement();
         Entry {
@@ -383,7 +383,7 @@
             let entries = self.setup.entries;
             entry
                 .table
-                .take_orders(&rollouts, rollout.revision, entries, self.now_ms);
+                .apply_stored(&rollouts, rollout.revision, entries, self.now_ms);
             entry.placement = entry.table.placement();
         }
     }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -183,7 +183,7 @@
     }
 
     /// Takes the orders as the store lists them, with the revision of that; those that are new here.
-    pub fn take_orders(
+    pub fn apply_stored(
         &mut self,
         rollouts: &[Rollout],
         at: u64,
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -88,7 +88,7 @@
                 }
                 let view = view.borrow_and_update().clone();
                 if let Some(view) = view {
-                    traffic.take_orders(&view);
+                    traffic.apply_stored(&view);
                 }
             }
             () = sleep(pause) => {}
@@ -99,14 +99,14 @@
 }
 
 impl Traffic {
-    fn take_orders(&self, view: &OrderView) {
+    fn apply_stored(&self, view: &OrderView) {
         let now_ms = self.now_ms();
         let known: Vec<Rollout> = {
             let table = self.rollouts.borrow();
             let states = table.states(now_ms).into_iter();
             states.map(|state| state.rollout).collect()
         };
-        let new = self.rollouts.borrow_mut().take_orders(
+        let new = self.rollouts.borrow_mut().apply_stored(
             &view.rollouts,
             view.revision,
             self.fleet_size(),
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -67,7 +67,7 @@
 fn ordered() -> RolloutTable {
     let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
     table.set_upstreams(&both(4));
-    table.take_orders(&[rollout(10, RolloutStatus::Ordered)], 10, 1, 0);
+    table.apply_stored(&[rollout(10, RolloutStatus::Ordered)], 10, 1, 0);
     table
 }
 
@@ -205,7 +205,7 @@
     // Guards against upstreams left out on a platform that knows no roll-outs.
     let mut table = RolloutTable::new(None, 1);
     table.set_upstreams(&both(4));
-    table.take_orders(&[rollout(10, RolloutStatus::Completed)], 10, 1, 0);
+    table.apply_stored(&[rollout(10, RolloutStatus::Completed)], 10, 1, 0);
     let used = versions_used(&mut table);
     assert_eq!(used, [("v1".into(), false), ("v2".into(), false)]);
 }
@@ -297,7 +297,7 @@
         writes(&table.step(&judge(&[]), 50)),
         [RolloutStatus::InProgress]
     );
-    table.take_orders(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
+    table.apply_stored(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
     assert!(writes(&table.step(&judge(&[]), 11_000)).is_empty());
     table.step(&judge(&[]), 11_600);
     assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
@@ -350,7 +350,7 @@
     // Guards against an order whose upstreams never come and that stays open for ever.
     let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
     table.set_upstreams(&both(4)[..4]);
-    table.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
+    table.apply_stored(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
     let all = table.step(&judge(&[]), 12_050);
     assert!(
         all.iter()
@@ -365,7 +365,7 @@
     // list without the old version for that while its entries may come back.
     let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
     table.set_upstreams(&both(4)[4..]);
-    table.take_orders(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
+    table.apply_stored(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
     assert!(writes(&table.step(&judge(&[]), 2_000)).is_empty());
     assert_eq!(
         writes(&table.step(&judge(&[]), 3_100)),
@@ -404,7 +404,7 @@
     // Guards against two entries that decide differently behind a cut: the store's word ends both.
     let mut table = ordered();
     table.reject("pool", 1_000);
-    table.take_orders(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
+    table.apply_stored(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
     assert!(writes(&table.step(&judge(&[]), 1_200)).is_empty());
     assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
 }
@@ -433,7 +433,7 @@
     // Guards against a late message about an order that its operator took away.
     let mut table = ordered();
     let state = table.states(0).remove(0);
-    table.take_orders(&[], 20, 1, 1_000);
+    table.apply_stored(&[], 20, 1, 1_000);
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
     table.hear(other(), &RolloutMessage::State(state), 2, 1_100);
     assert!(table.progress("pool").is_none());
@@ -444,10 +444,10 @@
     // Guards against an order that was taken away and given anew and counts as over.
     let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
     table.set_upstreams(&both(4));
-    table.take_orders(&[rollout(10, RolloutStatus::Reverted)], 10, 1, 0);
+    table.apply_stored(&[rollout(10, RolloutStatus::Reverted)], 10, 1, 0);
     let mut again = rollout(30, RolloutStatus::Ordered);
     again.id.created = 30;
-    table.take_orders(&[again], 30, 1, 1_000);
+    table.apply_stored(&[again], 30, 1, 1_000);
     assert!(table.is_busy());
 }
 
@@ -457,7 +457,7 @@
     let mut table = ordered();
     let mut second = rollout(11, RolloutStatus::Ordered);
     second.id.service = "app".into();
-    table.take_orders(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
+    table.apply_stored(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
     table.reject("pool", 1_000);
     assert_eq!(
         table.progress("app").map(Progress::phase),
