--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -340,7 +340,7 @@
         match event {
             Event::Request => self.request(),
             Event::Ended(run) => self.run_ended(&run),
-            Event::Message(to, from, message) => self.hear(to, from, &message),
+            Event::Message(to, from, message) => self.handle_message(to, from, &message),
             Event::Write(entry, rollout, status) => self.write(entry, &rollout, status),
             Event::Step(entry) => self.step(entry),
             Event::Rollout => self.give_order(),
@@ -444,7 +444,7 @@
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, message: &RolloutMessage) {
+    fn handle_message(&mut self, to: usize, from: usize, message: &RolloutMessage) {
         let entry = &mut self.entries[to];
         if !entry.is_up {
             return;
@@ -452,7 +452,7 @@
         let entries = self.setup.entries;
         let next = entry
             .table
-            .hear(address(from), message, entries, self.now_ms);
+            .handle_message(address(from), message, entries, self.now_ms);
         if next.contains(&Next::Place) {
             entry.placement = entry.table.placement();
         }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -270,7 +270,7 @@
     }
 
     /// Takes another entry's message.
-    pub fn hear(
+    pub fn handle_message(
         &mut self,
         from: SocketAddr,
         message: &RolloutMessage,
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -143,7 +143,7 @@
         let next = self
             .rollouts
             .borrow_mut()
-            .hear(from, message, entries, now_ms);
+            .handle_message(from, message, entries, now_ms);
         if next.contains(&Next::Place) {
             self.place_versions();
             self.rollouts_changed.notify_one();
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -332,11 +332,11 @@
     assert!(writes(&table.step(&facts, 13_000)).is_empty());
     let mut peer = ordered();
     let state = table.states(13_000).remove(0);
-    peer.hear(other(), &RolloutMessage::State(state), 2, 13_000);
+    peer.handle_message(other(), &RolloutMessage::State(state), 2, 13_000);
     let told = peer.step(&Facts::default(), 13_010);
     for (_, next) in told {
         if let Next::Report(report) = next {
-            table.hear(other(), &RolloutMessage::Report(report), 2, 13_020);
+            table.handle_message(other(), &RolloutMessage::Report(report), 2, 13_020);
         }
     }
     assert_eq!(
@@ -380,7 +380,7 @@
     judging.reject("pool", 1_000);
     let state = judging.states(1_000).remove(0);
     let mut table = ordered();
-    let next = table.hear(other(), &RolloutMessage::State(state), 2, 1_000);
+    let next = table.handle_message(other(), &RolloutMessage::State(state), 2, 1_000);
     assert!(next.contains(&Next::Place));
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
 }
@@ -392,7 +392,7 @@
     let mut state = table.states(0).remove(0);
     state.phase = Phase::Shifting;
     table.reject("pool", 1_000);
-    table.hear(other(), &RolloutMessage::State(state), 2, 1_100);
+    table.handle_message(other(), &RolloutMessage::State(state), 2, 1_100);
     assert_eq!(
         table.progress("pool").map(Progress::phase),
         Some(Phase::Rejected)
@@ -435,7 +435,7 @@
     let state = table.states(0).remove(0);
     table.apply_stored(&[], 20, 1, 1_000);
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
-    table.hear(other(), &RolloutMessage::State(state), 2, 1_100);
+    table.handle_message(other(), &RolloutMessage::State(state), 2, 1_100);
     assert!(table.progress("pool").is_none());
 }
 
