--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -527,9 +527,10 @@
         let is_fixed = route.is_multiple_of(3);
         let name = format!("r{route}");
         let random = self.rng.random();
-        let lane = self.entries[number]
-            .table
-            .lane(SERVICE, &name, is_fixed, self.now_ms, random);
+        let lane =
+            self.entries[number]
+                .table
+                .choose_target(SERVICE, &name, is_fixed, self.now_ms, random);
         let Some(upstream) = self.choose(number, lane) else {
             return;
         };
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -285,7 +285,7 @@
     }
 
     /// Where a route's next request goes. One that is fixed can't be moved once it runs.
-    pub fn lane(&mut self, route: u32, is_fixed: bool, now_ms: u64, random: f64) -> Lane {
+    pub fn choose_target(&mut self, route: u32, is_fixed: bool, now_ms: u64, random: f64) -> Lane {
         let is_judged = now_ms < self.judged_at_ms + JUDGED_WITHIN_MS;
         if self.phase != Phase::Judging || self.is_over() || !is_judged {
             return Lane::Serving;
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -389,7 +389,7 @@
     }
 
     /// Where a route's next request goes.
-    pub fn lane(
+    pub fn choose_target(
         &mut self,
         service: &str,
         route: &str,
@@ -399,7 +399,7 @@
     ) -> Lane {
         let progress = self.rollouts.get_mut(service);
         progress.map_or(Lane::Serving, |progress| {
-            progress.lane(short_name(route), is_fixed, now_ms, random)
+            progress.choose_target(short_name(route), is_fixed, now_ms, random)
         })
     }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -352,7 +352,7 @@
     /// Waits for room for a request's first attempt, at an upstream of the version that is judged
     /// if it is the request's turn.
     pub async fn first_turn(self: &Rc<Self>, call: &Call) -> Turn {
-        let lane = self.rollouts.borrow_mut().lane(
+        let lane = self.rollouts.borrow_mut().choose_target(
             &call.service,
             &call.route.name,
             !call.route.repeat.is_idempotent(),
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -264,7 +264,7 @@
     // Guards against an entry behind a cut that goes on trying a version found bad elsewhere.
     let mut table = ordered();
     let trials = |table: &mut RolloutTable, now_ms| {
-        let lanes = (0..100).map(|_| table.lane("pool", "a", false, now_ms, 0.999));
+        let lanes = (0..100).map(|_| table.choose_target("pool", "a", false, now_ms, 0.999));
         lanes.filter(|lane| *lane == Lane::Trial).count()
     };
     assert!(trials(&mut table, 200) > 0);
