--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -535,7 +535,9 @@
             return;
         };
         let entry = &mut self.entries[number];
-        entry.table.sent(&self.upstreams[upstream], &name, is_fixed);
+        entry
+            .table
+            .record_dispatch(&self.upstreams[upstream], &name, is_fixed);
         if is_fixed {
             entry.table.fix(&self.upstreams[upstream]);
         }
--- a/lib/src/direct/rollout/exposure.rs
+++ b/lib/src/direct/rollout/exposure.rs
@@ -79,7 +79,7 @@
 /// let mut exposure = Exposure::new(allowance, 0.0);
 /// let trials = (0..1_000).filter(|_| {
 ///     let is_trial = exposure.is_due(1, 0.0, 0.5);
-///     exposure.sent(1, is_trial, true);
+///     exposure.record_dispatch(1, is_trial, true);
 ///     is_trial
 /// });
 /// assert_eq!(trials.count(), 30);
@@ -151,10 +151,10 @@
     /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
     /// let allowance = Allowance { share: 0.1, slack: 50.0 };
     /// let mut exposure = Exposure::new(allowance, 0.0);
-    /// exposure.sent(1, true, false);
+    /// exposure.record_dispatch(1, true, false);
     /// assert_eq!((exposure.total(), exposure.at_new()), (1, 1));
     /// ```
-    pub fn sent(&mut self, route: u32, is_new: bool, is_fixed: bool) {
+    pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_fixed: bool) {
         self.sent += 1;
         self.sent_fixed += u64::from(is_fixed);
         let credit = self.credits.entry(route).or_default();
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -303,8 +303,8 @@
     }
 
     /// Notes that a request was sent to an upstream of the service.
-    pub fn sent(&mut self, route: u32, is_new: bool, is_fixed: bool) {
-        self.exposure.sent(route, is_new, is_fixed);
+    pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_fixed: bool) {
+        self.exposure.record_dispatch(route, is_new, is_fixed);
     }
 
     /// Notes what a request came to.
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -404,10 +404,10 @@
     }
 
     /// Notes that a request was sent. One that is fixed can't be moved once it runs.
-    pub fn sent(&mut self, upstream: &Upstream, route: &str, is_fixed: bool) {
+    pub fn record_dispatch(&mut self, upstream: &Upstream, route: &str, is_fixed: bool) {
         if let Some(progress) = self.rollouts.get_mut(&upstream.service) {
             let is_new = upstream.version == progress.rollout().id.to;
-            progress.sent(short_name(route), is_new, is_fixed);
+            progress.record_dispatch(short_name(route), is_new, is_fixed);
         }
     }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -382,7 +382,7 @@
         if !table.is_active() {
             return;
         }
-        table.sent(&lease.upstream, &call.route.name, is_fixed);
+        table.record_dispatch(&lease.upstream, &call.route.name, is_fixed);
         if is_fixed {
             table.fix(&lease.upstream);
             lease.is_fixed = true;
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -251,7 +251,7 @@
         for _ in 0..30 {
             let random = f64::from(start) / 200.0;
             let is_trial = exposure.is_due(1, 0.5, random);
-            exposure.sent(1, is_trial, false);
+            exposure.record_dispatch(1, is_trial, false);
             sent.0 += 1.0;
             sent.1 += f64::from(u8::from(is_trial));
         }
