--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -644,6 +644,6 @@
         };
         entry
             .table
-            .run_ended(upstream, &format!("r{}", run.route), came);
+            .record_run_outcome(upstream, &format!("r{}", run.route), came);
     }
 }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -428,7 +428,7 @@
     }
 
     /// Notes how a request ended at its upstream.
-    pub fn run_ended(&mut self, upstream: &Upstream, route: &str, came: RunEnd) {
+    pub fn record_run_outcome(&mut self, upstream: &Upstream, route: &str, came: RunEnd) {
         if !self.is_active() {
             return;
         }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -392,7 +392,7 @@
     /// Notes how a request ended at its upstream, or how fast its answer comes.
     pub fn run_ended_at_version(&self, call: &Call, lease: &Lease, came: RunEnd) {
         let mut table = self.rollouts.borrow_mut();
-        table.run_ended(&lease.upstream, &call.route.name, came);
+        table.record_run_outcome(&lease.upstream, &call.route.name, came);
     }
 }
 
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -275,7 +275,7 @@
 fn prove(table: &mut RolloutTable) {
     for up in both(4) {
         for _ in 0..20 {
-            table.run_ended(&up, "a", RunEnd::Answered { part_ms: 20.0 });
+            table.record_run_outcome(&up, "a", RunEnd::Answered { part_ms: 20.0 });
         }
     }
 }
@@ -471,7 +471,7 @@
     let mut table = ordered();
     for up in both(4) {
         for route in 0..10 {
-            table.run_ended(&up, &format!("route-{route}"), RunEnd::Failed);
+            table.record_run_outcome(&up, &format!("route-{route}"), RunEnd::Failed);
         }
     }
     let mut cells = 0;
@@ -493,7 +493,7 @@
         for route in 0..40 {
             let name = format!("route-{route}");
             assert_ne!(short_name(&name), 0);
-            table.run_ended(&up, &name, RunEnd::Failed);
+            table.record_run_outcome(&up, &name, RunEnd::Failed);
         }
     }
     let facts = Facts::default();
