--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -182,7 +182,7 @@
     incarnation: u64,
     upstream: usize,
     route: usize,
-    is_fixed: bool,
+    is_pinned: bool,
     is_bad: bool,
     has_failed: bool,
     began_ms: u64,
@@ -488,7 +488,7 @@
             .collect();
         for run in cut {
             self.runs.swap_remove(&run.id);
-            if run.is_fixed {
+            if run.is_pinned {
                 self.ended.cut += 1;
             } else {
                 self.ended.moved += 1;
@@ -524,31 +524,34 @@
             return;
         }
         let route = self.rng.random_range(0..ROUTES);
-        let is_fixed = route.is_multiple_of(3);
+        let is_pinned = route.is_multiple_of(3);
         let name = format!("r{route}");
         let random = self.rng.random();
-        let lane =
-            self.entries[number]
-                .table
-                .choose_target(SERVICE, &name, is_fixed, self.now_ms, random);
+        let lane = self.entries[number].table.choose_target(
+            SERVICE,
+            &name,
+            is_pinned,
+            self.now_ms,
+            random,
+        );
         let Some(upstream) = self.choose(number, lane) else {
             return;
         };
         let entry = &mut self.entries[number];
         entry
             .table
-            .record_dispatch(&self.upstreams[upstream], &name, is_fixed);
-        if is_fixed {
-            entry.table.fix(&self.upstreams[upstream]);
+            .record_dispatch(&self.upstreams[upstream], &name, is_pinned);
+        if is_pinned {
+            entry.table.pin(&self.upstreams[upstream]);
         }
         let deadline_ms = BEFORE_MS + self.setup.window_s * 1_000;
         let is_within = (BEFORE_MS..=deadline_ms).contains(&self.now_ms);
         self.ended.requests += usize::from(is_within);
         self.running[upstream] += 1;
-        self.start(number, upstream, route, is_fixed);
+        self.start(number, upstream, route, is_pinned);
     }
 
-    fn start(&mut self, number: usize, upstream: usize, route: usize, is_fixed: bool) {
+    fn start(&mut self, number: usize, upstream: usize, route: usize, is_pinned: bool) {
         let is_new = upstream >= self.old;
         if is_new {
             self.count_at_new();
@@ -574,7 +577,7 @@
             incarnation: self.entries[number].incarnation,
             upstream,
             route,
-            is_fixed,
+            is_pinned,
             is_bad: flaw.is_some(),
             has_failed,
             began_ms: self.now_ms,
@@ -632,8 +635,8 @@
             return;
         }
         let upstream = &self.upstreams[run.upstream];
-        if run.is_fixed {
-            entry.table.unfix(upstream);
+        if run.is_pinned {
+            entry.table.unpin(upstream);
         }
         let came = if run.has_failed {
             RunEnd::Failed
--- a/lib/src/direct/rollout/exposure.rs
+++ b/lib/src/direct/rollout/exposure.rs
@@ -154,9 +154,9 @@
     /// exposure.record_dispatch(1, true, false);
     /// assert_eq!((exposure.total(), exposure.at_new()), (1, 1));
     /// ```
-    pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_fixed: bool) {
+    pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_pinned: bool) {
         self.sent += 1;
-        self.sent_fixed += u64::from(is_fixed);
+        self.sent_fixed += u64::from(is_pinned);
         let credit = self.credits.entry(route).or_default();
         // What nobody could take is not saved up for a moment at which the version is worse.
         *credit = (*credit + self.part).min(2.0);
--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -105,7 +105,7 @@
     /// Whether it sends the old version nothing any more.
     pub is_shifted: bool,
     /// Requests of it that run at the old version and can't be moved.
-    pub fixed_at_old: u32,
+    pub pinned_at_old: u32,
     /// What its requests came to; a part if there is much.
     pub counts: Vec<(Cell, u32)>,
 }
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -81,7 +81,7 @@
     /// Slots of the old version's upstreams.
     pub old_slots: u32,
     /// Requests of this entry that run at the old version and can't be moved.
-    pub fixed_at_old: u32,
+    pub pinned_at_old: u32,
 }
 
 /// What to do next.
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Stage {
     is_shifted: bool,
-    fixed_at_old: u32,
+    pinned_at_old: u32,
 }
 
 /// An order as one entry sees it.
@@ -285,7 +285,7 @@
     }
 
     /// Where a route's next request goes. One that is fixed can't be moved once it runs.
-    pub fn choose_target(&mut self, route: u32, is_fixed: bool, now_ms: u64, random: f64) -> Lane {
+    pub fn choose_target(&mut self, route: u32, is_pinned: bool, now_ms: u64, random: f64) -> Lane {
         let is_judged = now_ms < self.judged_at_ms + JUDGED_WITHIN_MS;
         if self.phase != Phase::Judging || self.is_over() || !is_judged {
             return Lane::Serving;
@@ -293,7 +293,7 @@
         let elapsed_ms = self.elapsed_ms(now_ms);
         let passed = numbers::as_f64(elapsed_ms) / numbers::as_f64(self.rollout.window_ms);
         let is_burst = self.spread > 1 || elapsed_ms % BURST_EVERY_MS < BURST_MS;
-        if is_fixed && self.is_early {
+        if is_pinned && self.is_early {
             return Lane::Trial;
         }
         if is_burst && self.exposure.is_due(route, passed, random) {
@@ -303,8 +303,8 @@
     }
 
     /// Notes that a request was sent to an upstream of the service.
-    pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_fixed: bool) {
-        self.exposure.record_dispatch(route, is_new, is_fixed);
+    pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_pinned: bool) {
+        self.exposure.record_dispatch(route, is_new, is_pinned);
     }
 
     /// Notes what a request came to.
@@ -360,7 +360,7 @@
         self.is_evidence_new = true;
         let stage = Stage {
             is_shifted: report.is_shifted,
-            fixed_at_old: report.fixed_at_old,
+            pinned_at_old: report.pinned_at_old,
         };
         self.stages.insert(from, stage);
     }
@@ -522,9 +522,9 @@
         }
         let all_done = facts.heard.iter().all(|entry| {
             let stage = self.stages.get(entry);
-            stage.is_some_and(|stage| stage.is_shifted && stage.fixed_at_old == 0)
+            stage.is_some_and(|stage| stage.is_shifted && stage.pinned_at_old == 0)
         });
-        facts.fixed_at_old == 0 && all_done && (is_over || !facts.are_some_silent)
+        facts.pinned_at_old == 0 && all_done && (is_over || !facts.are_some_silent)
     }
 
     /// Lets other upstreams take the place of those that are judged.
@@ -581,12 +581,12 @@
             next.push(Next::Tell(self.state(now_ms)));
         }
         // The last that the old version waits for is told at once.
-        let has_run_out = self.reported_fixed > 0 && facts.fixed_at_old == 0;
+        let has_run_out = self.reported_fixed > 0 && facts.pinned_at_old == 0;
         let is_due = now_ms >= self.report_at_ms + REPORT_MS.max(entries_ms);
         if !self.is_over() && (is_due || has_run_out) {
-            self.reported_fixed = facts.fixed_at_old;
+            self.reported_fixed = facts.pinned_at_old;
             self.report_at_ms = now_ms;
-            next.push(Next::Report(self.report(facts.fixed_at_old)));
+            next.push(Next::Report(self.report(facts.pinned_at_old)));
         }
         next
     }
@@ -623,12 +623,12 @@
         }
     }
 
-    fn report(&mut self, fixed_at_old: u32) -> Report {
+    fn report(&mut self, pinned_at_old: u32) -> Report {
         Report {
             id: self.rollout.id.clone(),
             incarnation: self.incarnation,
             is_shifted: self.phase == Phase::Shifting,
-            fixed_at_old,
+            pinned_at_old,
             counts: self.next_counts.next(&self.own),
         }
     }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -319,7 +319,7 @@
                     facts.old_slots += upstream.slots;
                 }
             }
-            facts.fixed_at_old = fixed_at_old(&self.fixed, service, to);
+            facts.pinned_at_old = pinned_at_old(&self.fixed, service, to);
             let next = progress.step(&facts, now_ms);
             all.extend(next.into_iter().map(|next| (Arc::clone(service), next)));
         }
@@ -393,31 +393,31 @@
         &mut self,
         service: &str,
         route: &str,
-        is_fixed: bool,
+        is_pinned: bool,
         now_ms: u64,
         random: f64,
     ) -> Lane {
         let progress = self.rollouts.get_mut(service);
         progress.map_or(Lane::Serving, |progress| {
-            progress.choose_target(short_name(route), is_fixed, now_ms, random)
+            progress.choose_target(short_name(route), is_pinned, now_ms, random)
         })
     }
 
     /// Notes that a request was sent. One that is fixed can't be moved once it runs.
-    pub fn record_dispatch(&mut self, upstream: &Upstream, route: &str, is_fixed: bool) {
+    pub fn record_dispatch(&mut self, upstream: &Upstream, route: &str, is_pinned: bool) {
         if let Some(progress) = self.rollouts.get_mut(&upstream.service) {
             let is_new = upstream.version == progress.rollout().id.to;
-            progress.record_dispatch(short_name(route), is_new, is_fixed);
+            progress.record_dispatch(short_name(route), is_new, is_pinned);
         }
     }
 
     /// Notes that a request runs that can't be moved.
-    pub fn fix(&mut self, upstream: &Upstream) {
+    pub fn pin(&mut self, upstream: &Upstream) {
         *self.fixed.entry(version_of(upstream)).or_default() += 1;
     }
 
     /// Notes that such a request has ended.
-    pub fn unfix(&mut self, upstream: &Upstream) {
+    pub fn unpin(&mut self, upstream: &Upstream) {
         let version = version_of(upstream);
         if let Some(fixed) = self.fixed.get_mut(&version) {
             *fixed -= 1;
@@ -483,7 +483,7 @@
     (Arc::clone(&upstream.service), Arc::clone(&upstream.version))
 }
 
-fn fixed_at_old(fixed: &IndexMap<(Arc<str>, Arc<str>), u32>, service: &str, to: &str) -> u32 {
+fn pinned_at_old(fixed: &IndexMap<(Arc<str>, Arc<str>), u32>, service: &str, to: &str) -> u32 {
     let at_old = fixed
         .iter()
         .filter(|((of, version), _)| &**of == service && &**version != to);
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -377,15 +377,15 @@
 
     /// Notes that a request goes to an upstream.
     pub fn sent_to_version(&self, call: &Call, lease: &mut Lease) {
-        let is_fixed = !call.route.repeat.is_idempotent();
+        let is_pinned = !call.route.repeat.is_idempotent();
         let mut table = self.rollouts.borrow_mut();
         if !table.is_active() {
             return;
         }
-        table.record_dispatch(&lease.upstream, &call.route.name, is_fixed);
-        if is_fixed {
-            table.fix(&lease.upstream);
-            lease.is_fixed = true;
+        table.record_dispatch(&lease.upstream, &call.route.name, is_pinned);
+        if is_pinned {
+            table.pin(&lease.upstream);
+            lease.is_pinned = true;
         }
     }
 
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -137,7 +137,7 @@
     /// Whether the upstream's door granted the room.
     is_granted: bool,
     /// Whether it is counted as a request that can't be moved to another upstream.
-    pub is_fixed: bool,
+    pub is_pinned: bool,
     id: u64,
     since_ms: u64,
     /// When the request was sent there.
@@ -160,7 +160,7 @@
             ended: Ended::Left,
             kept_tokens,
             is_granted,
-            is_fixed: false,
+            is_pinned: false,
             id: traffic.next_id(),
             since_ms: traffic.now_ms(),
             sent_at_ms: Cell::new(traffic.now_ms()),
@@ -221,8 +221,8 @@
             held_ms,
             now_ms,
         );
-        if self.is_fixed {
-            self.traffic.rollouts.borrow_mut().unfix(&self.upstream);
+        if self.is_pinned {
+            self.traffic.rollouts.borrow_mut().unpin(&self.upstream);
         }
         if self.is_granted {
             let release = match self.ended {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -312,10 +312,10 @@
     // Guards against `completed` while a request runs at the old version that can't be moved.
     let mut table = ordered();
     prove(&mut table);
-    table.fix(&upstream(1, "v1"));
+    table.pin(&upstream(1, "v1"));
     table.step(&judge(&[]), 11_600);
     assert!(writes(&table.step(&judge(&[]), 12_500)).is_empty());
-    table.unfix(&upstream(1, "v1"));
+    table.unpin(&upstream(1, "v1"));
     assert_eq!(
         writes(&table.step(&judge(&[]), 12_600)),
         [RolloutStatus::Completed]
