--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -121,7 +121,7 @@
 
     /// Whether versions are told apart here.
     #[must_use]
-    pub fn is_active(&self) -> bool {
+    pub fn tracks_versions(&self) -> bool {
         self.allowance.is_some()
     }
 
@@ -190,7 +190,7 @@
         entries: usize,
         now_ms: u64,
     ) -> Vec<RolloutId> {
-        if !self.is_active() {
+        if !self.tracks_versions() {
             return Vec::new();
         }
         let mut new = Vec::new();
@@ -340,7 +340,7 @@
 
     /// Where requests may go now.
     pub fn placement(&mut self) -> Placement {
-        if !self.is_active() {
+        if !self.tracks_versions() {
             return Placement {
                 usable: self.upstreams.clone(),
                 trials: IndexSet::new(),
@@ -429,7 +429,7 @@
 
     /// Notes how a request ended at its upstream.
     pub fn record_run_outcome(&mut self, upstream: &Upstream, route: &str, came: RunEnd) {
-        if !self.is_active() {
+        if !self.tracks_versions() {
             return;
         }
         let route = short_name(route);
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -379,7 +379,7 @@
     pub fn sent_to_version(&self, call: &Call, lease: &mut Lease) {
         let is_pinned = !call.route.repeat.is_idempotent();
         let mut table = self.rollouts.borrow_mut();
-        if !table.is_active() {
+        if !table.tracks_versions() {
             return;
         }
         table.record_dispatch(&lease.upstream, &call.route.name, is_pinned);
