--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -127,7 +127,7 @@
 
     /// Whether an order is neither completed nor reverted.
     #[must_use]
-    pub fn is_busy(&self) -> bool {
+    pub fn has_open_rollouts(&self) -> bool {
         self.rollouts.values().any(|progress| !progress.is_over())
     }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -76,7 +76,7 @@
     due: DueStatuses,
 ) {
     loop {
-        let pause = if traffic.rollouts.borrow().is_busy() {
+        let pause = if traffic.rollouts.borrow().has_open_rollouts() {
             STEP
         } else {
             IDLE_STEP
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -448,7 +448,7 @@
     let mut again = rollout(30, RolloutStatus::Ordered);
     again.id.created = 30;
     table.apply_stored(&[again], 30, 1, 1_000);
-    assert!(table.is_busy());
+    assert!(table.has_open_rollouts());
 }
 
 #[test]
