--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -21,7 +21,7 @@
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
 use sardinewood::direct::rollout::progress::Progress;
-use sardinewood::direct::rollout::table::Placement;
+use sardinewood::direct::rollout::table::EligibleUpstreams;
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunEnd;
 use sardinewood::direct::view::directory::Upstream;
@@ -192,7 +192,7 @@
     table: RolloutTable,
     incarnation: u64,
     is_up: bool,
-    placement: Placement,
+    eligible: EligibleUpstreams,
 }
 
 /// One order in virtual time.
@@ -305,12 +305,12 @@
             let rollouts = [rollout.clone()];
             table.apply_stored(&rollouts, rollout.revision, self.setup.entries, self.now_ms);
         }
-        let placement = table.placement();
+        let eligible = table.eligible_upstreams();
         Entry {
             table,
             incarnation,
             is_up: true,
-            placement,
+            eligible,
         }
     }
 
@@ -384,7 +384,7 @@
             entry
                 .table
                 .apply_stored(&rollouts, rollout.revision, entries, self.now_ms);
-            entry.placement = entry.table.placement();
+            entry.eligible = entry.table.eligible_upstreams();
         }
     }
 
@@ -431,7 +431,7 @@
             }
             Next::Place => {
                 let entry = &mut self.entries[number];
-                entry.placement = entry.table.placement();
+                entry.eligible = entry.table.eligible_upstreams();
             }
             Next::Log(reason) => self.ended.reason = reason.name(),
         }
@@ -454,7 +454,7 @@
             .table
             .handle_message(address(from), message, entries, self.now_ms);
         if next.contains(&Next::Place) {
-            entry.placement = entry.table.placement();
+            entry.eligible = entry.table.eligible_upstreams();
         }
     }
 
@@ -598,13 +598,13 @@
     }
 
     fn choose(&mut self, number: usize, lane: Lane) -> Option<usize> {
-        let placement = &self.entries[number].placement;
+        let eligible = &self.entries[number].eligible;
         let fits = |upstream: &&Arc<Upstream>| {
-            let is_trial = placement.trials.contains(&upstream.instance);
+            let is_trial = eligible.canaries.contains(&upstream.instance);
             is_trial == (lane == Lane::Trial)
         };
-        let all: Vec<usize> = placement
-            .usable
+        let all: Vec<usize> = eligible
+            .upstreams
             .iter()
             .filter(fits)
             .filter_map(|upstream| usize::try_from(upstream.revision).ok())
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -36,11 +36,11 @@
 
 /// Where requests may go.
 #[derive(Clone, Debug, Default)]
-pub struct Placement {
+pub struct EligibleUpstreams {
     /// Upstreams that take requests.
-    pub usable: Vec<Arc<Upstream>>,
+    pub upstreams: Vec<Arc<Upstream>>,
     /// Instances of those among them that take only requests that judge their version.
-    pub trials: IndexSet<Arc<str>>,
+    pub canaries: IndexSet<Arc<str>>,
 }
 
 /// How a request ended at its upstream, as far as its version is judged by it.
@@ -339,14 +339,14 @@
     }
 
     /// Where requests may go now.
-    pub fn placement(&mut self) -> Placement {
+    pub fn eligible_upstreams(&mut self) -> EligibleUpstreams {
         if !self.tracks_versions() {
-            return Placement {
-                usable: self.upstreams.clone(),
-                trials: IndexSet::new(),
+            return EligibleUpstreams {
+                upstreams: self.upstreams.clone(),
+                canaries: IndexSet::new(),
             };
         }
-        let mut placement = Placement::default();
+        let mut placement = EligibleUpstreams::default();
         self.control.clear();
         let mut services: IndexMap<Arc<str>, Vec<Arc<Upstream>>> = IndexMap::new();
         for upstream in &self.upstreams {
@@ -373,14 +373,14 @@
             self.control
                 .extend(control.map(|up| short_name(&up.instance)));
             match rollout.map(Progress::phase) {
-                None | Some(Phase::Rejected) => placement.usable.extend(old),
-                Some(Phase::Shifting) => placement.usable.extend(new),
+                None | Some(Phase::Rejected) => placement.upstreams.extend(old),
+                Some(Phase::Shifting) => placement.upstreams.extend(new),
                 Some(Phase::Judging) => {
-                    placement.usable.extend(old);
+                    placement.upstreams.extend(old);
                     let loaded = rollout.map(|rollout| rollout.loaded(&new));
                     for upstream in loaded.unwrap_or_default() {
-                        placement.trials.insert(Arc::clone(&upstream.instance));
-                        placement.usable.push(Arc::clone(upstream));
+                        placement.canaries.insert(Arc::clone(&upstream.instance));
+                        placement.upstreams.push(Arc::clone(upstream));
                     }
                 }
             }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -325,24 +325,24 @@
     /// The list says that one leaves when the store has taken its word. While the store is away, an
     /// upstream would get requests until it ends, and end with them.
     pub fn place_versions(&self) {
-        let mut placement = self.rollouts.borrow_mut().placement();
+        let mut placement = self.rollouts.borrow_mut().eligible_upstreams();
         let notices = self.notices.borrow();
         placement
-            .usable
+            .upstreams
             .retain(|upstream| !notices.is_leaving(&upstream.instance));
         drop(notices);
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.set_upstreams(&placement.usable);
-        dispatcher.set_trials(&placement.trials);
+        dispatcher.set_upstreams(&placement.upstreams);
+        dispatcher.set_trials(&placement.canaries);
         drop(dispatcher);
         let slots = placement
-            .usable
+            .upstreams
             .iter()
             .map(|upstream| (Arc::clone(&upstream.instance), upstream.slots));
         let mut doors = self.doors.borrow_mut();
         doors.set_upstreams(slots);
         doors.set_plain(&plain_services(
-            &placement.usable,
+            &placement.upstreams,
             self.catalog.borrow().as_deref(),
         ));
         drop(doors);
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -81,14 +81,14 @@
 }
 
 fn versions_used(table: &mut RolloutTable) -> Vec<(Arc<str>, bool)> {
-    let placement = table.placement();
+    let placement = table.eligible_upstreams();
     let mut used: Vec<(Arc<str>, bool)> = placement
-        .usable
+        .upstreams
         .iter()
         .map(|up| {
             (
                 Arc::clone(&up.version),
-                placement.trials.contains(&up.instance),
+                placement.canaries.contains(&up.instance),
             )
         })
         .collect();
@@ -237,9 +237,9 @@
 fn placement_judging_one_upstream_on_trial() {
     // Guards against thin traces at many new upstreams, by which nothing under load is seen.
     let mut table = ordered();
-    let placement = table.placement();
-    assert_eq!(placement.trials.len(), 1);
-    assert_eq!(placement.usable.len(), 5);
+    let placement = table.eligible_upstreams();
+    assert_eq!(placement.canaries.len(), 1);
+    assert_eq!(placement.upstreams.len(), 5);
 }
 
 #[test]
