--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -366,7 +366,7 @@
     }
 
     /// Keeps the order from being shifted, or lets it go on.
-    pub fn hold(&mut self, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
+    pub fn set_hold(&mut self, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
         if is_on_hold == self.is_on_hold() {
             return Vec::new();
         }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -327,9 +327,9 @@
     }
 
     /// Keeps a service's order from being shifted, or lets it go on.
-    pub fn hold(&mut self, service: &str, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
+    pub fn set_hold(&mut self, service: &str, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
         let progress = self.rollouts.get_mut(service);
-        progress.map_or_else(Vec::new, |progress| progress.hold(is_on_hold, now_ms))
+        progress.map_or_else(Vec::new, |progress| progress.set_hold(is_on_hold, now_ms))
     }
 
     /// Gives a service's new version up.
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -235,8 +235,8 @@
         let now_ms = self.now_ms();
         let mut table = self.rollouts.borrow_mut();
         let all = match command {
-            Command::Hold => table.hold(service, true, now_ms),
-            Command::Resume => table.hold(service, false, now_ms),
+            Command::Hold => table.set_hold(service, true, now_ms),
+            Command::Resume => table.set_hold(service, false, now_ms),
             Command::Revert => table.reject(service, now_ms),
         };
         drop(table);
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -414,13 +414,13 @@
     // Guards against a shift that an operator has put off; it goes on when let.
     let mut table = ordered();
     prove(&mut table);
-    table.hold("pool", true, 100);
+    table.set_hold("pool", true, 100);
     table.step(&judge(&[]), 11_600);
     assert_eq!(
         table.progress("pool").map(Progress::phase),
         Some(Phase::Judging)
     );
-    table.hold("pool", false, 11_700);
+    table.set_hold("pool", false, 11_700);
     table.step(&judge(&[]), 11_750);
     assert_eq!(
         table.progress("pool").map(Progress::phase),
