--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -23,7 +23,7 @@
 use sardinewood::direct::rollout::progress::Progress;
 use sardinewood::direct::rollout::table::EligibleUpstreams;
 use sardinewood::direct::rollout::table::RolloutTable;
-use sardinewood::direct::rollout::table::RunEnd;
+use sardinewood::direct::rollout::table::RunOutcome;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::numbers;
 
@@ -639,10 +639,10 @@
             entry.table.unpin(upstream);
         }
         let came = if run.has_failed {
-            RunEnd::Failed
+            RunOutcome::Failed
         } else {
-            RunEnd::Answered {
-                part_ms: numbers::as_f64(self.now_ms - run.began_ms),
+            RunOutcome::Answered {
+                ms_per_event: numbers::as_f64(self.now_ms - run.began_ms),
             }
         };
         entry
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -30,7 +30,7 @@
 use crate::direct::request::no_answer::refuse;
 use crate::direct::request::no_answer::unknown;
 use crate::direct::request::relay::Relay;
-use crate::direct::rollout::table::RunEnd;
+use crate::direct::rollout::table::RunOutcome;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
@@ -229,7 +229,7 @@
     match timeout_at(until, connection.send(request)).await {
         Err(_) => {
             lease.ended = Ended::Failed;
-            traffic.run_ended_at_version(call, &lease, RunEnd::Failed);
+            traffic.run_ended_at_version(call, &lease, RunOutcome::Failed);
             log_attempt(traffic, call, &lease, "no answer from upstream in time");
             Attempt::TimeUp
         }
@@ -477,10 +477,10 @@
     };
     let held_ms = traffic.now_ms() - lease.since_ms();
     let came = if has_failed {
-        RunEnd::Failed
+        RunOutcome::Failed
     } else {
-        RunEnd::Answered {
-            part_ms: numbers::as_f64(lease.worked_ms()),
+        RunOutcome::Answered {
+            ms_per_event: numbers::as_f64(lease.worked_ms()),
         }
     };
     traffic.run_ended_at_version(call, &lease, came);
--- a/lib/src/direct/request/pace.rs
+++ b/lib/src/direct/request/pace.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use crate::direct::request::call::Call;
-use crate::direct::rollout::table::RunEnd;
+use crate::direct::rollout::table::RunOutcome;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 
@@ -41,10 +41,10 @@
             return;
         };
         let came = if self.events == 0 {
-            RunEnd::Untimed
+            RunOutcome::Untimed
         } else {
-            RunEnd::Answered {
-                part_ms: first.elapsed().as_secs_f64() * MS_PER_S / f64::from(self.events),
+            RunOutcome::Answered {
+                ms_per_event: first.elapsed().as_secs_f64() * MS_PER_S / f64::from(self.events),
             }
         };
         traffic.run_ended_at_version(call, lease, came);
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -45,7 +45,7 @@
 
 /// How a request ended at its upstream, as far as its version is judged by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// It failed.
     Failed,
     /// It was answered, and says nothing of speed.
@@ -53,7 +53,7 @@
     /// It was answered, and took so long for each part of the answer.
     Answered {
         /// Time for each part.
-        part_ms: f64,
+        ms_per_event: f64,
     },
 }
 
@@ -428,7 +428,7 @@
     }
 
     /// Notes how a request ended at its upstream.
-    pub fn record_run_outcome(&mut self, upstream: &Upstream, route: &str, came: RunEnd) {
+    pub fn record_run_outcome(&mut self, upstream: &Upstream, route: &str, came: RunOutcome) {
         if !self.tracks_versions() {
             return;
         }
@@ -441,14 +441,14 @@
             .is_some_and(|progress| progress.rollout().id.to == upstream.version);
         let usual = self.baselines.entry(route).or_default();
         let outcome = match came {
-            RunEnd::Failed => Outcome::Failed,
-            RunEnd::Untimed => Outcome::Untimed,
-            RunEnd::Answered { part_ms } => {
-                usual.times(part_ms).map_or(Outcome::Untimed, Outcome::took)
-            }
+            RunOutcome::Failed => Outcome::Failed,
+            RunOutcome::Untimed => Outcome::Untimed,
+            RunOutcome::Answered { ms_per_event } => usual
+                .times(ms_per_event)
+                .map_or(Outcome::Untimed, Outcome::took),
         };
-        if let (false, RunEnd::Answered { part_ms }) = (is_new, came) {
-            usual.observe(part_ms);
+        if let (false, RunOutcome::Answered { ms_per_event }) = (is_new, came) {
+            usual.observe(ms_per_event);
         }
         let is_control = self.control.contains(&name);
         match progress {
@@ -470,9 +470,9 @@
     }
 }
 
-fn remember(part: &mut Part, came: RunEnd) {
+fn remember(part: &mut Part, came: RunOutcome) {
     part.requests += 1;
-    part.spoiled += u32::from(came == RunEnd::Failed);
+    part.spoiled += u32::from(came == RunOutcome::Failed);
     if part.requests >= REMEMBERED {
         part.requests /= 2;
         part.spoiled /= 2;
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -29,7 +29,7 @@
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
 use crate::direct::rollout::progress::Progress;
-use crate::direct::rollout::table::RunEnd;
+use crate::direct::rollout::table::RunOutcome;
 use crate::direct::rollout::verdict::Part;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
@@ -390,7 +390,7 @@
     }
 
     /// Notes how a request ended at its upstream, or how fast its answer comes.
-    pub fn run_ended_at_version(&self, call: &Call, lease: &Lease, came: RunEnd) {
+    pub fn run_ended_at_version(&self, call: &Call, lease: &Lease, came: RunOutcome) {
         let mut table = self.rollouts.borrow_mut();
         table.record_run_outcome(&lease.upstream, &call.route.name, came);
     }
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -20,7 +20,7 @@
 use sardinewood::direct::rollout::progress::Progress;
 use sardinewood::direct::rollout::serving_versions::Versions;
 use sardinewood::direct::rollout::table::RolloutTable;
-use sardinewood::direct::rollout::table::RunEnd;
+use sardinewood::direct::rollout::table::RunOutcome;
 use sardinewood::direct::rollout::verdict::Evidence;
 use sardinewood::direct::rollout::verdict::Verdict;
 use sardinewood::direct::view::directory::Upstream;
@@ -275,7 +275,7 @@
 fn prove(table: &mut RolloutTable) {
     for up in both(4) {
         for _ in 0..20 {
-            table.record_run_outcome(&up, "a", RunEnd::Answered { part_ms: 20.0 });
+            table.record_run_outcome(&up, "a", RunOutcome::Answered { ms_per_event: 20.0 });
         }
     }
 }
@@ -471,7 +471,7 @@
     let mut table = ordered();
     for up in both(4) {
         for route in 0..10 {
-            table.record_run_outcome(&up, &format!("route-{route}"), RunEnd::Failed);
+            table.record_run_outcome(&up, &format!("route-{route}"), RunOutcome::Failed);
         }
     }
     let mut cells = 0;
@@ -493,7 +493,7 @@
         for route in 0..40 {
             let name = format!("route-{route}");
             assert_ne!(short_name(&name), 0);
-            table.record_run_outcome(&up, &name, RunEnd::Failed);
+            table.record_run_outcome(&up, &name, RunOutcome::Failed);
         }
     }
     let facts = Facts::default();
