--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -20,7 +20,7 @@
 use sardinewood::direct::rollout::progress::Facts;
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
-use sardinewood::direct::rollout::progress::Progress;
+use sardinewood::direct::rollout::progress::RolloutProgress;
 use sardinewood::direct::rollout::table::EligibleUpstreams;
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunOutcome;
@@ -424,7 +424,7 @@
             }
             Next::Write(status) => {
                 let rollout = self.entries[number].table.progress(SERVICE);
-                if let Some(rollout) = rollout.map(Progress::rollout).cloned() {
+                if let Some(rollout) = rollout.map(RolloutProgress::rollout).cloned() {
                     let event = Event::Write(number, Box::new(rollout), status);
                     self.at(self.now_ms + WRITE_MS, event);
                 }
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -116,7 +116,7 @@
 
 /// An order as one entry sees it.
 #[derive(Clone, Debug)]
-pub struct Progress {
+pub struct RolloutProgress {
     rollout: Rollout,
     allowance: Allowance,
     incarnation: u64,
@@ -151,7 +151,7 @@
     old_seen_ms: u64,
 }
 
-impl Progress {
+impl RolloutProgress {
     /// An order that this entry sees for the first time, so long after it was first seen anywhere.
     /// `before` is what came of requests by route until then.
     #[must_use]
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -18,7 +18,7 @@
 use crate::direct::rollout::progress::Facts;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
-use crate::direct::rollout::progress::Progress;
+use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::serving_versions::Versions;
 use crate::direct::rollout::verdict::Part;
 use crate::direct::view::directory::Upstream;
@@ -89,7 +89,7 @@
     allowance: Option<Allowance>,
     incarnation: u64,
     versions: Versions,
-    rollouts: IndexMap<Arc<str>, Progress>,
+    rollouts: IndexMap<Arc<str>, RolloutProgress>,
     withdrawn: IndexMap<RolloutId, u64>,
     upstreams: Vec<Arc<Upstream>>,
     /// Short names of the old upstreams that are counted.
@@ -139,7 +139,7 @@
 
     /// The order of a service.
     #[must_use]
-    pub fn progress(&self, service: &str) -> Option<&Progress> {
+    pub fn progress(&self, service: &str) -> Option<&RolloutProgress> {
         self.rollouts.get(service)
     }
 
@@ -202,7 +202,7 @@
         let gone: Vec<RolloutId> = self
             .rollouts
             .values()
-            .map(Progress::rollout)
+            .map(RolloutProgress::rollout)
             .filter(|known| known.revision < at)
             .filter(|known| rollouts.iter().all(|rollout| rollout.id != known.id))
             .map(|known| known.id.clone())
@@ -238,7 +238,7 @@
             Some(known) if known.rollout().revision >= rollout.revision => false,
             Some(_) | None => {
                 let service = Arc::clone(&rollout.id.service);
-                let progress = Progress::new(
+                let progress = RolloutProgress::new(
                     rollout.clone(),
                     allowance,
                     self.incarnation,
@@ -372,7 +372,7 @@
             let control = old.iter().take(CONTROL_UPSTREAMS);
             self.control
                 .extend(control.map(|up| short_name(&up.instance)));
-            match rollout.map(Progress::phase) {
+            match rollout.map(RolloutProgress::phase) {
                 None | Some(Phase::Rejected) => placement.upstreams.extend(old),
                 Some(Phase::Shifting) => placement.upstreams.extend(new),
                 Some(Phase::Judging) => {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -28,7 +28,7 @@
 use crate::direct::rollout::progress::Facts;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
-use crate::direct::rollout::progress::Progress;
+use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::rollout::verdict::Part;
 use crate::direct::traffic::Lease;
@@ -206,7 +206,7 @@
             }
             Some(Next::Write(status)) => {
                 let table = self.rollouts.borrow();
-                let rollout = table.progress(service).map(Progress::rollout);
+                let rollout = table.progress(service).map(RolloutProgress::rollout);
                 if let Some(rollout) = rollout
                     && due.send((rollout.clone(), status)).is_err()
                 {
@@ -257,7 +257,7 @@
     /// A service's order as logs name it.
     fn rollout_name(&self, service: &str) -> String {
         let table = self.rollouts.borrow();
-        let rollout = table.progress(service).map(Progress::rollout);
+        let rollout = table.progress(service).map(RolloutProgress::rollout);
         rollout.map_or_else(String::new, |rollout| rollout.id.to_string())
     }
 
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -17,7 +17,7 @@
 use sardinewood::direct::rollout::progress::Facts;
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
-use sardinewood::direct::rollout::progress::Progress;
+use sardinewood::direct::rollout::progress::RolloutProgress;
 use sardinewood::direct::rollout::serving_versions::Versions;
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunOutcome;
@@ -394,7 +394,7 @@
     table.reject("pool", 1_000);
     table.handle_message(other(), &RolloutMessage::State(state), 2, 1_100);
     assert_eq!(
-        table.progress("pool").map(Progress::phase),
+        table.progress("pool").map(RolloutProgress::phase),
         Some(Phase::Rejected)
     );
 }
@@ -417,13 +417,13 @@
     table.set_hold("pool", true, 100);
     table.step(&judge(&[]), 11_600);
     assert_eq!(
-        table.progress("pool").map(Progress::phase),
+        table.progress("pool").map(RolloutProgress::phase),
         Some(Phase::Judging)
     );
     table.set_hold("pool", false, 11_700);
     table.step(&judge(&[]), 11_750);
     assert_eq!(
-        table.progress("pool").map(Progress::phase),
+        table.progress("pool").map(RolloutProgress::phase),
         Some(Phase::Shifting)
     );
 }
@@ -460,7 +460,7 @@
     table.apply_stored(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
     table.reject("pool", 1_000);
     assert_eq!(
-        table.progress("app").map(Progress::phase),
+        table.progress("app").map(RolloutProgress::phase),
         Some(Phase::Judging)
     );
 }
