--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -17,7 +17,7 @@
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::RolloutStatus;
-use sardinewood::direct::rollout::progress::Facts;
+use sardinewood::direct::rollout::progress::FleetSnapshot;
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
 use sardinewood::direct::rollout::progress::RolloutProgress;
@@ -397,11 +397,11 @@
         let up: Vec<SocketAddr> = up.map(address).collect();
         let judging = judges(up.iter().copied());
         let own = address(number);
-        let facts = Facts {
-            rank: judging.iter().position(|judge| *judge == own),
-            heard: up.iter().copied().filter(|other| *other != own).collect(),
-            are_some_silent: up.len() < self.entries.len(),
-            ..Facts::default()
+        let facts = FleetSnapshot {
+            coordinator_rank: judging.iter().position(|judge| *judge == own),
+            live_peers: up.iter().copied().filter(|other| *other != own).collect(),
+            has_silent_peers: up.len() < self.entries.len(),
+            ..FleetSnapshot::default()
         };
         let all = self.entries[number].table.step(&facts, self.now_ms);
         for (_, next) in all {
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -67,13 +67,13 @@
 
 /// What an entry sees around it.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct FleetSnapshot {
     /// Its place among the judges, if it is one.
-    pub rank: Option<usize>,
+    pub coordinator_rank: Option<usize>,
     /// Other entries that are heard.
-    pub heard: Vec<SocketAddr>,
+    pub live_peers: Vec<SocketAddr>,
     /// Whether there are others that are not heard just now.
-    pub are_some_silent: bool,
+    pub has_silent_peers: bool,
     /// Upstreams of the new version that take requests.
     pub new_upstreams: usize,
     /// Their slots.
@@ -383,11 +383,11 @@
     }
 
     /// What the time that has passed and what is known ask for.
-    pub fn step(&mut self, facts: &Facts, now_ms: u64) -> Vec<Next> {
+    pub fn step(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<Next> {
         if self.is_over() {
             return self.repeat(facts, now_ms);
         }
-        if facts.rank.is_some() {
+        if facts.coordinator_rank.is_some() {
             self.judged_at_ms = now_ms;
         }
         let is_due = self.is_evidence_new && now_ms >= self.verdict_at_ms + VERDICT_MS;
@@ -418,7 +418,7 @@
         }
     }
 
-    fn decide(&mut self, facts: &Facts, now_ms: u64) -> Vec<Next> {
+    fn decide(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<Next> {
         let is_slow = self.seems_slow_for_too_long(now_ms);
         if self.phase != Phase::Rejected && (self.verdict.is_bad() || is_slow) {
             let reason = match self.verdict {
@@ -428,7 +428,7 @@
             };
             return self.change(Phase::Rejected, reason, now_ms);
         }
-        if self.phase != Phase::Judging || facts.rank.is_none() {
+        if self.phase != Phase::Judging || facts.coordinator_rank.is_none() {
             return Vec::new();
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
@@ -468,7 +468,7 @@
     }
 
     /// What the new version lacks to be given all requests.
-    fn lacks(&self, facts: &Facts) -> Option<Reason> {
+    fn lacks(&self, facts: &FleetSnapshot) -> Option<Reason> {
         let evidence = self.evidence();
         let is_tried = evidence.at_new().requests >= PROVEN_REQUESTS;
         let wanted = u64::from(facts.old_slots) * u64::from(SLOTS_PERCENT);
@@ -481,10 +481,10 @@
         }
     }
 
-    fn write(&mut self, facts: &Facts, now_ms: u64) -> Option<Next> {
-        let rank = facts.rank?;
+    fn write(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<Next> {
+        let coordinator_rank = facts.coordinator_rank?;
         let status = self.due_status(facts, now_ms)?;
-        let turn_ms = TURN_MS * rank as u64;
+        let turn_ms = TURN_MS * coordinator_rank as u64;
         let is_turn = now_ms >= self.entered_at_ms + turn_ms;
         let is_open = self
             .wrote_at_ms
@@ -496,7 +496,7 @@
         Some(Next::Write(status))
     }
 
-    fn due_status(&self, facts: &Facts, now_ms: u64) -> Option<RolloutStatus> {
+    fn due_status(&self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutStatus> {
         match self.phase {
             Phase::Judging if self.rollout.status == RolloutStatus::Ordered => {
                 Some(RolloutStatus::InProgress)
@@ -513,27 +513,27 @@
     ///
     /// Whether a version bears the whole load is seen only now, so the time that is left is given to
     /// that. An entry that is silent may still serve callers behind a cut, so the window is given to it.
-    fn has_run_out(&self, facts: &Facts, now_ms: u64) -> bool {
+    fn has_run_out(&self, facts: &FleetSnapshot, now_ms: u64) -> bool {
         let elapsed_ms = self.elapsed_ms(now_ms);
         let is_over = elapsed_ms >= self.rollout.window_ms;
         let is_seen = elapsed_ms + LAST_WRITE_MS >= self.rollout.window_ms;
         if !is_seen && self.reason != Reason::NothingToMove {
             return false;
         }
-        let all_done = facts.heard.iter().all(|entry| {
+        let all_done = facts.live_peers.iter().all(|entry| {
             let stage = self.stages.get(entry);
             stage.is_some_and(|stage| stage.is_shifted && stage.pinned_at_old == 0)
         });
-        facts.pinned_at_old == 0 && all_done && (is_over || !facts.are_some_silent)
+        facts.pinned_at_old == 0 && all_done && (is_over || !facts.has_silent_peers)
     }
 
     /// Lets other upstreams take the place of those that are judged.
-    fn turn(&mut self, facts: &Facts, now_ms: u64) -> Option<Next> {
+    fn turn(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<Next> {
         if self.phase != Phase::Judging {
             return None;
         }
         let window_ms = self.rollout.window_ms;
-        let is_due = facts.rank == Some(0) && self.is_turn_over(now_ms);
+        let is_due = facts.coordinator_rank == Some(0) && self.is_turn_over(now_ms);
         let turn = self.turn.saturating_add(u8::from(is_due));
         let mut has_turned = self.take_turn(turn, now_ms);
         if self.verdict == Verdict::SeemsSlow && self.spread < WIDE {
@@ -573,10 +573,11 @@
         has_turned
     }
 
-    fn repeat(&mut self, facts: &Facts, now_ms: u64) -> Vec<Next> {
+    fn repeat(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<Next> {
         let mut next = Vec::new();
-        let entries_ms = PER_ENTRY_MS * facts.heard.len() as u64;
-        if facts.rank.is_some() && now_ms >= self.state_at_ms + STATE_MS.max(entries_ms) {
+        let entries_ms = PER_ENTRY_MS * facts.live_peers.len() as u64;
+        if facts.coordinator_rank.is_some() && now_ms >= self.state_at_ms + STATE_MS.max(entries_ms)
+        {
             self.state_at_ms = now_ms;
             next.push(Next::Tell(self.state(now_ms)));
         }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -15,7 +15,7 @@
 use crate::direct::rollout::object::RolloutId;
 use crate::direct::rollout::outcome_counts::OTHERS;
 use crate::direct::rollout::outcome_counts::Outcome;
-use crate::direct::rollout::progress::Facts;
+use crate::direct::rollout::progress::FleetSnapshot;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
 use crate::direct::rollout::progress::RolloutProgress;
@@ -306,7 +306,7 @@
     }
 
     /// What the time that has passed asks for, by service. `around` is what is true of the entry.
-    pub fn step(&mut self, around: &Facts, now_ms: u64) -> Vec<(Arc<str>, Next)> {
+    pub fn step(&mut self, around: &FleetSnapshot, now_ms: u64) -> Vec<(Arc<str>, Next)> {
         let mut all = Vec::new();
         for (service, progress) in &mut self.rollouts {
             let to = &progress.rollout().id.to;
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -25,7 +25,7 @@
 use crate::direct::rollout::message::judges;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
-use crate::direct::rollout::progress::Facts;
+use crate::direct::rollout::progress::FleetSnapshot;
 use crate::direct::rollout::progress::Lane;
 use crate::direct::rollout::progress::Next;
 use crate::direct::rollout::progress::RolloutProgress;
@@ -170,11 +170,11 @@
         let judging = self.judges();
         let peers = self.peers.borrow();
         let own = peers.own();
-        let facts = Facts {
-            rank: judging.iter().position(|judge| *judge == own),
-            heard: peers.heard_now(now_ms),
-            are_some_silent: !peers.silent(now_ms).is_empty() || peers.unmet(now_ms) > 0,
-            ..Facts::default()
+        let facts = FleetSnapshot {
+            coordinator_rank: judging.iter().position(|judge| *judge == own),
+            live_peers: peers.heard_now(now_ms),
+            has_silent_peers: !peers.silent(now_ms).is_empty() || peers.unmet(now_ms) > 0,
+            ..FleetSnapshot::default()
         };
         drop(peers);
         let all = self.rollouts.borrow_mut().step(&facts, now_ms);
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -14,7 +14,7 @@
 use sardinewood::direct::rollout::object::RolloutStatus;
 use sardinewood::direct::rollout::outcome_counts::Cell;
 use sardinewood::direct::rollout::outcome_counts::Outcome;
-use sardinewood::direct::rollout::progress::Facts;
+use sardinewood::direct::rollout::progress::FleetSnapshot;
 use sardinewood::direct::rollout::progress::Lane;
 use sardinewood::direct::rollout::progress::Next;
 use sardinewood::direct::rollout::progress::RolloutProgress;
@@ -72,11 +72,11 @@
 }
 
 /// An entry that judges, with these others.
-fn judge(heard: &[SocketAddr]) -> Facts {
-    Facts {
-        rank: Some(0),
-        heard: heard.to_vec(),
-        ..Facts::default()
+fn judge(live_peers: &[SocketAddr]) -> FleetSnapshot {
+    FleetSnapshot {
+        coordinator_rank: Some(0),
+        live_peers: live_peers.to_vec(),
+        ..FleetSnapshot::default()
     }
 }
 
@@ -333,7 +333,7 @@
     let mut peer = ordered();
     let state = table.states(13_000).remove(0);
     peer.handle_message(other(), &RolloutMessage::State(state), 2, 13_000);
-    let told = peer.step(&Facts::default(), 13_010);
+    let told = peer.step(&FleetSnapshot::default(), 13_010);
     for (_, next) in told {
         if let Next::Report(report) = next {
             table.handle_message(other(), &RolloutMessage::Report(report), 2, 13_020);
@@ -476,7 +476,7 @@
     }
     let mut cells = 0;
     for number in 1..=10 {
-        for (_, next) in table.step(&Facts::default(), number * 200) {
+        for (_, next) in table.step(&FleetSnapshot::default(), number * 200) {
             if let Next::Report(report) = next {
                 cells = report.counts.len();
             }
@@ -496,7 +496,7 @@
             table.record_run_outcome(&up, &name, RunOutcome::Failed);
         }
     }
-    let facts = Facts::default();
+    let facts = FleetSnapshot::default();
     let reports = table.step(&facts, 200);
     let mut seen = 0;
     for (_, next) in reports {
