--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -19,7 +19,7 @@
 use sardinewood::direct::rollout::object::RolloutStatus;
 use sardinewood::direct::rollout::progress::FleetSnapshot;
 use sardinewood::direct::rollout::progress::Lane;
-use sardinewood::direct::rollout::progress::Next;
+use sardinewood::direct::rollout::progress::RolloutAction;
 use sardinewood::direct::rollout::progress::RolloutProgress;
 use sardinewood::direct::rollout::table::EligibleUpstreams;
 use sardinewood::direct::rollout::table::RolloutTable;
@@ -168,7 +168,7 @@
     Request,
     Ended(Box<Run>),
     Message(usize, usize, Box<RolloutMessage>),
-    Write(usize, Box<Rollout>, RolloutStatus),
+    WriteStatus(usize, Box<Rollout>, RolloutStatus),
     Step(usize),
     Rollout,
     Kill(usize),
@@ -341,7 +341,7 @@
             Event::Request => self.request(),
             Event::Ended(run) => self.run_ended(&run),
             Event::Message(to, from, message) => self.handle_message(to, from, &message),
-            Event::Write(entry, rollout, status) => self.write(entry, &rollout, status),
+            Event::WriteStatus(entry, rollout, status) => self.write(entry, &rollout, status),
             Event::Step(entry) => self.step(entry),
             Event::Rollout => self.give_order(),
             Event::Kill(entry) => {
@@ -409,31 +409,31 @@
         }
     }
 
-    fn carry_out(&mut self, number: usize, next: Next, judging: &[SocketAddr]) {
+    fn carry_out(&mut self, number: usize, next: RolloutAction, judging: &[SocketAddr]) {
         match next {
-            Next::Tell(state) => {
+            RolloutAction::Broadcast(state) => {
                 for other in 0..self.entries.len() {
                     self.send(number, other, RolloutMessage::State(state.clone()));
                 }
             }
-            Next::Report(report) => {
+            RolloutAction::Report(report) => {
                 for judge in judging {
                     let to = entry_address::number(*judge);
                     self.send(number, to, RolloutMessage::Report(report.clone()));
                 }
             }
-            Next::Write(status) => {
+            RolloutAction::WriteStatus(status) => {
                 let rollout = self.entries[number].table.progress(SERVICE);
                 if let Some(rollout) = rollout.map(RolloutProgress::rollout).cloned() {
-                    let event = Event::Write(number, Box::new(rollout), status);
+                    let event = Event::WriteStatus(number, Box::new(rollout), status);
                     self.at(self.now_ms + WRITE_MS, event);
                 }
             }
-            Next::Place => {
+            RolloutAction::UpdateEligibleUpstreams => {
                 let entry = &mut self.entries[number];
                 entry.eligible = entry.table.eligible_upstreams();
             }
-            Next::Log(reason) => self.ended.reason = reason.name(),
+            RolloutAction::Log(reason) => self.ended.reason = reason.name(),
         }
     }
 
@@ -453,7 +453,7 @@
         let next = entry
             .table
             .handle_message(address(from), message, entries, self.now_ms);
-        if next.contains(&Next::Place) {
+        if next.contains(&RolloutAction::UpdateEligibleUpstreams) {
             entry.eligible = entry.table.eligible_upstreams();
         }
     }
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -86,15 +86,15 @@
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RolloutAction {
     /// Tells all entries how far the order has come.
-    Tell(State),
+    Broadcast(State),
     /// Tells the judges what this entry has seen.
     Report(Report),
     /// Writes a status, if the order has not changed meanwhile.
-    Write(RolloutStatus),
+    WriteStatus(RolloutStatus),
     /// Sends requests elsewhere than before.
-    Place,
+    UpdateEligibleUpstreams,
     /// Says why the order has reached another phase.
     Log(Reason),
 }
@@ -331,7 +331,7 @@
     }
 
     /// Takes what another entry tells all.
-    pub fn hear_state(&mut self, state: &State, now_ms: u64) -> Vec<Next> {
+    pub fn hear_state(&mut self, state: &State, now_ms: u64) -> Vec<RolloutAction> {
         let began_ms = signed(now_ms) - signed(state.elapsed_ms);
         self.began_ms = self.began_ms.min(began_ms);
         self.judged_at_ms = now_ms;
@@ -344,11 +344,11 @@
         self.take_order(state.rollout.clone(), now_ms);
         let mut next = Vec::new();
         if self.rollout.status != status || has_turned {
-            next.push(Next::Place);
+            next.push(RolloutAction::UpdateEligibleUpstreams);
         }
         if state.phase > self.phase {
             self.enter(state.phase, state.reason, now_ms);
-            next.push(Next::Place);
+            next.push(RolloutAction::UpdateEligibleUpstreams);
         }
         next
     }
@@ -366,16 +366,16 @@
     }
 
     /// Keeps the order from being shifted, or lets it go on.
-    pub fn set_hold(&mut self, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
+    pub fn set_hold(&mut self, is_on_hold: bool, now_ms: u64) -> Vec<RolloutAction> {
         if is_on_hold == self.is_on_hold() {
             return Vec::new();
         }
         self.holds += 1;
-        vec![Next::Tell(self.state(now_ms))]
+        vec![RolloutAction::Broadcast(self.state(now_ms))]
     }
 
     /// Gives the new version up, as an operator wishes.
-    pub fn reject(&mut self, now_ms: u64) -> Vec<Next> {
+    pub fn reject(&mut self, now_ms: u64) -> Vec<RolloutAction> {
         if self.phase == Phase::Rejected || self.is_over() {
             return Vec::new();
         }
@@ -383,7 +383,7 @@
     }
 
     /// What the time that has passed and what is known ask for.
-    pub fn step(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<Next> {
+    pub fn step(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
         if self.is_over() {
             return self.repeat(facts, now_ms);
         }
@@ -418,7 +418,7 @@
         }
     }
 
-    fn decide(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<Next> {
+    fn decide(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
         let is_slow = self.seems_slow_for_too_long(now_ms);
         if self.phase != Phase::Rejected && (self.verdict.is_bad() || is_slow) {
             let reason = match self.verdict {
@@ -481,7 +481,7 @@
         }
     }
 
-    fn write(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<Next> {
+    fn write(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
         let coordinator_rank = facts.coordinator_rank?;
         let status = self.due_status(facts, now_ms)?;
         let turn_ms = TURN_MS * coordinator_rank as u64;
@@ -493,7 +493,7 @@
             return None;
         }
         self.wrote_at_ms = Some(now_ms);
-        Some(Next::Write(status))
+        Some(RolloutAction::WriteStatus(status))
     }
 
     fn due_status(&self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutStatus> {
@@ -528,7 +528,7 @@
     }
 
     /// Lets other upstreams take the place of those that are judged.
-    fn turn(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<Next> {
+    fn turn(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
         if self.phase != Phase::Judging {
             return None;
         }
@@ -557,7 +557,7 @@
             return None;
         }
         self.is_early = is_early;
-        Some(Next::Place)
+        Some(RolloutAction::UpdateEligibleUpstreams)
     }
 
     fn is_turn_over(&self, now_ms: u64) -> bool {
@@ -573,13 +573,13 @@
         has_turned
     }
 
-    fn repeat(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<Next> {
+    fn repeat(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
         let mut next = Vec::new();
         let entries_ms = PER_ENTRY_MS * facts.live_peers.len() as u64;
         if facts.coordinator_rank.is_some() && now_ms >= self.state_at_ms + STATE_MS.max(entries_ms)
         {
             self.state_at_ms = now_ms;
-            next.push(Next::Tell(self.state(now_ms)));
+            next.push(RolloutAction::Broadcast(self.state(now_ms)));
         }
         // The last that the old version waits for is told at once.
         let has_run_out = self.reported_fixed > 0 && facts.pinned_at_old == 0;
@@ -587,18 +587,18 @@
         if !self.is_over() && (is_due || has_run_out) {
             self.reported_fixed = facts.pinned_at_old;
             self.report_at_ms = now_ms;
-            next.push(Next::Report(self.report(facts.pinned_at_old)));
+            next.push(RolloutAction::Report(self.report(facts.pinned_at_old)));
         }
         next
     }
 
-    fn change(&mut self, phase: Phase, reason: Reason, now_ms: u64) -> Vec<Next> {
+    fn change(&mut self, phase: Phase, reason: Reason, now_ms: u64) -> Vec<RolloutAction> {
         self.enter(phase, reason, now_ms);
         self.state_at_ms = now_ms;
         vec![
-            Next::Place,
-            Next::Tell(self.state(now_ms)),
-            Next::Log(reason),
+            RolloutAction::UpdateEligibleUpstreams,
+            RolloutAction::Broadcast(self.state(now_ms)),
+            RolloutAction::Log(reason),
         ]
     }
 
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -17,7 +17,7 @@
 use crate::direct::rollout::outcome_counts::Outcome;
 use crate::direct::rollout::progress::FleetSnapshot;
 use crate::direct::rollout::progress::Lane;
-use crate::direct::rollout::progress::Next;
+use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::serving_versions::Versions;
 use crate::direct::rollout::verdict::Part;
@@ -276,7 +276,7 @@
         message: &RolloutMessage,
         entries: usize,
         now_ms: u64,
-    ) -> Vec<Next> {
+    ) -> Vec<RolloutAction> {
         match message {
             RolloutMessage::State(state) => {
                 let is_new = self.take_order(&state.rollout, entries, state.elapsed_ms, now_ms);
@@ -286,7 +286,7 @@
                     .map(|known| known.hear_state(state, now_ms))
                     .unwrap_or_default();
                 if is_new {
-                    next.push(Next::Place);
+                    next.push(RolloutAction::UpdateEligibleUpstreams);
                 }
                 self.update_versions();
                 next
@@ -300,13 +300,16 @@
             }
             RolloutMessage::Withdrawn { id, revision } => {
                 let is_known = self.withdraw(id, *revision);
-                is_known.then_some(Next::Place).into_iter().collect()
+                is_known
+                    .then_some(RolloutAction::UpdateEligibleUpstreams)
+                    .into_iter()
+                    .collect()
             }
         }
     }
 
     /// What the time that has passed asks for, by service. `around` is what is true of the entry.
-    pub fn step(&mut self, around: &FleetSnapshot, now_ms: u64) -> Vec<(Arc<str>, Next)> {
+    pub fn step(&mut self, around: &FleetSnapshot, now_ms: u64) -> Vec<(Arc<str>, RolloutAction)> {
         let mut all = Vec::new();
         for (service, progress) in &mut self.rollouts {
             let to = &progress.rollout().id.to;
@@ -327,13 +330,13 @@
     }
 
     /// Keeps a service's order from being shifted, or lets it go on.
-    pub fn set_hold(&mut self, service: &str, is_on_hold: bool, now_ms: u64) -> Vec<Next> {
+    pub fn set_hold(&mut self, service: &str, is_on_hold: bool, now_ms: u64) -> Vec<RolloutAction> {
         let progress = self.rollouts.get_mut(service);
         progress.map_or_else(Vec::new, |progress| progress.set_hold(is_on_hold, now_ms))
     }
 
     /// Gives a service's new version up.
-    pub fn reject(&mut self, service: &str, now_ms: u64) -> Vec<Next> {
+    pub fn reject(&mut self, service: &str, now_ms: u64) -> Vec<RolloutAction> {
         let progress = self.rollouts.get_mut(service);
         progress.map_or_else(Vec::new, |progress| progress.reject(now_ms))
     }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -27,7 +27,7 @@
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::progress::FleetSnapshot;
 use crate::direct::rollout::progress::Lane;
-use crate::direct::rollout::progress::Next;
+use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::rollout::verdict::Part;
@@ -144,7 +144,7 @@
             .rollouts
             .borrow_mut()
             .handle_message(from, message, entries, now_ms);
-        if next.contains(&Next::Place) {
+        if next.contains(&RolloutAction::UpdateEligibleUpstreams) {
             self.place_versions();
             self.rollouts_changed.notify_one();
         }
@@ -192,19 +192,19 @@
     fn carry_out_rollout(
         &self,
         service: &str,
-        next: Next,
+        next: RolloutAction,
         judging: &[SocketAddr],
         due: &DueStatuses,
     ) {
         match self.carry_out_here(service, next) {
-            Some(Next::Report(report)) => {
+            Some(RolloutAction::Report(report)) => {
                 let own = self.peers.borrow().own();
                 let message = Message::Rollout(RolloutMessage::Report(report));
                 for judge in judging.iter().filter(|judge| **judge != own) {
                     self.tell(*judge, &message);
                 }
             }
-            Some(Next::Write(status)) => {
+            Some(RolloutAction::WriteStatus(status)) => {
                 let table = self.rollouts.borrow();
                 let rollout = table.progress(service).map(RolloutProgress::rollout);
                 if let Some(rollout) = rollout
@@ -220,12 +220,12 @@
     }
 
     /// Carries out what needs neither the judges nor the store; what is left if it does.
-    fn carry_out_here(&self, service: &str, next: Next) -> Option<Next> {
+    fn carry_out_here(&self, service: &str, next: RolloutAction) -> Option<RolloutAction> {
         match next {
-            Next::Tell(state) => self.tell_all_rollout(RolloutMessage::State(state)),
-            Next::Place => self.place_versions(),
-            Next::Log(reason) => self.log_rollout(service, reason),
-            left @ (Next::Report(_) | Next::Write(_)) => return Some(left),
+            RolloutAction::Broadcast(state) => self.tell_all_rollout(RolloutMessage::State(state)),
+            RolloutAction::UpdateEligibleUpstreams => self.place_versions(),
+            RolloutAction::Log(reason) => self.log_rollout(service, reason),
+            left @ (RolloutAction::Report(_) | RolloutAction::WriteStatus(_)) => return Some(left),
         }
         None
     }
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -16,7 +16,7 @@
 use sardinewood::direct::rollout::outcome_counts::Outcome;
 use sardinewood::direct::rollout::progress::FleetSnapshot;
 use sardinewood::direct::rollout::progress::Lane;
-use sardinewood::direct::rollout::progress::Next;
+use sardinewood::direct::rollout::progress::RolloutAction;
 use sardinewood::direct::rollout::progress::RolloutProgress;
 use sardinewood::direct::rollout::serving_versions::Versions;
 use sardinewood::direct::rollout::table::RolloutTable;
@@ -280,9 +280,9 @@
     }
 }
 
-fn writes(all: &[(Arc<str>, Next)]) -> Vec<RolloutStatus> {
-    let status = |(_, next): &(Arc<str>, Next)| match next {
-        Next::Write(status) => Some(*status),
+fn writes(all: &[(Arc<str>, RolloutAction)]) -> Vec<RolloutStatus> {
+    let status = |(_, next): &(Arc<str>, RolloutAction)| match next {
+        RolloutAction::WriteStatus(status) => Some(*status),
         _ => None,
     };
     all.iter().filter_map(status).collect()
@@ -335,7 +335,7 @@
     peer.handle_message(other(), &RolloutMessage::State(state), 2, 13_000);
     let told = peer.step(&FleetSnapshot::default(), 13_010);
     for (_, next) in told {
-        if let Next::Report(report) = next {
+        if let RolloutAction::Report(report) = next {
             table.handle_message(other(), &RolloutMessage::Report(report), 2, 13_020);
         }
     }
@@ -354,7 +354,7 @@
     let all = table.step(&judge(&[]), 12_050);
     assert!(
         all.iter()
-            .any(|(_, next)| *next == Next::Log(Reason::TooFewUpstreams))
+            .any(|(_, next)| *next == RolloutAction::Log(Reason::TooFewUpstreams))
     );
     assert_eq!(writes(&all), [RolloutStatus::Reverted]);
 }
@@ -381,7 +381,7 @@
     let state = judging.states(1_000).remove(0);
     let mut table = ordered();
     let next = table.handle_message(other(), &RolloutMessage::State(state), 2, 1_000);
-    assert!(next.contains(&Next::Place));
+    assert!(next.contains(&RolloutAction::UpdateEligibleUpstreams));
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
 }
 
@@ -477,7 +477,7 @@
     let mut cells = 0;
     for number in 1..=10 {
         for (_, next) in table.step(&FleetSnapshot::default(), number * 200) {
-            if let Next::Report(report) = next {
+            if let RolloutAction::Report(report) = next {
                 cells = report.counts.len();
             }
         }
@@ -500,7 +500,7 @@
     let reports = table.step(&facts, 200);
     let mut seen = 0;
     for (_, next) in reports {
-        if let Next::Report(report) = next {
+        if let RolloutAction::Report(report) = next {
             seen += 1;
             let message = RolloutMessage::Report(report);
             let message = sardinewood::direct::membership::peer_message::Message::Rollout(message);
