--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -18,7 +18,7 @@
 use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::RolloutStatus;
 use sardinewood::direct::rollout::progress::FleetSnapshot;
-use sardinewood::direct::rollout::progress::Lane;
+use sardinewood::direct::rollout::progress::RequestTarget;
 use sardinewood::direct::rollout::progress::RolloutAction;
 use sardinewood::direct::rollout::progress::RolloutProgress;
 use sardinewood::direct::rollout::table::EligibleUpstreams;
@@ -527,14 +527,14 @@
         let is_pinned = route.is_multiple_of(3);
         let name = format!("r{route}");
         let random = self.rng.random();
-        let lane = self.entries[number].table.choose_target(
+        let target = self.entries[number].table.choose_target(
             SERVICE,
             &name,
             is_pinned,
             self.now_ms,
             random,
         );
-        let Some(upstream) = self.choose(number, lane) else {
+        let Some(upstream) = self.choose(number, target) else {
             return;
         };
         let entry = &mut self.entries[number];
@@ -597,11 +597,11 @@
         is_time && self.rng.random_bool(flaw.part)
     }
 
-    fn choose(&mut self, number: usize, lane: Lane) -> Option<usize> {
+    fn choose(&mut self, number: usize, target: RequestTarget) -> Option<usize> {
         let eligible = &self.entries[number].eligible;
         let fits = |upstream: &&Arc<Upstream>| {
             let is_trial = eligible.canaries.contains(&upstream.instance);
-            is_trial == (lane == Lane::Trial)
+            is_trial == (target == RequestTarget::Canary)
         };
         let all: Vec<usize> = eligible
             .upstreams
@@ -610,7 +610,8 @@
             .filter_map(|upstream| usize::try_from(upstream.revision).ok())
             .collect();
         if all.is_empty() {
-            return (lane == Lane::Trial).then(|| self.choose(number, Lane::Serving))?;
+            return (target == RequestTarget::Canary)
+                .then(|| self.choose(number, RequestTarget::Serving))?;
         }
         let drawn = (0..4).map(|_| all[self.rng.random_range(0..all.len())]);
         let drawn: Vec<usize> = drawn.collect();
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -101,11 +101,11 @@
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
+pub enum RequestTarget {
     /// To the upstreams that serve.
     Serving,
     /// To one of the new version, which is being judged.
-    Trial,
+    Canary,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -285,21 +285,27 @@
     }
 
     /// Where a route's next request goes. One that is fixed can't be moved once it runs.
-    pub fn choose_target(&mut self, route: u32, is_pinned: bool, now_ms: u64, random: f64) -> Lane {
+    pub fn choose_target(
+        &mut self,
+        route: u32,
+        is_pinned: bool,
+        now_ms: u64,
+        random: f64,
+    ) -> RequestTarget {
         let is_judged = now_ms < self.judged_at_ms + JUDGED_WITHIN_MS;
         if self.phase != Phase::Judging || self.is_over() || !is_judged {
-            return Lane::Serving;
+            return RequestTarget::Serving;
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
         let passed = numbers::as_f64(elapsed_ms) / numbers::as_f64(self.rollout.window_ms);
         let is_burst = self.spread > 1 || elapsed_ms % BURST_EVERY_MS < BURST_MS;
         if is_pinned && self.is_early {
-            return Lane::Trial;
+            return RequestTarget::Canary;
         }
         if is_burst && self.exposure.is_due(route, passed, random) {
-            return Lane::Trial;
+            return RequestTarget::Canary;
         }
-        Lane::Serving
+        RequestTarget::Serving
     }
 
     /// Notes that a request was sent to an upstream of the service.
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -16,7 +16,7 @@
 use crate::direct::rollout::outcome_counts::OTHERS;
 use crate::direct::rollout::outcome_counts::Outcome;
 use crate::direct::rollout::progress::FleetSnapshot;
-use crate::direct::rollout::progress::Lane;
+use crate::direct::rollout::progress::RequestTarget;
 use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::serving_versions::Versions;
@@ -399,9 +399,9 @@
         is_pinned: bool,
         now_ms: u64,
         random: f64,
-    ) -> Lane {
+    ) -> RequestTarget {
         let progress = self.rollouts.get_mut(service);
-        progress.map_or(Lane::Serving, |progress| {
+        progress.map_or(RequestTarget::Serving, |progress| {
             progress.choose_target(short_name(route), is_pinned, now_ms, random)
         })
     }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -26,7 +26,7 @@
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::progress::FleetSnapshot;
-use crate::direct::rollout::progress::Lane;
+use crate::direct::rollout::progress::RequestTarget;
 use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::table::RunOutcome;
@@ -352,14 +352,14 @@
     /// Waits for room for a request's first attempt, at an upstream of the version that is judged
     /// if it is the request's turn.
     pub async fn first_turn(self: &Rc<Self>, call: &Call) -> Turn {
-        let lane = self.rollouts.borrow_mut().choose_target(
+        let target = self.rollouts.borrow_mut().choose_target(
             &call.service,
             &call.route.name,
             !call.route.repeat.is_idempotent(),
             self.now_ms(),
             rand::random(),
         );
-        if lane == Lane::Trial {
+        if target == RequestTarget::Canary {
             let job = call.job();
             let trial = Job {
                 is_trial: true,
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -15,7 +15,7 @@
 use sardinewood::direct::rollout::outcome_counts::Cell;
 use sardinewood::direct::rollout::outcome_counts::Outcome;
 use sardinewood::direct::rollout::progress::FleetSnapshot;
-use sardinewood::direct::rollout::progress::Lane;
+use sardinewood::direct::rollout::progress::RequestTarget;
 use sardinewood::direct::rollout::progress::RolloutAction;
 use sardinewood::direct::rollout::progress::RolloutProgress;
 use sardinewood::direct::rollout::serving_versions::Versions;
@@ -265,7 +265,9 @@
     let mut table = ordered();
     let trials = |table: &mut RolloutTable, now_ms| {
         let lanes = (0..100).map(|_| table.choose_target("pool", "a", false, now_ms, 0.999));
-        lanes.filter(|lane| *lane == Lane::Trial).count()
+        lanes
+            .filter(|target| *target == RequestTarget::Canary)
+            .count()
     };
     assert!(trials(&mut table, 200) > 0);
     assert_eq!(trials(&mut table, 4_100), 0);
