--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -13,7 +13,7 @@
 use rand_distr::LogNormal;
 use sardinewood::direct::rollout::exposure::Allowance;
 use sardinewood::direct::rollout::message::RolloutMessage;
-use sardinewood::direct::rollout::message::judges;
+use sardinewood::direct::rollout::message::coordinators;
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::RolloutStatus;
@@ -395,21 +395,23 @@
         }
         let up = (0..self.entries.len()).filter(|other| self.entries[*other].is_up);
         let up: Vec<SocketAddr> = up.map(address).collect();
-        let judging = judges(up.iter().copied());
+        let coordinators = coordinators(up.iter().copied());
         let own = address(number);
         let facts = FleetSnapshot {
-            coordinator_rank: judging.iter().position(|judge| *judge == own),
+            coordinator_rank: coordinators
+                .iter()
+                .position(|coordinator| *coordinator == own),
             live_peers: up.iter().copied().filter(|other| *other != own).collect(),
             has_silent_peers: up.len() < self.entries.len(),
             ..FleetSnapshot::default()
         };
         let all = self.entries[number].table.step(&facts, self.now_ms);
         for (_, next) in all {
-            self.carry_out(number, next, &judging);
+            self.carry_out(number, next, &coordinators);
         }
     }
 
-    fn carry_out(&mut self, number: usize, next: RolloutAction, judging: &[SocketAddr]) {
+    fn carry_out(&mut self, number: usize, next: RolloutAction, coordinators: &[SocketAddr]) {
         match next {
             RolloutAction::Broadcast(state) => {
                 for other in 0..self.entries.len() {
@@ -417,8 +419,8 @@
                 }
             }
             RolloutAction::Report(report) => {
-                for judge in judging {
-                    let to = entry_address::number(*judge);
+                for coordinator in coordinators {
+                    let to = entry_address::number(*coordinator);
                     self.send(number, to, RolloutMessage::Report(report.clone()));
                 }
             }
--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -12,7 +12,7 @@
 
 /// Entries that collect what all others have seen, and write to the store. One would do; the others
 /// are there for the case that it is killed or cut off.
-pub const JUDGES: usize = 3;
+pub const COORDINATORS: usize = 3;
 /// Cells in one report. One takes 18 bytes at most, so that a report fits into a datagram.
 const MAX_CELLS: usize = 60;
 /// Reports that tell a count after it has changed, since some are lost, and counts beyond these in
@@ -156,16 +156,16 @@
 /// The entries that judge: the first of those that are heard, in an order that all agree on.
 ///
 /// ```
-/// use sardinewood::direct::rollout::message::judges;
+/// use sardinewood::direct::rollout::message::coordinators;
 ///
 /// let entries = [4, 2, 3, 1].map(|last| format!("10.0.0.{last}:7").parse().unwrap());
-/// assert_eq!(judges(entries)[0], "10.0.0.1:7".parse().unwrap());
+/// assert_eq!(coordinators(entries)[0], "10.0.0.1:7".parse().unwrap());
 /// ```
 #[must_use]
-pub fn judges(entries: impl IntoIterator<Item = SocketAddr>) -> Vec<SocketAddr> {
+pub fn coordinators(entries: impl IntoIterator<Item = SocketAddr>) -> Vec<SocketAddr> {
     let mut all: Vec<SocketAddr> = entries.into_iter().collect();
     all.sort_unstable();
-    all.truncate(JUDGES);
+    all.truncate(COORDINATORS);
     all
 }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -22,7 +22,7 @@
 use crate::direct::request::call::Call;
 use crate::direct::rollout::message::Reason;
 use crate::direct::rollout::message::RolloutMessage;
-use crate::direct::rollout::message::judges;
+use crate::direct::rollout::message::coordinators;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::progress::FleetSnapshot;
@@ -167,11 +167,13 @@
             return;
         }
         let now_ms = self.now_ms();
-        let judging = self.judges();
+        let coordinators = self.coordinators();
         let peers = self.peers.borrow();
         let own = peers.own();
         let facts = FleetSnapshot {
-            coordinator_rank: judging.iter().position(|judge| *judge == own),
+            coordinator_rank: coordinators
+                .iter()
+                .position(|coordinator| *coordinator == own),
             live_peers: peers.heard_now(now_ms),
             has_silent_peers: !peers.silent(now_ms).is_empty() || peers.unmet(now_ms) > 0,
             ..FleetSnapshot::default()
@@ -179,29 +181,32 @@
         drop(peers);
         let all = self.rollouts.borrow_mut().step(&facts, now_ms);
         for (service, next) in all {
-            self.carry_out_rollout(&service, next, &judging, due);
+            self.carry_out_rollout(&service, next, &coordinators, due);
         }
     }
 
     /// The entries that judge, this one perhaps among them.
-    fn judges(&self) -> Vec<SocketAddr> {
+    fn coordinators(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
-        judges(peers.owners(self.is_stopping.get(), self.now_ms()))
+        coordinators(peers.owners(self.is_stopping.get(), self.now_ms()))
     }
 
     fn carry_out_rollout(
         &self,
         service: &str,
         next: RolloutAction,
-        judging: &[SocketAddr],
+        coordinators: &[SocketAddr],
         due: &DueStatuses,
     ) {
         match self.carry_out_here(service, next) {
             Some(RolloutAction::Report(report)) => {
                 let own = self.peers.borrow().own();
                 let message = Message::Rollout(RolloutMessage::Report(report));
-                for judge in judging.iter().filter(|judge| **judge != own) {
-                    self.tell(*judge, &message);
+                for coordinator in coordinators
+                    .iter()
+                    .filter(|coordinator| **coordinator != own)
+                {
+                    self.tell(*coordinator, &message);
                 }
             }
             Some(RolloutAction::WriteStatus(status)) => {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -72,7 +72,7 @@
 }
 
 /// An entry that judges, with these others.
-fn judge(live_peers: &[SocketAddr]) -> FleetSnapshot {
+fn coordinator(live_peers: &[SocketAddr]) -> FleetSnapshot {
     FleetSnapshot {
         coordinator_rank: Some(0),
         live_peers: live_peers.to_vec(),
@@ -296,15 +296,15 @@
     let mut table = ordered();
     prove(&mut table);
     assert_eq!(
-        writes(&table.step(&judge(&[]), 50)),
+        writes(&table.step(&coordinator(&[]), 50)),
         [RolloutStatus::InProgress]
     );
     table.apply_stored(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
-    assert!(writes(&table.step(&judge(&[]), 11_000)).is_empty());
-    table.step(&judge(&[]), 11_600);
+    assert!(writes(&table.step(&coordinator(&[]), 11_000)).is_empty());
+    table.step(&coordinator(&[]), 11_600);
     assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
     assert_eq!(
-        writes(&table.step(&judge(&[]), 11_850)),
+        writes(&table.step(&coordinator(&[]), 11_850)),
         [RolloutStatus::Completed]
     );
 }
@@ -315,11 +315,11 @@
     let mut table = ordered();
     prove(&mut table);
     table.pin(&upstream(1, "v1"));
-    table.step(&judge(&[]), 11_600);
-    assert!(writes(&table.step(&judge(&[]), 12_500)).is_empty());
+    table.step(&coordinator(&[]), 11_600);
+    assert!(writes(&table.step(&coordinator(&[]), 12_500)).is_empty());
     table.unpin(&upstream(1, "v1"));
     assert_eq!(
-        writes(&table.step(&judge(&[]), 12_600)),
+        writes(&table.step(&coordinator(&[]), 12_600)),
         [RolloutStatus::Completed]
     );
 }
@@ -329,7 +329,7 @@
     // Guards against `completed` while another entry still sends the old version requests.
     let mut table = ordered();
     prove(&mut table);
-    let facts = judge(&[other()]);
+    let facts = coordinator(&[other()]);
     table.step(&facts, 11_600);
     assert!(writes(&table.step(&facts, 13_000)).is_empty());
     let mut peer = ordered();
@@ -353,7 +353,7 @@
     let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
     table.set_upstreams(&both(4)[..4]);
     table.apply_stored(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
-    let all = table.step(&judge(&[]), 12_050);
+    let all = table.step(&coordinator(&[]), 12_050);
     assert!(
         all.iter()
             .any(|(_, next)| *next == RolloutAction::Log(Reason::TooFewUpstreams))
@@ -368,9 +368,9 @@
     let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
     table.set_upstreams(&both(4)[4..]);
     table.apply_stored(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
-    assert!(writes(&table.step(&judge(&[]), 2_000)).is_empty());
+    assert!(writes(&table.step(&coordinator(&[]), 2_000)).is_empty());
     assert_eq!(
-        writes(&table.step(&judge(&[]), 3_100)),
+        writes(&table.step(&coordinator(&[]), 3_100)),
         [RolloutStatus::Completed]
     );
 }
@@ -407,7 +407,7 @@
     let mut table = ordered();
     table.reject("pool", 1_000);
     table.apply_stored(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
-    assert!(writes(&table.step(&judge(&[]), 1_200)).is_empty());
+    assert!(writes(&table.step(&coordinator(&[]), 1_200)).is_empty());
     assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
 }
 
@@ -417,13 +417,13 @@
     let mut table = ordered();
     prove(&mut table);
     table.set_hold("pool", true, 100);
-    table.step(&judge(&[]), 11_600);
+    table.step(&coordinator(&[]), 11_600);
     assert_eq!(
         table.progress("pool").map(RolloutProgress::phase),
         Some(Phase::Judging)
     );
     table.set_hold("pool", false, 11_700);
-    table.step(&judge(&[]), 11_750);
+    table.step(&coordinator(&[]), 11_750);
     assert_eq!(
         table.progress("pool").map(RolloutProgress::phase),
         Some(Phase::Shifting)
