--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -22,7 +22,7 @@
 
 /// How far an order has come among the entries. A later one is never taken back by an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Phase {
+pub enum RolloutPhase {
     /// A small part of the requests goes to the new version.
     Judging,
     /// All go there, and the old version runs out.
@@ -84,7 +84,7 @@
     /// Time since it was first seen.
     pub elapsed_ms: u64,
     /// How far it has come.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// Why.
     pub reason: Reason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -7,9 +7,9 @@
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::exposure::Exposure;
 use crate::direct::rollout::message::NextCounts;
-use crate::direct::rollout::message::Phase;
 use crate::direct::rollout::message::Reason;
 use crate::direct::rollout::message::Report;
+use crate::direct::rollout::message::RolloutPhase;
 use crate::direct::rollout::message::State;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
@@ -122,7 +122,7 @@
     incarnation: u64,
     /// When the order was first seen anywhere, by this entry's clock; it may lie before its start.
     began_ms: i64,
-    phase: Phase,
+    phase: RolloutPhase,
     reason: Reason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
     holds: u32,
@@ -180,7 +180,7 @@
             allowance,
             incarnation,
             began_ms: signed(now_ms) - signed(elapsed_ms),
-            phase: Phase::Judging,
+            phase: RolloutPhase::Judging,
             reason: Reason::Begun,
             holds: 0,
             exposure: Exposure::new(allowance, first),
@@ -214,7 +214,7 @@
 
     /// How far it has come among the entries.
     #[must_use]
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> RolloutPhase {
         self.phase
     }
 
@@ -293,7 +293,7 @@
         random: f64,
     ) -> RequestTarget {
         let is_judged = now_ms < self.judged_at_ms + JUDGED_WITHIN_MS;
-        if self.phase != Phase::Judging || self.is_over() || !is_judged {
+        if self.phase != RolloutPhase::Judging || self.is_over() || !is_judged {
             return RequestTarget::Serving;
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
@@ -382,10 +382,10 @@
 
     /// Gives the new version up, as an operator wishes.
     pub fn reject(&mut self, now_ms: u64) -> Vec<RolloutAction> {
-        if self.phase == Phase::Rejected || self.is_over() {
+        if self.phase == RolloutPhase::Rejected || self.is_over() {
             return Vec::new();
         }
-        self.change(Phase::Rejected, Reason::Operator, now_ms)
+        self.change(RolloutPhase::Rejected, Reason::Operator, now_ms)
     }
 
     /// What the time that has passed and what is known ask for.
@@ -397,7 +397,7 @@
             self.judged_at_ms = now_ms;
         }
         let is_due = self.is_evidence_new && now_ms >= self.verdict_at_ms + VERDICT_MS;
-        if is_due && self.phase != Phase::Rejected {
+        if is_due && self.phase != RolloutPhase::Rejected {
             self.is_evidence_new = false;
             self.verdict_at_ms = now_ms;
             self.verdict = self.judge(facts.new_upstreams);
@@ -426,15 +426,15 @@
 
     fn decide(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
         let is_slow = self.seems_slow_for_too_long(now_ms);
-        if self.phase != Phase::Rejected && (self.verdict.is_bad() || is_slow) {
+        if self.phase != RolloutPhase::Rejected && (self.verdict.is_bad() || is_slow) {
             let reason = match self.verdict {
                 Verdict::Failing => Reason::Failing,
                 Verdict::PartlySlow => Reason::PartlySlow,
                 _ => Reason::Slow,
             };
-            return self.change(Phase::Rejected, reason, now_ms);
+            return self.change(RolloutPhase::Rejected, reason, now_ms);
         }
-        if self.phase != Phase::Judging || facts.coordinator_rank.is_none() {
+        if self.phase != RolloutPhase::Judging || facts.coordinator_rank.is_none() {
             return Vec::new();
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
@@ -443,7 +443,7 @@
             self.old_seen_ms = now_ms;
         }
         if facts.new_slots > 0 && now_ms >= self.old_seen_ms + NO_OLD_MS {
-            return self.change(Phase::Shifting, Reason::NothingToMove, now_ms);
+            return self.change(RolloutPhase::Shifting, Reason::NothingToMove, now_ms);
         }
         if elapsed_ms + self.allowance.shift_ms(window_ms) < window_ms {
             return Vec::new();
@@ -452,12 +452,12 @@
         let lacks = self.lacks(facts);
         match lacks {
             None if self.is_on_hold() || self.verdict != Verdict::Clean => {}
-            None => return self.change(Phase::Shifting, Reason::Clean, now_ms),
+            None => return self.change(RolloutPhase::Shifting, Reason::Clean, now_ms),
             Some(_) => {}
         }
         if is_over && !self.is_on_hold() {
             let reason = lacks.unwrap_or(Reason::NotProven);
-            return self.change(Phase::Rejected, reason, now_ms);
+            return self.change(RolloutPhase::Rejected, reason, now_ms);
         }
         Vec::new()
     }
@@ -504,14 +504,14 @@
 
     fn due_status(&self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutStatus> {
         match self.phase {
-            Phase::Judging if self.rollout.status == RolloutStatus::Ordered => {
+            RolloutPhase::Judging if self.rollout.status == RolloutStatus::Ordered => {
                 Some(RolloutStatus::InProgress)
             }
-            Phase::Judging => None,
-            Phase::Shifting => self
+            RolloutPhase::Judging => None,
+            RolloutPhase::Shifting => self
                 .has_run_out(facts, now_ms)
                 .then_some(RolloutStatus::Completed),
-            Phase::Rejected => Some(RolloutStatus::Reverted),
+            RolloutPhase::Rejected => Some(RolloutStatus::Reverted),
         }
     }
 
@@ -535,7 +535,7 @@
 
     /// Lets other upstreams take the place of those that are judged.
     fn turn(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
-        if self.phase != Phase::Judging {
+        if self.phase != RolloutPhase::Judging {
             return None;
         }
         let window_ms = self.rollout.window_ms;
@@ -598,7 +598,7 @@
         next
     }
 
-    fn change(&mut self, phase: Phase, reason: Reason, now_ms: u64) -> Vec<RolloutAction> {
+    fn change(&mut self, phase: RolloutPhase, reason: Reason, now_ms: u64) -> Vec<RolloutAction> {
         self.enter(phase, reason, now_ms);
         self.state_at_ms = now_ms;
         vec![
@@ -608,7 +608,7 @@
         ]
     }
 
-    fn enter(&mut self, phase: Phase, reason: Reason, now_ms: u64) {
+    fn enter(&mut self, phase: RolloutPhase, reason: Reason, now_ms: u64) {
         self.phase = phase;
         self.reason = reason;
         self.entered_at_ms = now_ms;
@@ -634,7 +634,7 @@
         Report {
             id: self.rollout.id.clone(),
             incarnation: self.incarnation,
-            is_shifted: self.phase == Phase::Shifting,
+            is_shifted: self.phase == RolloutPhase::Shifting,
             pinned_at_old,
             counts: self.next_counts.next(&self.own),
         }
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -8,8 +8,8 @@
 
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::rollout::exposure::Allowance;
-use crate::direct::rollout::message::Phase;
 use crate::direct::rollout::message::RolloutMessage;
+use crate::direct::rollout::message::RolloutPhase;
 use crate::direct::rollout::message::State;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutId;
@@ -376,9 +376,9 @@
             self.control
                 .extend(control.map(|up| short_name(&up.instance)));
             match rollout.map(RolloutProgress::phase) {
-                None | Some(Phase::Rejected) => placement.upstreams.extend(old),
-                Some(Phase::Shifting) => placement.upstreams.extend(new),
-                Some(Phase::Judging) => {
+                None | Some(RolloutPhase::Rejected) => placement.upstreams.extend(old),
+                Some(RolloutPhase::Shifting) => placement.upstreams.extend(new),
+                Some(RolloutPhase::Judging) => {
                     placement.upstreams.extend(old);
                     let loaded = rollout.map(|rollout| rollout.loaded(&new));
                     for upstream in loaded.unwrap_or_default() {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -6,9 +6,9 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::rollout::exposure::Allowance;
 use sardinewood::direct::rollout::exposure::Exposure;
-use sardinewood::direct::rollout::message::Phase;
 use sardinewood::direct::rollout::message::Reason;
 use sardinewood::direct::rollout::message::RolloutMessage;
+use sardinewood::direct::rollout::message::RolloutPhase;
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::RolloutStatus;
@@ -392,12 +392,12 @@
     // Guards against a late or repeated message that brings a bad version back.
     let mut table = ordered();
     let mut state = table.states(0).remove(0);
-    state.phase = Phase::Shifting;
+    state.phase = RolloutPhase::Shifting;
     table.reject("pool", 1_000);
     table.handle_message(other(), &RolloutMessage::State(state), 2, 1_100);
     assert_eq!(
         table.progress("pool").map(RolloutProgress::phase),
-        Some(Phase::Rejected)
+        Some(RolloutPhase::Rejected)
     );
 }
 
@@ -420,13 +420,13 @@
     table.step(&coordinator(&[]), 11_600);
     assert_eq!(
         table.progress("pool").map(RolloutProgress::phase),
-        Some(Phase::Judging)
+        Some(RolloutPhase::Judging)
     );
     table.set_hold("pool", false, 11_700);
     table.step(&coordinator(&[]), 11_750);
     assert_eq!(
         table.progress("pool").map(RolloutProgress::phase),
-        Some(Phase::Shifting)
+        Some(RolloutPhase::Shifting)
     );
 }
 
@@ -463,7 +463,7 @@
     table.reject("pool", 1_000);
     assert_eq!(
         table.progress("app").map(RolloutProgress::phase),
-        Some(Phase::Judging)
+        Some(RolloutPhase::Judging)
     );
 }
 
