--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -33,7 +33,7 @@
 
 /// Why an order has left a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum DecisionReason {
     /// It has not.
     Begun,
     /// The evidence is clean, and its time has come.
@@ -54,11 +54,11 @@
     Operator,
 }
 
-impl Reason {
+impl DecisionReason {
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::message::Reason::Slow.name(), "all requests are slow");
+    /// assert_eq!(sardinewood::direct::rollout::message::DecisionReason::Slow.name(), "all requests are slow");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -86,7 +86,7 @@
     /// How far it has come.
     pub phase: RolloutPhase,
     /// Why.
-    pub reason: Reason,
+    pub reason: DecisionReason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
     pub holds: u32,
     /// Upstreams of the new version that take requests at the same time; only grows.
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -6,8 +6,8 @@
 
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::exposure::Exposure;
+use crate::direct::rollout::message::DecisionReason;
 use crate::direct::rollout::message::NextCounts;
-use crate::direct::rollout::message::Reason;
 use crate::direct::rollout::message::Report;
 use crate::direct::rollout::message::RolloutPhase;
 use crate::direct::rollout::message::State;
@@ -96,7 +96,7 @@
     /// Sends requests elsewhere than before.
     UpdateEligibleUpstreams,
     /// Says why the order has reached another phase.
-    Log(Reason),
+    Log(DecisionReason),
 }
 
 /// Where a request goes.
@@ -123,7 +123,7 @@
     /// When the order was first seen anywhere, by this entry's clock; it may lie before its start.
     began_ms: i64,
     phase: RolloutPhase,
-    reason: Reason,
+    reason: DecisionReason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
     holds: u32,
     exposure: Exposure,
@@ -181,7 +181,7 @@
             incarnation,
             began_ms: signed(now_ms) - signed(elapsed_ms),
             phase: RolloutPhase::Judging,
-            reason: Reason::Begun,
+            reason: DecisionReason::Begun,
             holds: 0,
             exposure: Exposure::new(allowance, first),
             own,
@@ -226,7 +226,7 @@
 
     /// Why it has reached its phase.
     #[must_use]
-    pub fn reason(&self) -> Reason {
+    pub fn reason(&self) -> DecisionReason {
         self.reason
     }
 
@@ -385,7 +385,7 @@
         if self.phase == RolloutPhase::Rejected || self.is_over() {
             return Vec::new();
         }
-        self.change(RolloutPhase::Rejected, Reason::Operator, now_ms)
+        self.change(RolloutPhase::Rejected, DecisionReason::Operator, now_ms)
     }
 
     /// What the time that has passed and what is known ask for.
@@ -428,9 +428,9 @@
         let is_slow = self.seems_slow_for_too_long(now_ms);
         if self.phase != RolloutPhase::Rejected && (self.verdict.is_bad() || is_slow) {
             let reason = match self.verdict {
-                Verdict::Failing => Reason::Failing,
-                Verdict::PartlySlow => Reason::PartlySlow,
-                _ => Reason::Slow,
+                Verdict::Failing => DecisionReason::Failing,
+                Verdict::PartlySlow => DecisionReason::PartlySlow,
+                _ => DecisionReason::Slow,
             };
             return self.change(RolloutPhase::Rejected, reason, now_ms);
         }
@@ -443,7 +443,11 @@
             self.old_seen_ms = now_ms;
         }
         if facts.new_slots > 0 && now_ms >= self.old_seen_ms + NO_OLD_MS {
-            return self.change(RolloutPhase::Shifting, Reason::NothingToMove, now_ms);
+            return self.change(
+                RolloutPhase::Shifting,
+                DecisionReason::NothingToMove,
+                now_ms,
+            );
         }
         if elapsed_ms + self.allowance.shift_ms(window_ms) < window_ms {
             return Vec::new();
@@ -452,11 +456,11 @@
         let lacks = self.lacks(facts);
         match lacks {
             None if self.is_on_hold() || self.verdict != Verdict::Clean => {}
-            None => return self.change(RolloutPhase::Shifting, Reason::Clean, now_ms),
+            None => return self.change(RolloutPhase::Shifting, DecisionReason::Clean, now_ms),
             Some(_) => {}
         }
         if is_over && !self.is_on_hold() {
-            let reason = lacks.unwrap_or(Reason::NotProven);
+            let reason = lacks.unwrap_or(DecisionReason::NotProven);
             return self.change(RolloutPhase::Rejected, reason, now_ms);
         }
         Vec::new()
@@ -474,14 +478,14 @@
     }
 
     /// What the new version lacks to be given all requests.
-    fn lacks(&self, facts: &FleetSnapshot) -> Option<Reason> {
+    fn lacks(&self, facts: &FleetSnapshot) -> Option<DecisionReason> {
         let evidence = self.evidence();
         let is_tried = evidence.at_new().requests >= PROVEN_REQUESTS;
         let wanted = u64::from(facts.old_slots) * u64::from(SLOTS_PERCENT);
         if u64::from(facts.new_slots) * 100 < wanted {
-            Some(Reason::TooFewUpstreams)
+            Some(DecisionReason::TooFewUpstreams)
         } else if !is_tried {
-            Some(Reason::NotProven)
+            Some(DecisionReason::NotProven)
         } else {
             None
         }
@@ -523,7 +527,7 @@
         let elapsed_ms = self.elapsed_ms(now_ms);
         let is_over = elapsed_ms >= self.rollout.window_ms;
         let is_seen = elapsed_ms + LAST_WRITE_MS >= self.rollout.window_ms;
-        if !is_seen && self.reason != Reason::NothingToMove {
+        if !is_seen && self.reason != DecisionReason::NothingToMove {
             return false;
         }
         let all_done = facts.live_peers.iter().all(|entry| {
@@ -598,7 +602,12 @@
         next
     }
 
-    fn change(&mut self, phase: RolloutPhase, reason: Reason, now_ms: u64) -> Vec<RolloutAction> {
+    fn change(
+        &mut self,
+        phase: RolloutPhase,
+        reason: DecisionReason,
+        now_ms: u64,
+    ) -> Vec<RolloutAction> {
         self.enter(phase, reason, now_ms);
         self.state_at_ms = now_ms;
         vec![
@@ -608,7 +617,7 @@
         ]
     }
 
-    fn enter(&mut self, phase: RolloutPhase, reason: Reason, now_ms: u64) {
+    fn enter(&mut self, phase: RolloutPhase, reason: DecisionReason, now_ms: u64) {
         self.phase = phase;
         self.reason = reason;
         self.entered_at_ms = now_ms;
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -20,7 +20,7 @@
 use crate::direct::placement::job::Job;
 use crate::direct::replication::rollout_follower::OrderView;
 use crate::direct::request::call::Call;
-use crate::direct::rollout::message::Reason;
+use crate::direct::rollout::message::DecisionReason;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::coordinators;
 use crate::direct::rollout::object::Rollout;
@@ -270,7 +270,7 @@
         self.tell_all(&Message::Rollout(message));
     }
 
-    fn log_rollout(&self, service: &str, reason: Reason) {
+    fn log_rollout(&self, service: &str, reason: DecisionReason) {
         let page = self.rollout_page(service);
         let decided = &self.figures.rollouts_decided;
         decided.with_label_values(&[service, reason.name()]).inc();
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::rollout::exposure::Allowance;
 use sardinewood::direct::rollout::exposure::Exposure;
-use sardinewood::direct::rollout::message::Reason;
+use sardinewood::direct::rollout::message::DecisionReason;
 use sardinewood::direct::rollout::message::RolloutMessage;
 use sardinewood::direct::rollout::message::RolloutPhase;
 use sardinewood::direct::rollout::object::Rollout;
@@ -356,7 +356,7 @@
     let all = table.step(&coordinator(&[]), 12_050);
     assert!(
         all.iter()
-            .any(|(_, next)| *next == RolloutAction::Log(Reason::TooFewUpstreams))
+            .any(|(_, next)| *next == RolloutAction::Log(DecisionReason::TooFewUpstreams))
     );
     assert_eq!(writes(&all), [RolloutStatus::Reverted]);
 }
