--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -78,7 +78,7 @@
 
 /// How far an order has come, as one entry tells all others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct RolloutState {
     /// The order as the store last showed it.
     pub rollout: Rollout,
     /// Time since it was first seen.
@@ -88,11 +88,11 @@
     /// Why.
     pub reason: DecisionReason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
-    pub holds: u32,
+    pub hold_changes: u32,
     /// Upstreams of the new version that take requests at the same time; only grows.
-    pub spread: u8,
+    pub concurrent_canaries: u8,
     /// Counts those that have had their turn.
-    pub turn: u8,
+    pub rotation: u8,
 }
 
 /// What one entry has seen and does, as it tells the judges.
@@ -173,7 +173,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutMessage {
     /// To all.
-    State(State),
+    State(RolloutState),
     /// To the judges.
     Report(Report),
     /// To all: an operator's order of this service was taken away.
--- a/lib/src/direct/rollout/outcome_counts.rs
+++ b/lib/src/direct/rollout/outcome_counts.rs
@@ -72,7 +72,7 @@
     /// Short name of the route.
     pub route: u32,
     /// The part of the window in which it ended, since a version may turn bad.
-    pub turn: u8,
+    pub rotation: u8,
     /// What the request came to.
     pub outcome: Outcome,
 }
@@ -83,7 +83,7 @@
 /// ```
 /// use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome, Tally};
 ///
-/// let cell = Cell { is_new: true, upstream: 1, route: 2, turn: 0, outcome: Outcome::Failed };
+/// let cell = Cell { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
 /// let mut tally = Tally::default();
 /// tally.add(cell);
 /// let mut other = Tally::default();
@@ -101,7 +101,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome, Tally};
-    /// # let cell = Cell { is_new: true, upstream: 1, route: 2, turn: 0, outcome: Outcome::Failed };
+    /// # let cell = Cell { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
     /// let mut tally = Tally::default();
     /// tally.add(cell);
     /// assert_eq!(tally.iter().collect::<Vec<_>>(), [(cell, 1)]);
@@ -127,7 +127,7 @@
                 is_new: false,
                 upstream: OTHERS,
                 route,
-                turn: u8::MAX,
+                rotation: u8::MAX,
                 outcome,
             };
             if count > 0 {
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -10,7 +10,7 @@
 use crate::direct::rollout::message::NextCounts;
 use crate::direct::rollout::message::Report;
 use crate::direct::rollout::message::RolloutPhase;
-use crate::direct::rollout::message::State;
+use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::outcome_counts::Cell;
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutAction {
     /// Tells all entries how far the order has come.
-    Broadcast(State),
+    Broadcast(RolloutState),
     /// Tells the judges what this entry has seen.
     Report(Report),
     /// Writes a status, if the order has not changed meanwhile.
@@ -125,7 +125,7 @@
     phase: RolloutPhase,
     reason: DecisionReason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
-    holds: u32,
+    hold_changes: u32,
     exposure: Exposure,
     own: Tally,
     next_counts: NextCounts,
@@ -141,8 +141,8 @@
     /// Requests that can't be moved, as last reported.
     reported_fixed: u32,
     wrote_at_ms: Option<u64>,
-    spread: u8,
-    turn: u8,
+    concurrent_canaries: u8,
+    rotation: u8,
     turn_at_ms: u64,
     /// Since when it has seemed slow and had many requests.
     slow_since_ms: Option<u64>,
@@ -182,7 +182,7 @@
             began_ms: signed(now_ms) - signed(elapsed_ms),
             phase: RolloutPhase::Judging,
             reason: DecisionReason::Begun,
-            holds: 0,
+            hold_changes: 0,
             exposure: Exposure::new(allowance, first),
             own,
             next_counts: NextCounts::default(),
@@ -197,8 +197,8 @@
             report_at_ms: 0,
             reported_fixed: 0,
             wrote_at_ms: None,
-            spread: 1,
-            turn: 0,
+            concurrent_canaries: 1,
+            rotation: 0,
             turn_at_ms: now_ms,
             slow_since_ms: None,
             is_early: false,
@@ -239,7 +239,7 @@
     /// Whether an operator keeps it from being shifted.
     #[must_use]
     pub fn is_on_hold(&self) -> bool {
-        !self.holds.is_multiple_of(2)
+        !self.hold_changes.is_multiple_of(2)
     }
 
     /// Time since the order was first seen.
@@ -260,11 +260,11 @@
         self.evidence_since(0)
     }
 
-    fn evidence_since(&self, turn: u8) -> Evidence {
+    fn evidence_since(&self, rotation: u8) -> Evidence {
         let mut evidence = Evidence::default();
         for tally in self.others.values().chain([&self.own]) {
             let cells = tally.iter();
-            for (cell, count) in cells.filter(|(cell, _)| cell.turn >= turn) {
+            for (cell, count) in cells.filter(|(cell, _)| cell.rotation >= rotation) {
                 evidence.add(cell, count);
             }
         }
@@ -278,9 +278,9 @@
         if self.is_early || all.is_empty() {
             return all.iter().collect();
         }
-        let count = usize::from(self.spread).min(all.len());
+        let count = usize::from(self.concurrent_canaries).min(all.len());
         (0..count)
-            .map(|offset| &all[(usize::from(self.turn) + offset) % all.len()])
+            .map(|offset| &all[(usize::from(self.rotation) + offset) % all.len()])
             .collect()
     }
 
@@ -298,7 +298,7 @@
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
         let passed = numbers::as_f64(elapsed_ms) / numbers::as_f64(self.rollout.window_ms);
-        let is_burst = self.spread > 1 || elapsed_ms % BURST_EVERY_MS < BURST_MS;
+        let is_burst = self.concurrent_canaries > 1 || elapsed_ms % BURST_EVERY_MS < BURST_MS;
         if is_pinned && self.is_early {
             return RequestTarget::Canary;
         }
@@ -319,7 +319,7 @@
             is_new,
             upstream,
             route,
-            turn: self.turn,
+            rotation: self.rotation,
             outcome,
         });
         self.is_evidence_new |= is_new;
@@ -337,15 +337,15 @@
     }
 
     /// Takes what another entry tells all.
-    pub fn hear_state(&mut self, state: &State, now_ms: u64) -> Vec<RolloutAction> {
+    pub fn hear_state(&mut self, state: &RolloutState, now_ms: u64) -> Vec<RolloutAction> {
         let began_ms = signed(now_ms) - signed(state.elapsed_ms);
         self.began_ms = self.began_ms.min(began_ms);
         self.judged_at_ms = now_ms;
-        self.holds = self.holds.max(state.holds);
-        let turn = self.turn.max(state.turn);
-        let mut has_turned = self.take_turn(turn, now_ms);
-        has_turned |= state.spread > self.spread;
-        self.spread = self.spread.max(state.spread);
+        self.hold_changes = self.hold_changes.max(state.hold_changes);
+        let rotation = self.rotation.max(state.rotation);
+        let mut has_turned = self.take_turn(rotation, now_ms);
+        has_turned |= state.concurrent_canaries > self.concurrent_canaries;
+        self.concurrent_canaries = self.concurrent_canaries.max(state.concurrent_canaries);
         let status = self.rollout.status;
         self.take_order(state.rollout.clone(), now_ms);
         let mut next = Vec::new();
@@ -376,7 +376,7 @@
         if is_on_hold == self.is_on_hold() {
             return Vec::new();
         }
-        self.holds += 1;
+        self.hold_changes += 1;
         vec![RolloutAction::Broadcast(self.state(now_ms))]
     }
 
@@ -404,7 +404,7 @@
         }
         let mut next = self.decide(facts, now_ms);
         next.extend(self.write(facts, now_ms));
-        next.extend(self.turn(facts, now_ms));
+        next.extend(self.rotation(facts, now_ms));
         next.extend(self.repeat(facts, now_ms));
         next
     }
@@ -415,7 +415,7 @@
         if all.is_bad() {
             return all;
         }
-        let first = self.turn.saturating_sub(LATEST_TURNS - 1);
+        let first = self.rotation.saturating_sub(LATEST_TURNS - 1);
         let latest = self.evidence_since(first).verdict(new_upstreams);
         if latest == Verdict::Clean {
             all
@@ -538,16 +538,16 @@
     }
 
     /// Lets other upstreams take the place of those that are judged.
-    fn turn(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
+    fn rotation(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
         if self.phase != RolloutPhase::Judging {
             return None;
         }
         let window_ms = self.rollout.window_ms;
         let is_due = facts.coordinator_rank == Some(0) && self.is_turn_over(now_ms);
-        let turn = self.turn.saturating_add(u8::from(is_due));
-        let mut has_turned = self.take_turn(turn, now_ms);
-        if self.verdict == Verdict::SeemsSlow && self.spread < WIDE {
-            self.spread = WIDE;
+        let rotation = self.rotation.saturating_add(u8::from(is_due));
+        let mut has_turned = self.take_turn(rotation, now_ms);
+        if self.verdict == Verdict::SeemsSlow && self.concurrent_canaries < WIDE {
+            self.concurrent_canaries = WIDE;
             has_turned = true;
         }
         if has_turned {
@@ -574,10 +574,10 @@
         now_ms >= self.turn_at_ms + (self.rollout.window_ms / TURNS).max(1)
     }
 
-    fn take_turn(&mut self, turn: u8, now_ms: u64) -> bool {
-        let has_turned = turn > self.turn;
+    fn take_turn(&mut self, rotation: u8, now_ms: u64) -> bool {
+        let has_turned = rotation > self.rotation;
         if has_turned {
-            self.turn = turn;
+            self.rotation = rotation;
             self.turn_at_ms = now_ms;
         }
         has_turned
@@ -627,15 +627,15 @@
 
     /// How far the order has come, as all entries are told.
     #[must_use]
-    pub fn state(&self, now_ms: u64) -> State {
-        State {
+    pub fn state(&self, now_ms: u64) -> RolloutState {
+        RolloutState {
             rollout: self.rollout.clone(),
             elapsed_ms: self.elapsed_ms(now_ms),
             phase: self.phase,
             reason: self.reason,
-            holds: self.holds,
-            spread: self.spread,
-            turn: self.turn,
+            hold_changes: self.hold_changes,
+            concurrent_canaries: self.concurrent_canaries,
+            rotation: self.rotation,
         }
     }
 
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -10,7 +10,7 @@
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::RolloutPhase;
-use crate::direct::rollout::message::State;
+use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutId;
 use crate::direct::rollout::outcome_counts::OTHERS;
@@ -145,7 +145,7 @@
 
     /// How far all orders have come.
     #[must_use]
-    pub fn states(&self, now_ms: u64) -> Vec<State> {
+    pub fn states(&self, now_ms: u64) -> Vec<RolloutState> {
         let states = self
             .rollouts
             .values()
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -188,7 +188,7 @@
 /// use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome};
 /// use sardinewood::direct::rollout::verdict::{Evidence, Verdict};
 ///
-/// let cell = |upstream, outcome| Cell { is_new: true, upstream, route: 1, turn: 0, outcome };
+/// let cell = |upstream, outcome| Cell { is_new: true, upstream, route: 1, rotation: 0, outcome };
 /// let mut evidence = Evidence::default();
 /// for upstream in [1, 2, 3] {
 ///     evidence.add(cell(upstream, Outcome::Failed), 6);
@@ -207,7 +207,7 @@
     /// ```
     /// # use sardinewood::direct::rollout::{outcome_counts::{Cell, Outcome}, verdict::Evidence};
     /// let mut evidence = Evidence::default();
-    /// evidence.add(Cell { is_new: true, upstream: 1, route: 2, turn: 0, outcome: Outcome::Untimed }, 3);
+    /// evidence.add(Cell { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Untimed }, 3);
     /// assert_eq!(evidence.at_new().requests, 3);
     /// ```
     pub fn add(&mut self, cell: Cell, count: u32) {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -107,7 +107,7 @@
         is_new,
         upstream,
         route: 1,
-        turn: 0,
+        rotation: 0,
         outcome,
     }
 }
