--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -97,7 +97,7 @@
 
 /// What one entry has seen and does, as it tells the judges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct EvidenceReport {
     /// The order.
     pub id: RolloutId,
     /// A random number of this start of the process.
@@ -175,7 +175,7 @@
     /// To all.
     State(RolloutState),
     /// To the judges.
-    Report(Report),
+    Report(EvidenceReport),
     /// To all: an operator's order of this service was taken away.
     Withdrawn {
         /// The order.
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -7,8 +7,8 @@
 use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::exposure::Exposure;
 use crate::direct::rollout::message::DecisionReason;
+use crate::direct::rollout::message::EvidenceReport;
 use crate::direct::rollout::message::NextCounts;
-use crate::direct::rollout::message::Report;
 use crate::direct::rollout::message::RolloutPhase;
 use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
@@ -90,7 +90,7 @@
     /// Tells all entries how far the order has come.
     Broadcast(RolloutState),
     /// Tells the judges what this entry has seen.
-    Report(Report),
+    Report(EvidenceReport),
     /// Writes a status, if the order has not changed meanwhile.
     WriteStatus(RolloutStatus),
     /// Sends requests elsewhere than before.
@@ -360,7 +360,7 @@
     }
 
     /// Takes what another entry has seen.
-    pub fn hear_report(&mut self, from: SocketAddr, report: &Report) {
+    pub fn hear_report(&mut self, from: SocketAddr, report: &EvidenceReport) {
         let tally = self.others.entry(report.incarnation).or_default();
         tally.merge(report.counts.iter().copied());
         self.is_evidence_new = true;
@@ -639,8 +639,8 @@
         }
     }
 
-    fn report(&mut self, pinned_at_old: u32) -> Report {
-        Report {
+    fn report(&mut self, pinned_at_old: u32) -> EvidenceReport {
+        EvidenceReport {
             id: self.rollout.id.clone(),
             incarnation: self.incarnation,
             is_shifted: self.phase == RolloutPhase::Shifting,
