--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -7,7 +7,7 @@
 
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutId;
-use crate::direct::rollout::outcome_counts::Cell;
+use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::outcome_counts::Tally;
 
 /// Entries that collect what all others have seen, and write to the store. One would do; the others
@@ -107,7 +107,7 @@
     /// Requests of it that run at the old version and can't be moved.
     pub pinned_at_old: u32,
     /// What its requests came to; a part if there is much.
-    pub counts: Vec<(Cell, u32)>,
+    pub counts: Vec<(OutcomeKey, u32)>,
 }
 
 /// Chooses what the next report tells: what has changed, and then what was told least of late.
@@ -120,7 +120,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct NextCounts {
-    told: indexmap::IndexMap<Cell, (u32, u32)>,
+    told: indexmap::IndexMap<OutcomeKey, (u32, u32)>,
 }
 
 impl NextCounts {
@@ -130,14 +130,14 @@
     /// # use sardinewood::direct::rollout::{message::NextCounts, outcome_counts::Tally};
     /// assert!(NextCounts::default().next(&Tally::default()).is_empty());
     /// ```
-    pub fn next(&mut self, tally: &Tally) -> Vec<(Cell, u32)> {
+    pub fn next(&mut self, tally: &Tally) -> Vec<(OutcomeKey, u32)> {
         for (cell, count) in tally.iter() {
             let told = self.told.entry(cell).or_default();
             if told.0 != count {
                 *told = (count, 0);
             }
         }
-        let mut rollout: Vec<Cell> = self.told.keys().copied().collect();
+        let mut rollout: Vec<OutcomeKey> = self.told.keys().copied().collect();
         rollout.sort_by_key(|cell| (self.told[cell].1, cell.outcome));
         let news = rollout
             .iter()
--- a/lib/src/direct/rollout/outcome_counts.rs
+++ b/lib/src/direct/rollout/outcome_counts.rs
@@ -64,7 +64,7 @@
 
 /// What is counted apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Cell {
+pub struct OutcomeKey {
     /// Whether the upstream is of the new version.
     pub is_new: bool,
     /// Short name of the upstream.
@@ -81,9 +81,9 @@
 /// may be lost, repeated or late.
 ///
 /// ```
-/// use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome, Tally};
+/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, Outcome, Tally};
 ///
-/// let cell = Cell { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
+/// let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
 /// let mut tally = Tally::default();
 /// tally.add(cell);
 /// let mut other = Tally::default();
@@ -93,20 +93,20 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    counts: IndexMap<Cell, u32>,
+    counts: IndexMap<OutcomeKey, u32>,
 }
 
 impl Tally {
     /// Counts a request.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome, Tally};
-    /// # let cell = Cell { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
+    /// # use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, Outcome, Tally};
+    /// # let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
     /// let mut tally = Tally::default();
     /// tally.add(cell);
     /// assert_eq!(tally.iter().collect::<Vec<_>>(), [(cell, 1)]);
     /// ```
-    pub fn add(&mut self, cell: Cell) {
+    pub fn add(&mut self, cell: OutcomeKey) {
         *self.counts.entry(cell).or_default() += 1;
     }
 
@@ -123,7 +123,7 @@
             (Outcome::Failed, part.spoiled),
             (Outcome::Untimed, part.requests - part.spoiled),
         ] {
-            let cell = Cell {
+            let cell = OutcomeKey {
                 is_new: false,
                 upstream: OTHERS,
                 route,
@@ -141,7 +141,7 @@
     /// ```
     /// sardinewood::direct::rollout::outcome_counts::Tally::default().merge(std::iter::empty());
     /// ```
-    pub fn merge(&mut self, counts: impl Iterator<Item = (Cell, u32)>) {
+    pub fn merge(&mut self, counts: impl Iterator<Item = (OutcomeKey, u32)>) {
         for (cell, count) in counts {
             let known = self.counts.entry(cell).or_default();
             *known = (*known).max(count);
@@ -153,7 +153,7 @@
     /// ```
     /// assert_eq!(sardinewood::direct::rollout::outcome_counts::Tally::default().iter().count(), 0);
     /// ```
-    pub fn iter(&self) -> impl Iterator<Item = (Cell, u32)> {
+    pub fn iter(&self) -> impl Iterator<Item = (OutcomeKey, u32)> {
         self.counts.iter().map(|(cell, count)| (*cell, *count))
     }
 }
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -13,8 +13,8 @@
 use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
-use crate::direct::rollout::outcome_counts::Cell;
 use crate::direct::rollout::outcome_counts::Outcome;
+use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::outcome_counts::Tally;
 use crate::direct::rollout::verdict::Evidence;
 use crate::direct::rollout::verdict::Part;
@@ -315,7 +315,7 @@
 
     /// Notes what a request came to.
     pub fn observe(&mut self, is_new: bool, upstream: u32, route: u32, outcome: Outcome) {
-        self.own.add(Cell {
+        self.own.add(OutcomeKey {
             is_new,
             upstream,
             route,
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -7,8 +7,8 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::outcome_counts::Cell;
 use crate::direct::rollout::outcome_counts::Outcome;
+use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::outcome_counts::STEPS;
 use crate::direct::rollout::outcome_counts::STEPS_PER_OCTAVE;
 use crate::numbers;
@@ -132,7 +132,7 @@
 }
 
 impl AtUpstream {
-    fn add(&mut self, cell: Cell, count: u32) {
+    fn add(&mut self, cell: OutcomeKey, count: u32) {
         let failed = cell.outcome == Outcome::Failed;
         self.failures.entry(cell.route).or_default().add(Part {
             requests: count,
@@ -185,10 +185,10 @@
 /// The evidence for and against a version.
 ///
 /// ```
-/// use sardinewood::direct::rollout::outcome_counts::{Cell, Outcome};
+/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, Outcome};
 /// use sardinewood::direct::rollout::verdict::{Evidence, Verdict};
 ///
-/// let cell = |upstream, outcome| Cell { is_new: true, upstream, route: 1, rotation: 0, outcome };
+/// let cell = |upstream, outcome| OutcomeKey { is_new: true, upstream, route: 1, rotation: 0, outcome };
 /// let mut evidence = Evidence::default();
 /// for upstream in [1, 2, 3] {
 ///     evidence.add(cell(upstream, Outcome::Failed), 6);
@@ -205,12 +205,12 @@
     /// Adds requests.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{outcome_counts::{Cell, Outcome}, verdict::Evidence};
+    /// # use sardinewood::direct::rollout::{outcome_counts::{OutcomeKey, Outcome}, verdict::Evidence};
     /// let mut evidence = Evidence::default();
-    /// evidence.add(Cell { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Untimed }, 3);
+    /// evidence.add(OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Untimed }, 3);
     /// assert_eq!(evidence.at_new().requests, 3);
     /// ```
-    pub fn add(&mut self, cell: Cell, count: u32) {
+    pub fn add(&mut self, cell: OutcomeKey, count: u32) {
         let side = if cell.is_new {
             &mut self.new
         } else {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -12,8 +12,8 @@
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::RolloutStatus;
-use sardinewood::direct::rollout::outcome_counts::Cell;
 use sardinewood::direct::rollout::outcome_counts::Outcome;
+use sardinewood::direct::rollout::outcome_counts::OutcomeKey;
 use sardinewood::direct::rollout::progress::FleetSnapshot;
 use sardinewood::direct::rollout::progress::RequestTarget;
 use sardinewood::direct::rollout::progress::RolloutAction;
@@ -102,8 +102,8 @@
 }
 
 /// What is counted of a request on the one route, in the first part of the window.
-fn cell(is_new: bool, upstream: u32, outcome: Outcome) -> Cell {
-    Cell {
+fn cell(is_new: bool, upstream: u32, outcome: Outcome) -> OutcomeKey {
+    OutcomeKey {
         is_new,
         upstream,
         route: 1,
