--- a/lib/src/direct/rollout/outcome_counts.rs
+++ b/lib/src/direct/rollout/outcome_counts.rs
@@ -18,7 +18,7 @@
 
 /// What a request came to at its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum OutcomeClass {
     /// The upstream answered with a failure, or not in time.
     Failed,
     /// It answered, and how long that usually takes is not known yet.
@@ -27,14 +27,14 @@
     Took(u8),
 }
 
-impl Outcome {
+impl OutcomeClass {
     /// An answer that took so many times as long as is usual on its route.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::outcome_counts::Outcome;
+    /// use sardinewood::direct::rollout::outcome_counts::OutcomeClass;
     ///
-    /// assert_eq!(Outcome::took(1.0), Outcome::Took(6));
-    /// assert_eq!(Outcome::took(2.0), Outcome::Took(8));
+    /// assert_eq!(OutcomeClass::took(1.0), OutcomeClass::Took(6));
+    /// assert_eq!(OutcomeClass::took(2.0), OutcomeClass::Took(8));
     /// ```
     #[must_use]
     pub fn took(times_usual: f64) -> Self {
@@ -45,13 +45,13 @@
     }
 }
 
-impl Outcome {
+impl OutcomeClass {
     /// The same without the time.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::outcome_counts::Outcome;
+    /// use sardinewood::direct::rollout::outcome_counts::OutcomeClass;
     ///
-    /// assert_eq!(Outcome::Took(3).untimed(), Outcome::Untimed);
+    /// assert_eq!(OutcomeClass::Took(3).untimed(), OutcomeClass::Untimed);
     /// ```
     #[must_use]
     pub fn untimed(self) -> Self {
@@ -74,16 +74,16 @@
     /// The part of the window in which it ended, since a version may turn bad.
     pub rotation: u8,
     /// What the request came to.
-    pub outcome: Outcome,
+    pub outcome: OutcomeClass,
 }
 
 /// Counts that only grow. Those of one entry are merged by taking the greater ones, so a message
 /// may be lost, repeated or late.
 ///
 /// ```
-/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, Outcome, Tally};
+/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass, Tally};
 ///
-/// let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
+/// let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Failed };
 /// let mut tally = Tally::default();
 /// tally.add(cell);
 /// let mut other = Tally::default();
@@ -100,8 +100,8 @@
     /// Counts a request.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, Outcome, Tally};
-    /// # let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Failed };
+    /// # use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass, Tally};
+    /// # let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Failed };
     /// let mut tally = Tally::default();
     /// tally.add(cell);
     /// assert_eq!(tally.iter().collect::<Vec<_>>(), [(cell, 1)]);
@@ -120,8 +120,8 @@
     /// ```
     pub fn add_old(&mut self, route: u32, part: Part) {
         for (outcome, count) in [
-            (Outcome::Failed, part.spoiled),
-            (Outcome::Untimed, part.requests - part.spoiled),
+            (OutcomeClass::Failed, part.spoiled),
+            (OutcomeClass::Untimed, part.requests - part.spoiled),
         ] {
             let cell = OutcomeKey {
                 is_new: false,
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -13,7 +13,7 @@
 use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
-use crate::direct::rollout::outcome_counts::Outcome;
+use crate::direct::rollout::outcome_counts::OutcomeClass;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::outcome_counts::Tally;
 use crate::direct::rollout::verdict::Evidence;
@@ -314,7 +314,7 @@
     }
 
     /// Notes what a request came to.
-    pub fn observe(&mut self, is_new: bool, upstream: u32, route: u32, outcome: Outcome) {
+    pub fn observe(&mut self, is_new: bool, upstream: u32, route: u32, outcome: OutcomeClass) {
         self.own.add(OutcomeKey {
             is_new,
             upstream,
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -14,7 +14,7 @@
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutId;
 use crate::direct::rollout::outcome_counts::OTHERS;
-use crate::direct::rollout::outcome_counts::Outcome;
+use crate::direct::rollout::outcome_counts::OutcomeClass;
 use crate::direct::rollout::progress::FleetSnapshot;
 use crate::direct::rollout::progress::RequestTarget;
 use crate::direct::rollout::progress::RolloutAction;
@@ -444,11 +444,11 @@
             .is_some_and(|progress| progress.rollout().id.to == upstream.version);
         let usual = self.baselines.entry(route).or_default();
         let outcome = match came {
-            RunOutcome::Failed => Outcome::Failed,
-            RunOutcome::Untimed => Outcome::Untimed,
+            RunOutcome::Failed => OutcomeClass::Failed,
+            RunOutcome::Untimed => OutcomeClass::Untimed,
             RunOutcome::Answered { ms_per_event } => usual
                 .times(ms_per_event)
-                .map_or(Outcome::Untimed, Outcome::took),
+                .map_or(OutcomeClass::Untimed, OutcomeClass::took),
         };
         if let (false, RunOutcome::Answered { ms_per_event }) = (is_new, came) {
             usual.observe(ms_per_event);
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -7,7 +7,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::outcome_counts::Outcome;
+use crate::direct::rollout::outcome_counts::OutcomeClass;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::outcome_counts::STEPS;
 use crate::direct::rollout::outcome_counts::STEPS_PER_OCTAVE;
@@ -133,12 +133,12 @@
 
 impl AtUpstream {
     fn add(&mut self, cell: OutcomeKey, count: u32) {
-        let failed = cell.outcome == Outcome::Failed;
+        let failed = cell.outcome == OutcomeClass::Failed;
         self.failures.entry(cell.route).or_default().add(Part {
             requests: count,
             spoiled: if failed { count } else { 0 },
         });
-        if let Outcome::Took(step) = cell.outcome
+        if let OutcomeClass::Took(step) = cell.outcome
             && let Some(times) = self.times.get_mut(usize::from(step))
         {
             *times += count;
@@ -185,13 +185,13 @@
 /// The evidence for and against a version.
 ///
 /// ```
-/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, Outcome};
+/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass};
 /// use sardinewood::direct::rollout::verdict::{Evidence, Verdict};
 ///
 /// let cell = |upstream, outcome| OutcomeKey { is_new: true, upstream, route: 1, rotation: 0, outcome };
 /// let mut evidence = Evidence::default();
 /// for upstream in [1, 2, 3] {
-///     evidence.add(cell(upstream, Outcome::Failed), 6);
+///     evidence.add(cell(upstream, OutcomeClass::Failed), 6);
 /// }
 /// assert_eq!(evidence.verdict(2), Verdict::Failing);
 /// ```
@@ -205,9 +205,9 @@
     /// Adds requests.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{outcome_counts::{OutcomeKey, Outcome}, verdict::Evidence};
+    /// # use sardinewood::direct::rollout::{outcome_counts::{OutcomeKey, OutcomeClass}, verdict::Evidence};
     /// let mut evidence = Evidence::default();
-    /// evidence.add(OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: Outcome::Untimed }, 3);
+    /// evidence.add(OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Untimed }, 3);
     /// assert_eq!(evidence.at_new().requests, 3);
     /// ```
     pub fn add(&mut self, cell: OutcomeKey, count: u32) {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -12,7 +12,7 @@
 use sardinewood::direct::rollout::object::Rollout;
 use sardinewood::direct::rollout::object::RolloutId;
 use sardinewood::direct::rollout::object::RolloutStatus;
-use sardinewood::direct::rollout::outcome_counts::Outcome;
+use sardinewood::direct::rollout::outcome_counts::OutcomeClass;
 use sardinewood::direct::rollout::outcome_counts::OutcomeKey;
 use sardinewood::direct::rollout::progress::FleetSnapshot;
 use sardinewood::direct::rollout::progress::RequestTarget;
@@ -102,7 +102,7 @@
 }
 
 /// What is counted of a request on the one route, in the first part of the window.
-fn cell(is_new: bool, upstream: u32, outcome: Outcome) -> OutcomeKey {
+fn cell(is_new: bool, upstream: u32, outcome: OutcomeClass) -> OutcomeKey {
     OutcomeKey {
         is_new,
         upstream,
@@ -117,8 +117,8 @@
     let mut evidence = Evidence::default();
     for (is_new, parts) in [(true, new), (false, old)] {
         for (upstream, (whole, failed)) in (1..).zip(parts) {
-            evidence.add(cell(is_new, upstream, Outcome::Took(6)), *whole);
-            evidence.add(cell(is_new, upstream, Outcome::Failed), *failed);
+            evidence.add(cell(is_new, upstream, OutcomeClass::Took(6)), *whole);
+            evidence.add(cell(is_new, upstream, OutcomeClass::Failed), *failed);
         }
     }
     evidence
@@ -163,7 +163,7 @@
         (false, 2, 6),
         (false, 3, 10),
     ] {
-        judged.add(cell(is_new, upstream, Outcome::Took(step)), 20);
+        judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
     }
     assert_eq!(judged.verdict(4), Verdict::Clean);
 }
@@ -174,7 +174,7 @@
     let mut judged = Evidence::default();
     for upstream in 1..=6 {
         for (is_new, step) in [(true, 12), (false, 6)] {
-            judged.add(cell(is_new, upstream, Outcome::Took(step)), 20);
+            judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
         }
     }
     assert_eq!(judged.verdict(6), Verdict::Slow);
@@ -186,7 +186,7 @@
     let mut judged = Evidence::default();
     for upstream in 1..=4 {
         for (is_new, step, count) in [(true, 6, 12), (true, 11, 8), (false, 6, 60)] {
-            judged.add(cell(is_new, upstream, Outcome::Took(step)), count);
+            judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), count);
         }
     }
     assert_eq!(judged.verdict(4), Verdict::PartlySlow);
