--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -7,8 +7,8 @@
 
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutId;
+use crate::direct::rollout::outcome_counts::OutcomeCounts;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
-use crate::direct::rollout::outcome_counts::Tally;
 
 /// Entries that collect what all others have seen, and write to the store. One would do; the others
 /// are there for the case that it is killed or cut off.
@@ -114,9 +114,9 @@
 ///
 /// ```
 /// use sardinewood::direct::rollout::message::NextCounts;
-/// use sardinewood::direct::rollout::outcome_counts::Tally;
+/// use sardinewood::direct::rollout::outcome_counts::OutcomeCounts;
 ///
-/// assert!(NextCounts::default().next(&Tally::default()).is_empty());
+/// assert!(NextCounts::default().next(&OutcomeCounts::default()).is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct NextCounts {
@@ -127,10 +127,10 @@
     /// The counts for the next report.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{message::NextCounts, outcome_counts::Tally};
-    /// assert!(NextCounts::default().next(&Tally::default()).is_empty());
+    /// # use sardinewood::direct::rollout::{message::NextCounts, outcome_counts::OutcomeCounts};
+    /// assert!(NextCounts::default().next(&OutcomeCounts::default()).is_empty());
     /// ```
-    pub fn next(&mut self, tally: &Tally) -> Vec<(OutcomeKey, u32)> {
+    pub fn next(&mut self, tally: &OutcomeCounts) -> Vec<(OutcomeKey, u32)> {
         for (cell, count) in tally.iter() {
             let told = self.told.entry(cell).or_default();
             if told.0 != count {
--- a/lib/src/direct/rollout/outcome_counts.rs
+++ b/lib/src/direct/rollout/outcome_counts.rs
@@ -81,28 +81,28 @@
 /// may be lost, repeated or late.
 ///
 /// ```
-/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass, Tally};
+/// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass, OutcomeCounts};
 ///
 /// let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Failed };
-/// let mut tally = Tally::default();
+/// let mut tally = OutcomeCounts::default();
 /// tally.add(cell);
-/// let mut other = Tally::default();
+/// let mut other = OutcomeCounts::default();
 /// other.merge(tally.iter());
 /// other.merge(tally.iter());
 /// assert_eq!(other, tally);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OutcomeCounts {
     counts: IndexMap<OutcomeKey, u32>,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// Counts a request.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass, Tally};
+    /// # use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass, OutcomeCounts};
     /// # let cell = OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Failed };
-    /// let mut tally = Tally::default();
+    /// let mut tally = OutcomeCounts::default();
     /// tally.add(cell);
     /// assert_eq!(tally.iter().collect::<Vec<_>>(), [(cell, 1)]);
     /// ```
@@ -113,8 +113,8 @@
     /// Adds requests of a route at upstreams of the old version that are not told apart.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{outcome_counts::Tally, verdict::Part};
-    /// let mut tally = Tally::default();
+    /// # use sardinewood::direct::rollout::{outcome_counts::OutcomeCounts, verdict::Part};
+    /// let mut tally = OutcomeCounts::default();
     /// tally.add_old(1, Part { requests: 9, spoiled: 2 });
     /// assert_eq!(tally.iter().map(|(_, count)| count).sum::<u32>(), 9);
     /// ```
@@ -139,7 +139,7 @@
     /// Takes the counts of a later or earlier state of the same tally.
     ///
     /// ```
-    /// sardinewood::direct::rollout::outcome_counts::Tally::default().merge(std::iter::empty());
+    /// sardinewood::direct::rollout::outcome_counts::OutcomeCounts::default().merge(std::iter::empty());
     /// ```
     pub fn merge(&mut self, counts: impl Iterator<Item = (OutcomeKey, u32)>) {
         for (cell, count) in counts {
@@ -151,7 +151,7 @@
     /// All counts.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::outcome_counts::Tally::default().iter().count(), 0);
+    /// assert_eq!(sardinewood::direct::rollout::outcome_counts::OutcomeCounts::default().iter().count(), 0);
     /// ```
     pub fn iter(&self) -> impl Iterator<Item = (OutcomeKey, u32)> {
         self.counts.iter().map(|(cell, count)| (*cell, *count))
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -14,8 +14,8 @@
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::outcome_counts::OutcomeClass;
+use crate::direct::rollout::outcome_counts::OutcomeCounts;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
-use crate::direct::rollout::outcome_counts::Tally;
 use crate::direct::rollout::verdict::Evidence;
 use crate::direct::rollout::verdict::Part;
 use crate::direct::rollout::verdict::Verdict;
@@ -127,9 +127,9 @@
     /// Odd while an operator keeps it from being shifted; counts up with each change.
     hold_changes: u32,
     exposure: Exposure,
-    own: Tally,
+    own: OutcomeCounts,
     next_counts: NextCounts,
-    others: IndexMap<u64, Tally>,
+    others: IndexMap<u64, OutcomeCounts>,
     stages: IndexMap<SocketAddr, Stage>,
     verdict: Verdict,
     is_evidence_new: bool,
@@ -171,7 +171,7 @@
         } else {
             0.0
         };
-        let mut own = Tally::default();
+        let mut own = OutcomeCounts::default();
         for (route, part) in before {
             own.add_old(*route, *part);
         }
