--- a/lib/src/direct/rollout/outcome_counts.rs
+++ b/lib/src/direct/rollout/outcome_counts.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::rollout::verdict::Part;
+use crate::direct::rollout::verdict::RequestCounts;
 
 /// Half octaves below the usual time that are told apart.
 const STEPS_BELOW: f64 = 6.0;
@@ -113,15 +113,15 @@
     /// Adds requests of a route at upstreams of the old version that are not told apart.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{outcome_counts::OutcomeCounts, verdict::Part};
+    /// # use sardinewood::direct::rollout::{outcome_counts::OutcomeCounts, verdict::RequestCounts};
     /// let mut tally = OutcomeCounts::default();
-    /// tally.add_old(1, Part { requests: 9, spoiled: 2 });
+    /// tally.add_old(1, RequestCounts { requests: 9, bad: 2 });
     /// assert_eq!(tally.iter().map(|(_, count)| count).sum::<u32>(), 9);
     /// ```
-    pub fn add_old(&mut self, route: u32, part: Part) {
+    pub fn add_old(&mut self, route: u32, part: RequestCounts) {
         for (outcome, count) in [
-            (OutcomeClass::Failed, part.spoiled),
-            (OutcomeClass::Untimed, part.requests - part.spoiled),
+            (OutcomeClass::Failed, part.bad),
+            (OutcomeClass::Untimed, part.requests - part.bad),
         ] {
             let cell = OutcomeKey {
                 is_new: false,
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -17,7 +17,7 @@
 use crate::direct::rollout::outcome_counts::OutcomeCounts;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::verdict::Evidence;
-use crate::direct::rollout::verdict::Part;
+use crate::direct::rollout::verdict::RequestCounts;
 use crate::direct::rollout::verdict::Verdict;
 use crate::numbers;
 use crate::numbers::signed;
@@ -161,7 +161,7 @@
         incarnation: u64,
         entries: usize,
         elapsed_ms: u64,
-        before: &IndexMap<u32, Part>,
+        before: &IndexMap<u32, RequestCounts>,
         now_ms: u64,
     ) -> Self {
         // An entry that starts in the middle can't know what was spent before.
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -20,7 +20,7 @@
 use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::serving_versions::Versions;
-use crate::direct::rollout::verdict::Part;
+use crate::direct::rollout::verdict::RequestCounts;
 use crate::direct::view::directory::Upstream;
 
 /// Upstreams of the old version that are counted beside the new one.
@@ -96,7 +96,7 @@
     control: IndexSet<u32>,
     baselines: IndexMap<u32, RouteBaseline>,
     /// What came of the latest requests by route, while no order is in progress.
-    ends: IndexMap<u32, Part>,
+    ends: IndexMap<u32, RequestCounts>,
     /// Requests that run and can't be moved, by service and version.
     fixed: IndexMap<(Arc<str>, Arc<str>), u32>,
 }
@@ -473,12 +473,12 @@
     }
 }
 
-fn remember(part: &mut Part, came: RunOutcome) {
+fn remember(part: &mut RequestCounts, came: RunOutcome) {
     part.requests += 1;
-    part.spoiled += u32::from(came == RunOutcome::Failed);
+    part.bad += u32::from(came == RunOutcome::Failed);
     if part.requests >= REMEMBERED {
         part.requests /= 2;
-        part.spoiled /= 2;
+        part.bad /= 2;
     }
 }
 
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -105,28 +105,28 @@
 
 /// Requests, and how many of them were spoiled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct RequestCounts {
     /// All of them.
     pub requests: u32,
     /// Those that failed or took too long.
-    pub spoiled: u32,
+    pub bad: u32,
 }
 
-impl Part {
+impl RequestCounts {
     fn add(&mut self, other: Self) {
         self.requests += other.requests;
-        self.spoiled += other.spoiled;
+        self.bad += other.bad;
     }
 
     fn share(self) -> f64 {
-        f64::from(self.spoiled) / f64::from(self.requests.max(1))
+        f64::from(self.bad) / f64::from(self.requests.max(1))
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct AtUpstream {
     /// By route.
-    failures: IndexMap<u32, Part>,
+    failures: IndexMap<u32, RequestCounts>,
     /// Answers by step of time.
     times: [u32; STEPS as usize],
 }
@@ -134,10 +134,13 @@
 impl AtUpstream {
     fn add(&mut self, cell: OutcomeKey, count: u32) {
         let failed = cell.outcome == OutcomeClass::Failed;
-        self.failures.entry(cell.route).or_default().add(Part {
-            requests: count,
-            spoiled: if failed { count } else { 0 },
-        });
+        self.failures
+            .entry(cell.route)
+            .or_default()
+            .add(RequestCounts {
+                requests: count,
+                bad: if failed { count } else { 0 },
+            });
         if let OutcomeClass::Took(step) = cell.outcome
             && let Some(times) = self.times.get_mut(usize::from(step))
         {
@@ -145,8 +148,8 @@
         }
     }
 
-    fn failed(&self) -> Part {
-        let mut all = Part::default();
+    fn failed(&self) -> RequestCounts {
+        let mut all = RequestCounts::default();
         for part in self.failures.values() {
             all.add(*part);
         }
@@ -158,16 +161,16 @@
     }
 
     /// Answers that took several times as long as the quicker ones there.
-    fn long(&self) -> Part {
+    fn long(&self) -> RequestCounts {
         let timed = self.timed();
         if timed < RANKED_AT_LEAST {
-            return Part::default();
+            return RequestCounts::default();
         }
         let quick = quick_step(&self.times).unwrap_or_default();
         let from = quick + usize::from(LONG_STEPS);
-        Part {
+        RequestCounts {
             requests: timed,
-            spoiled: self.times.iter().skip(from).sum(),
+            bad: self.times.iter().skip(from).sum(),
         }
     }
 
@@ -222,20 +225,20 @@
     /// Requests at the new version, and how many failed.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::verdict::Evidence::default().at_new().spoiled, 0);
+    /// assert_eq!(sardinewood::direct::rollout::verdict::Evidence::default().at_new().bad, 0);
     /// ```
     #[must_use]
-    pub fn at_new(&self) -> Part {
+    pub fn at_new(&self) -> RequestCounts {
         all_of(&self.new)
     }
 
     /// Requests at those upstreams of the old version that are counted, and how many failed.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::verdict::Evidence::default().at_old().spoiled, 0);
+    /// assert_eq!(sardinewood::direct::rollout::verdict::Evidence::default().at_old().bad, 0);
     /// ```
     #[must_use]
-    pub fn at_old(&self) -> Part {
+    pub fn at_old(&self) -> RequestCounts {
         all_of(&self.old)
     }
 
@@ -245,8 +248,8 @@
     /// assert!(sardinewood::direct::rollout::verdict::Evidence::default().by_route().is_empty());
     /// ```
     #[must_use]
-    pub fn by_route(&self) -> IndexMap<u32, (Part, Part)> {
-        let mut routes: IndexMap<u32, (Part, Part)> = IndexMap::new();
+    pub fn by_route(&self) -> IndexMap<u32, (RequestCounts, RequestCounts)> {
+        let mut routes: IndexMap<u32, (RequestCounts, RequestCounts)> = IndexMap::new();
         for (route, part) in self.new.values().flat_map(|at| &at.failures) {
             routes.entry(*route).or_default().0.add(*part);
         }
@@ -285,13 +288,13 @@
 
     /// How much likelier the failures are if the version is bad, on all routes or on one of them.
     fn failing_ln(&self, listed: usize) -> f64 {
-        let mut before: IndexMap<u32, Part> = IndexMap::new();
+        let mut before: IndexMap<u32, RequestCounts> = IndexMap::new();
         let old = without_worst(&self.old, |at| at.failed().share());
         for (route, part) in old.iter().flat_map(|at| &at.failures) {
             before.entry(*route).or_default().add(*part);
         }
         let usual = |route: &u32| usual_share(before.get(route).copied().unwrap_or_default());
-        let parts = |at: &AtUpstream, only: Option<u32>| -> Vec<(Part, f64)> {
+        let parts = |at: &AtUpstream, only: Option<u32>| -> Vec<(RequestCounts, f64)> {
             at.failures
                 .iter()
                 .filter(|(route, _)| only.is_none_or(|only| only == **route))
@@ -315,12 +318,12 @@
     /// was.
     fn fails_too_often(&self) -> bool {
         let (new, old) = (self.at_new(), self.at_old());
-        new.spoiled >= MOST_FAILED && new.share() >= FAILED_FACTOR * old.share() + FAILED_BEYOND
+        new.bad >= MOST_FAILED && new.share() >= FAILED_FACTOR * old.share() + FAILED_BEYOND
     }
 
     /// How much likelier the long answers are if a part of them is slow by the version's fault.
     fn slow_part_ln(&self, listed: usize) -> f64 {
-        let mut before = Part::default();
+        let mut before = RequestCounts::default();
         for at in without_worst(&self.old, |at| at.long().share()) {
             before.add(at.long());
         }
@@ -354,11 +357,11 @@
             return 0.0;
         };
         let from = quick + usize::from(LONG_STEPS);
-        let long = |at: &AtUpstream| Part {
+        let long = |at: &AtUpstream| RequestCounts {
             requests: at.timed(),
-            spoiled: at.times.iter().skip(from).sum(),
+            bad: at.times.iter().skip(from).sum(),
         };
-        let mut before = Part::default();
+        let mut before = RequestCounts::default();
         for at in self.old.values() {
             before.add(long(at));
         }
@@ -406,8 +409,8 @@
     step.filter(|_| all >= RANKED_AT_LEAST)
 }
 
-fn all_of(side: &IndexMap<u32, AtUpstream>) -> Part {
-    let mut all = Part::default();
+fn all_of(side: &IndexMap<u32, AtUpstream>) -> RequestCounts {
+    let mut all = RequestCounts::default();
     for at in side.values() {
         all.add(at.failed());
     }
@@ -417,28 +420,28 @@
 /// The upstreams of the old version without the worst third.
 fn without_worst(
     side: &IndexMap<u32, AtUpstream>,
-    spoiled: impl Fn(&AtUpstream) -> f64,
+    bad: impl Fn(&AtUpstream) -> f64,
 ) -> Vec<&AtUpstream> {
     let mut all: Vec<&AtUpstream> = side.values().collect();
-    all.sort_by(|one, other| spoiled(other).total_cmp(&spoiled(one)));
+    all.sort_by(|one, other| bad(other).total_cmp(&bad(one)));
     all.split_off(side.len() / 3)
 }
 
 /// The part that is usually spoiled, at least a little.
-fn usual_share(old: Part) -> f64 {
+fn usual_share(old: RequestCounts) -> f64 {
     let requests = f64::from(old.requests) + PRIOR_REQUESTS;
-    let share = (f64::from(old.spoiled) + PRIOR_FAILED) / requests;
+    let share = (f64::from(old.bad) + PRIOR_FAILED) / requests;
     // It is known only so well.
     (share + (share * (1.0 - share) / requests).sqrt()).clamp(0.01, 0.9)
 }
 
 /// How much likelier the requests at all upstreams are, as a logarithm, if the version spoils a part
 /// of them. Each upstream's come with the part that is usually spoiled.
-fn ratio_ln(upstreams: &[Vec<(Part, f64)>], faulty_part: f64) -> f64 {
-    let of_all = |spoiled: f64| -> f64 {
+fn ratio_ln(upstreams: &[Vec<(RequestCounts, f64)>], faulty_part: f64) -> f64 {
+    let of_all = |bad: f64| -> f64 {
         let ratios = upstreams.iter().map(|parts| {
             let good_ln = likelihood_ln(parts, 0.0);
-            let bad_ln = likelihood_ln(parts, spoiled);
+            let bad_ln = likelihood_ln(parts, bad);
             let faulty = FAULTY_FAILED.map(|failed| likelihood_ln(parts, failed));
             let most = faulty.into_iter().fold(good_ln.max(bad_ln), f64::max);
             let faulty: f64 = faulty.map(|ln| (ln - most).exp()).into_iter().sum();
@@ -454,11 +457,11 @@
 
 /// The odds that an upstream fails by itself, from those of the old version. While there is only one
 /// upstream of the new version, its faults are the version's.
-fn faulty_part(old: &[Vec<(Part, f64)>], listed: usize) -> f64 {
+fn faulty_part(old: &[Vec<(RequestCounts, f64)>], listed: usize) -> f64 {
     if listed <= 1 {
         return 0.0;
     }
-    let is_faulty = |parts: &&Vec<(Part, f64)>| {
+    let is_faulty = |parts: &&Vec<(RequestCounts, f64)>| {
         let good_ln = likelihood_ln(parts, 0.0);
         let ratios = FAULTY_FAILED.map(|failed| likelihood_ln(parts, failed) - good_ln);
         ratios.into_iter().fold(f64::NEG_INFINITY, f64::max) >= FAULTY_RATIO_LN
@@ -470,11 +473,11 @@
 
 /// How likely the requests at one upstream are, as a logarithm, if so large a part of those is
 /// spoiled that usually are not.
-fn likelihood_ln(parts: &[(Part, f64)], beyond: f64) -> f64 {
-    let of = |(part, usual): &(Part, f64)| {
-        let spoiled = usual + (1.0 - usual) * beyond;
-        let whole = f64::from(part.requests - part.spoiled);
-        f64::from(part.spoiled) * spoiled.ln() + whole * (1.0 - spoiled).ln()
+fn likelihood_ln(parts: &[(RequestCounts, f64)], beyond: f64) -> f64 {
+    let of = |(part, usual): &(RequestCounts, f64)| {
+        let bad = usual + (1.0 - usual) * beyond;
+        let whole = f64::from(part.requests - part.bad);
+        f64::from(part.bad) * bad.ln() + whole * (1.0 - bad).ln()
     };
     parts.iter().map(of).sum()
 }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -30,7 +30,7 @@
 use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::table::RunOutcome;
-use crate::direct::rollout::verdict::Part;
+use crate::direct::rollout::verdict::RequestCounts;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
@@ -290,7 +290,7 @@
         };
         let evidence = progress.evidence();
         let names = self.route_names();
-        let part = |part: Part| json!({"requests": part.requests, "failed": part.spoiled});
+        let part = |part: RequestCounts| json!({"requests": part.requests, "failed": part.bad});
         let routes: serde_json::Map<String, Value> = evidence
             .by_route()
             .into_iter()
