--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -18,7 +18,7 @@
 use crate::direct::rollout::outcome_counts::OutcomeKey;
 use crate::direct::rollout::verdict::Evidence;
 use crate::direct::rollout::verdict::RequestCounts;
-use crate::direct::rollout::verdict::Verdict;
+use crate::direct::rollout::verdict::VersionVerdict;
 use crate::numbers;
 use crate::numbers::signed;
 
@@ -131,7 +131,7 @@
     next_counts: NextCounts,
     others: IndexMap<u64, OutcomeCounts>,
     stages: IndexMap<SocketAddr, Stage>,
-    verdict: Verdict,
+    verdict: VersionVerdict,
     is_evidence_new: bool,
     verdict_at_ms: u64,
     judged_at_ms: u64,
@@ -188,7 +188,7 @@
             next_counts: NextCounts::default(),
             others: IndexMap::new(),
             stages: IndexMap::new(),
-            verdict: Verdict::Clean,
+            verdict: VersionVerdict::Clean,
             is_evidence_new: false,
             verdict_at_ms: 0,
             judged_at_ms: now_ms,
@@ -232,7 +232,7 @@
 
     /// What the evidence says so far.
     #[must_use]
-    pub fn verdict(&self) -> Verdict {
+    pub fn verdict(&self) -> VersionVerdict {
         self.verdict
     }
 
@@ -410,14 +410,14 @@
     }
 
     /// Judges by all evidence and by the latest: a version that has turned bad was good before.
-    fn judge(&self, new_upstreams: usize) -> Verdict {
+    fn judge(&self, new_upstreams: usize) -> VersionVerdict {
         let all = self.evidence().verdict(new_upstreams);
         if all.is_bad() {
             return all;
         }
         let first = self.rotation.saturating_sub(LATEST_TURNS - 1);
         let latest = self.evidence_since(first).verdict(new_upstreams);
-        if latest == Verdict::Clean {
+        if latest == VersionVerdict::Clean {
             all
         } else {
             latest
@@ -428,8 +428,8 @@
         let is_slow = self.seems_slow_for_too_long(now_ms);
         if self.phase != RolloutPhase::Rejected && (self.verdict.is_bad() || is_slow) {
             let reason = match self.verdict {
-                Verdict::Failing => DecisionReason::Failing,
-                Verdict::PartlySlow => DecisionReason::PartlySlow,
+                VersionVerdict::Failing => DecisionReason::Failing,
+                VersionVerdict::PartlySlow => DecisionReason::PartlySlow,
                 _ => DecisionReason::Slow,
             };
             return self.change(RolloutPhase::Rejected, reason, now_ms);
@@ -455,7 +455,7 @@
         let is_over = elapsed_ms + LAST_WRITE_MS >= window_ms;
         let lacks = self.lacks(facts);
         match lacks {
-            None if self.is_on_hold() || self.verdict != Verdict::Clean => {}
+            None if self.is_on_hold() || self.verdict != VersionVerdict::Clean => {}
             None => return self.change(RolloutPhase::Shifting, DecisionReason::Clean, now_ms),
             Some(_) => {}
         }
@@ -468,7 +468,7 @@
 
     /// Whether so many requests were perhaps bad answers that no more may be sent there soon.
     fn seems_slow_for_too_long(&mut self, now_ms: u64) -> bool {
-        let is_much = self.verdict == Verdict::SeemsSlow
+        let is_much = self.verdict == VersionVerdict::SeemsSlow
             && self.evidence().at_new().requests >= SEEMS_SLOW_REQUESTS;
         if !is_much {
             self.slow_since_ms = None;
@@ -546,7 +546,7 @@
         let is_due = facts.coordinator_rank == Some(0) && self.is_turn_over(now_ms);
         let rotation = self.rotation.saturating_add(u8::from(is_due));
         let mut has_turned = self.take_turn(rotation, now_ms);
-        if self.verdict == Verdict::SeemsSlow && self.concurrent_canaries < WIDE {
+        if self.verdict == VersionVerdict::SeemsSlow && self.concurrent_canaries < WIDE {
             self.concurrent_canaries = WIDE;
             has_turned = true;
         }
@@ -558,7 +558,7 @@
             .allowance
             .early_ms(window_ms, self.exposure.fixed_part());
         let shift_ms = self.allowance.shift_ms(window_ms);
-        let is_early = self.verdict == Verdict::Clean
+        let is_early = self.verdict == VersionVerdict::Clean
             && !self.is_on_hold()
             && self.exposure.at_new() > 0
             && self.elapsed_ms(now_ms) + shift_ms + early_ms >= window_ms
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -57,7 +57,7 @@
 
 /// What the evidence says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum VersionVerdict {
     /// Nothing speaks against the new version.
     Clean,
     /// Something does, and may be chance.
@@ -72,13 +72,13 @@
     Slow,
 }
 
-impl Verdict {
+impl VersionVerdict {
     /// Whether the version has to go.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::verdict::Verdict;
+    /// use sardinewood::direct::rollout::verdict::VersionVerdict;
     ///
-    /// assert!(Verdict::Slow.is_bad() && !Verdict::Doubtful.is_bad());
+    /// assert!(VersionVerdict::Slow.is_bad() && !VersionVerdict::Doubtful.is_bad());
     /// ```
     #[must_use]
     pub fn is_bad(self) -> bool {
@@ -88,7 +88,7 @@
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::verdict::Verdict::Clean.name(), "clean");
+    /// assert_eq!(sardinewood::direct::rollout::verdict::VersionVerdict::Clean.name(), "clean");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -189,14 +189,14 @@
 ///
 /// ```
 /// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass};
-/// use sardinewood::direct::rollout::verdict::{Evidence, Verdict};
+/// use sardinewood::direct::rollout::verdict::{Evidence, VersionVerdict};
 ///
 /// let cell = |upstream, outcome| OutcomeKey { is_new: true, upstream, route: 1, rotation: 0, outcome };
 /// let mut evidence = Evidence::default();
 /// for upstream in [1, 2, 3] {
 ///     evidence.add(cell(upstream, OutcomeClass::Failed), 6);
 /// }
-/// assert_eq!(evidence.verdict(2), Verdict::Failing);
+/// assert_eq!(evidence.verdict(2), VersionVerdict::Failing);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
@@ -263,26 +263,26 @@
     /// than the one that fails, it alone proves nothing.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::verdict::{Evidence, Verdict};
-    /// assert_eq!(Evidence::default().verdict(3), Verdict::Clean);
+    /// # use sardinewood::direct::rollout::verdict::{Evidence, VersionVerdict};
+    /// assert_eq!(Evidence::default().verdict(3), VersionVerdict::Clean);
     /// ```
     #[must_use]
-    pub fn verdict(&self, listed: usize) -> Verdict {
+    pub fn verdict(&self, listed: usize) -> VersionVerdict {
         let failing = self.failing_ln(listed);
         let slow_part = self.slow_part_ln(listed);
         let slower = self.slower_ln();
         if failing >= BAD_RATIO_LN || self.fails_too_often() {
-            Verdict::Failing
+            VersionVerdict::Failing
         } else if slow_part >= BAD_RATIO_LN {
-            Verdict::PartlySlow
+            VersionVerdict::PartlySlow
         } else if slower >= SLOWER_RATIO_LN || self.slow_anywhere_ln(listed) >= SLOW_ANYWHERE_LN {
-            Verdict::Slow
+            VersionVerdict::Slow
         } else if slower > 0.0 {
-            Verdict::SeemsSlow
+            VersionVerdict::SeemsSlow
         } else if failing.max(slow_part) >= DOUBT_RATIO_LN {
-            Verdict::Doubtful
+            VersionVerdict::Doubtful
         } else {
-            Verdict::Clean
+            VersionVerdict::Clean
         }
     }
 
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -22,7 +22,7 @@
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunOutcome;
 use sardinewood::direct::rollout::verdict::Evidence;
-use sardinewood::direct::rollout::verdict::Verdict;
+use sardinewood::direct::rollout::verdict::VersionVerdict;
 use sardinewood::direct::view::directory::Upstream;
 
 use crate::direct_fixture;
@@ -138,7 +138,7 @@
 fn verdict_failing_everywhere_is_bad() {
     // Guards against shifting to a version of which two in five requests fail.
     let judged = evidence(&[(5, 4), (6, 3), (5, 4)], &[(100, 1), (100, 0), (100, 0)]);
-    assert_eq!(judged.verdict(4), Verdict::Failing);
+    assert_eq!(judged.verdict(4), VersionVerdict::Failing);
 }
 
 #[test]
@@ -148,7 +148,7 @@
         &[(26, 4), (25, 5), (27, 3)],
         &[(86, 14), (85, 15), (88, 12)],
     );
-    assert_eq!(judged.verdict(4), Verdict::Clean);
+    assert_eq!(judged.verdict(4), VersionVerdict::Clean);
 }
 
 #[test]
@@ -165,7 +165,7 @@
     ] {
         judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
     }
-    assert_eq!(judged.verdict(4), Verdict::Clean);
+    assert_eq!(judged.verdict(4), VersionVerdict::Clean);
 }
 
 #[test]
@@ -177,7 +177,7 @@
             judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
         }
     }
-    assert_eq!(judged.verdict(6), Verdict::Slow);
+    assert_eq!(judged.verdict(6), VersionVerdict::Slow);
 }
 
 #[test]
@@ -189,7 +189,7 @@
             judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), count);
         }
     }
-    assert_eq!(judged.verdict(4), Verdict::PartlySlow);
+    assert_eq!(judged.verdict(4), VersionVerdict::PartlySlow);
 }
 
 #[test]
