--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -16,8 +16,8 @@
 use crate::direct::rollout::outcome_counts::OutcomeClass;
 use crate::direct::rollout::outcome_counts::OutcomeCounts;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
-use crate::direct::rollout::verdict::Evidence;
 use crate::direct::rollout::verdict::RequestCounts;
+use crate::direct::rollout::verdict::VersionEvidence;
 use crate::direct::rollout::verdict::VersionVerdict;
 use crate::numbers;
 use crate::numbers::signed;
@@ -256,12 +256,12 @@
 
     /// All evidence that this entry knows.
     #[must_use]
-    pub fn evidence(&self) -> Evidence {
+    pub fn evidence(&self) -> VersionEvidence {
         self.evidence_since(0)
     }
 
-    fn evidence_since(&self, rotation: u8) -> Evidence {
-        let mut evidence = Evidence::default();
+    fn evidence_since(&self, rotation: u8) -> VersionEvidence {
+        let mut evidence = VersionEvidence::default();
         for tally in self.others.values().chain([&self.own]) {
             let cells = tally.iter();
             for (cell, count) in cells.filter(|(cell, _)| cell.rotation >= rotation) {
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -189,27 +189,27 @@
 ///
 /// ```
 /// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass};
-/// use sardinewood::direct::rollout::verdict::{Evidence, VersionVerdict};
+/// use sardinewood::direct::rollout::verdict::{VersionEvidence, VersionVerdict};
 ///
 /// let cell = |upstream, outcome| OutcomeKey { is_new: true, upstream, route: 1, rotation: 0, outcome };
-/// let mut evidence = Evidence::default();
+/// let mut evidence = VersionEvidence::default();
 /// for upstream in [1, 2, 3] {
 ///     evidence.add(cell(upstream, OutcomeClass::Failed), 6);
 /// }
 /// assert_eq!(evidence.verdict(2), VersionVerdict::Failing);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct VersionEvidence {
     new: IndexMap<u32, AtUpstream>,
     old: IndexMap<u32, AtUpstream>,
 }
 
-impl Evidence {
+impl VersionEvidence {
     /// Adds requests.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{outcome_counts::{OutcomeKey, OutcomeClass}, verdict::Evidence};
-    /// let mut evidence = Evidence::default();
+    /// # use sardinewood::direct::rollout::{outcome_counts::{OutcomeKey, OutcomeClass}, verdict::VersionEvidence};
+    /// let mut evidence = VersionEvidence::default();
     /// evidence.add(OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Untimed }, 3);
     /// assert_eq!(evidence.at_new().requests, 3);
     /// ```
@@ -225,7 +225,7 @@
     /// Requests at the new version, and how many failed.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::verdict::Evidence::default().at_new().bad, 0);
+    /// assert_eq!(sardinewood::direct::rollout::verdict::VersionEvidence::default().at_new().bad, 0);
     /// ```
     #[must_use]
     pub fn at_new(&self) -> RequestCounts {
@@ -235,7 +235,7 @@
     /// Requests at those upstreams of the old version that are counted, and how many failed.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::rollout::verdict::Evidence::default().at_old().bad, 0);
+    /// assert_eq!(sardinewood::direct::rollout::verdict::VersionEvidence::default().at_old().bad, 0);
     /// ```
     #[must_use]
     pub fn at_old(&self) -> RequestCounts {
@@ -245,7 +245,7 @@
     /// Requests by route, at the new and at the old version.
     ///
     /// ```
-    /// assert!(sardinewood::direct::rollout::verdict::Evidence::default().by_route().is_empty());
+    /// assert!(sardinewood::direct::rollout::verdict::VersionEvidence::default().by_route().is_empty());
     /// ```
     #[must_use]
     pub fn by_route(&self) -> IndexMap<u32, (RequestCounts, RequestCounts)> {
@@ -263,8 +263,8 @@
     /// than the one that fails, it alone proves nothing.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::verdict::{Evidence, VersionVerdict};
-    /// assert_eq!(Evidence::default().verdict(3), VersionVerdict::Clean);
+    /// # use sardinewood::direct::rollout::verdict::{VersionEvidence, VersionVerdict};
+    /// assert_eq!(VersionEvidence::default().verdict(3), VersionVerdict::Clean);
     /// ```
     #[must_use]
     pub fn verdict(&self, listed: usize) -> VersionVerdict {
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -21,7 +21,7 @@
 use sardinewood::direct::rollout::serving_versions::Versions;
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunOutcome;
-use sardinewood::direct::rollout::verdict::Evidence;
+use sardinewood::direct::rollout::verdict::VersionEvidence;
 use sardinewood::direct::rollout::verdict::VersionVerdict;
 use sardinewood::direct::view::directory::Upstream;
 
@@ -113,8 +113,8 @@
 }
 
 /// Requests at upstreams of the new version, and as many at the old ones, all on one route.
-fn evidence(new: &[(u32, u32)], old: &[(u32, u32)]) -> Evidence {
-    let mut evidence = Evidence::default();
+fn evidence(new: &[(u32, u32)], old: &[(u32, u32)]) -> VersionEvidence {
+    let mut evidence = VersionEvidence::default();
     for (is_new, parts) in [(true, new), (false, old)] {
         for (upstream, (whole, failed)) in (1..).zip(parts) {
             evidence.add(cell(is_new, upstream, OutcomeClass::Took(6)), *whole);
@@ -154,7 +154,7 @@
 #[test]
 fn verdict_slow_upstreams_of_both_versions_are_no_fault() {
     // Guards against a verdict from upstreams that are four times slower, as some of each version are.
-    let mut judged = Evidence::default();
+    let mut judged = VersionEvidence::default();
     for (is_new, upstream, step) in [
         (true, 1, 10),
         (true, 2, 10),
@@ -171,7 +171,7 @@
 #[test]
 fn verdict_all_slower_is_bad() {
     // Guards against shifting to a version whose requests all take eight times as long.
-    let mut judged = Evidence::default();
+    let mut judged = VersionEvidence::default();
     for upstream in 1..=6 {
         for (is_new, step) in [(true, 12), (false, 6)] {
             judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
@@ -183,7 +183,7 @@
 #[test]
 fn verdict_part_slower_is_bad() {
     // Guards against shifting to a version of which two in five requests take six times as long.
-    let mut judged = Evidence::default();
+    let mut judged = VersionEvidence::default();
     for upstream in 1..=4 {
         for (is_new, step, count) in [(true, 6, 12), (true, 11, 8), (false, 6, 60)] {
             judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), count);
