--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use rand_distr::Distribution;
 use rand_distr::LogNormal;
-use sardinewood::direct::rollout::exposure::Allowance;
+use sardinewood::direct::rollout::exposure::ExposureLimit;
 use sardinewood::direct::rollout::message::RolloutMessage;
 use sardinewood::direct::rollout::message::coordinators;
 use sardinewood::direct::rollout::object::Rollout;
@@ -32,9 +32,9 @@
 /// Port of all entries.
 const PORT: u16 = 7;
 const SERVICE: &str = "s";
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: ExposureLimit = ExposureLimit {
     share: 0.1,
-    slack: 50.0,
+    slack_requests: 50.0,
 };
 /// Bad answers after which the version has to be left alone, and how soon.
 const BAD_ANSWERS: usize = 50;
@@ -147,7 +147,7 @@
 
 impl Ended {
     fn allowed(&self) -> f64 {
-        ALLOWANCE.share * numbers::as_f64(self.requests as u64) + ALLOWANCE.slack
+        ALLOWANCE.share * numbers::as_f64(self.requests as u64) + ALLOWANCE.slack_requests
     }
 
     /// What the new version had, as a part of what it may have.
--- a/lib/src/direct/rollout/exposure.rs
+++ b/lib/src/direct/rollout/exposure.rs
@@ -26,22 +26,22 @@
 
 /// What a version may get that may be bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct ExposureLimit {
     /// Part of the requests that reach the service within the window.
     pub share: f64,
     /// Requests beyond that.
-    pub slack: f64,
+    pub slack_requests: f64,
 }
 
-impl Allowance {
+impl ExposureLimit {
     /// How long before the end of the window all requests go to the new version: as many as come
     /// meanwhile are within the allowance, so that a version that turns bad at the last moment has
     /// not had more.
     ///
     /// ```
-    /// use sardinewood::direct::rollout::exposure::Allowance;
+    /// use sardinewood::direct::rollout::exposure::ExposureLimit;
     ///
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert_eq!(allowance.shift_ms(60_000), 2_100);
     /// ```
     #[must_use]
@@ -56,8 +56,8 @@
     /// part of all can't be.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::Allowance;
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::ExposureLimit;
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert_eq!(allowance.early_ms(12_000, 0.25), 1_200);
     /// assert_eq!(allowance.early_ms(60_000, 0.0), 6_000);
     /// ```
@@ -73,9 +73,9 @@
 /// What one entry sends to the version that is judged.
 ///
 /// ```
-/// use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
+/// use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
 ///
-/// let allowance = Allowance { share: 0.1, slack: 50.0 };
+/// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
 /// let mut exposure = Exposure::new(allowance, 0.0);
 /// let trials = (0..1_000).filter(|_| {
 ///     let is_trial = exposure.is_due(1, 0.0, 0.5);
@@ -101,12 +101,12 @@
     /// Of an entry that may send so many requests of the fixed allowance.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert!(Exposure::new(allowance, 2.0).is_due(1, 0.5, 0.0));
     /// ```
     #[must_use]
-    pub fn new(allowance: Allowance, first: f64) -> Self {
+    pub fn new(allowance: ExposureLimit, first: f64) -> Self {
         Self {
             part: allowance.share * JUDGING_PART,
             first,
@@ -121,21 +121,21 @@
     /// Requests of the fixed allowance that one of so many entries may begin with.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert!((Exposure::first_of(allowance, 10) - 3.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn first_of(allowance: Allowance, entries: usize) -> f64 {
-        allowance.slack * FIRST_PART / numbers::as_f64(entries.max(1) as u64)
+    pub fn first_of(allowance: ExposureLimit, entries: usize) -> f64 {
+        allowance.slack_requests * FIRST_PART / numbers::as_f64(entries.max(1) as u64)
     }
 
     /// Whether a route's next request may go to the new version, when such a part of the window has
     /// passed. `random` is from 0 to 1; it is where the route begins, so that routes with few requests at each entry have their part.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert!(!Exposure::new(allowance, 0.0).is_due(1, 0.5, 0.0));
     /// ```
     pub fn is_due(&mut self, route: u32, passed: f64, random: f64) -> bool {
@@ -148,8 +148,8 @@
     /// Notes that a request was sent to an upstream of the service.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// let mut exposure = Exposure::new(allowance, 0.0);
     /// exposure.record_dispatch(1, true, false);
     /// assert_eq!((exposure.total(), exposure.at_new()), (1, 1));
@@ -174,8 +174,8 @@
     /// Requests sent to any upstream of the service.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert_eq!(Exposure::new(allowance, 0.0).total(), 0);
     /// ```
     #[must_use]
@@ -186,8 +186,8 @@
     /// Those that went to the new version.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert_eq!(Exposure::new(allowance, 0.0).at_new(), 0);
     /// ```
     #[must_use]
@@ -198,8 +198,8 @@
     /// Part of the requests that could not be moved to another upstream.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{Allowance, Exposure};
-    /// let allowance = Allowance { share: 0.1, slack: 50.0 };
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
     /// assert!(Exposure::new(allowance, 0.0).fixed_part() < 1e-9);
     /// ```
     #[must_use]
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -4,8 +4,8 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::exposure::Allowance;
 use crate::direct::rollout::exposure::Exposure;
+use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::message::DecisionReason;
 use crate::direct::rollout::message::EvidenceReport;
 use crate::direct::rollout::message::NextCounts;
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug)]
 pub struct RolloutProgress {
     rollout: Rollout,
-    allowance: Allowance,
+    allowance: ExposureLimit,
     incarnation: u64,
     /// When the order was first seen anywhere, by this entry's clock; it may lie before its start.
     began_ms: i64,
@@ -157,7 +157,7 @@
     #[must_use]
     pub fn new(
         rollout: Rollout,
-        allowance: Allowance,
+        allowance: ExposureLimit,
         incarnation: u64,
         entries: usize,
         elapsed_ms: u64,
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexSet;
 
 use crate::direct::placement::dispatch::short_name;
-use crate::direct::rollout::exposure::Allowance;
+use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::RolloutPhase;
 use crate::direct::rollout::message::RolloutState;
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug)]
 pub struct RolloutTable {
     /// None where versions mean nothing, so that all upstreams serve.
-    allowance: Option<Allowance>,
+    allowance: Option<ExposureLimit>,
     incarnation: u64,
     versions: Versions,
     rollouts: IndexMap<Arc<str>, RolloutProgress>,
@@ -104,7 +104,7 @@
 impl RolloutTable {
     /// An entry's that knows nothing yet. Without an allowance versions mean nothing.
     #[must_use]
-    pub fn new(allowance: Option<Allowance>, incarnation: u64) -> Self {
+    pub fn new(allowance: Option<ExposureLimit>, incarnation: u64) -> Self {
         Self {
             allowance,
             incarnation,
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -38,7 +38,7 @@
 use crate::direct::replication::store_follower::StoreAnswers;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::front;
-use crate::direct::rollout::exposure::Allowance;
+use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::table::RolloutTable;
@@ -94,7 +94,7 @@
     /// How far beyond their allotments customers may get.
     pub tolerance: Tolerance,
     /// What a version may get that may be bad; none if versions mean nothing here.
-    pub rollouts: Option<Allowance>,
+    pub rollouts: Option<ExposureLimit>,
     /// Time between the signal to stop and the end by force.
     pub stop_within: Duration,
     /// The longest rest that an upstream is given, whatever it asks for.
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::rollout::exposure::Allowance;
 use sardinewood::direct::rollout::exposure::Exposure;
+use sardinewood::direct::rollout::exposure::ExposureLimit;
 use sardinewood::direct::rollout::message::DecisionReason;
 use sardinewood::direct::rollout::message::RolloutMessage;
 use sardinewood::direct::rollout::message::RolloutPhase;
@@ -27,9 +27,9 @@
 
 use crate::direct_fixture;
 
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: ExposureLimit = ExposureLimit {
     share: 0.1,
-    slack: 50.0,
+    slack_requests: 50.0,
 };
 const WINDOW_MS: u64 = 12_000;
 
