--- a/lib/src/direct/rollout/exposure.rs
+++ b/lib/src/direct/rollout/exposure.rs
@@ -73,19 +73,19 @@
 /// What one entry sends to the version that is judged.
 ///
 /// ```
-/// use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+/// use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
 ///
 /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-/// let mut exposure = Exposure::new(allowance, 0.0);
+/// let mut exposure = ExposureBudget::new(allowance, 0.0);
 /// let trials = (0..1_000).filter(|_| {
-///     let is_trial = exposure.is_due(1, 0.0, 0.5);
+///     let is_trial = exposure.may_send_canary(1, 0.0, 0.5);
 ///     exposure.record_dispatch(1, is_trial, true);
 ///     is_trial
 /// });
 /// assert_eq!(trials.count(), 30);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Exposure {
+pub struct ExposureBudget {
     part: f64,
     /// Requests of the fixed allowance that are left to this entry.
     first: f64,
@@ -97,13 +97,13 @@
     sent_fixed: u64,
 }
 
-impl Exposure {
+impl ExposureBudget {
     /// Of an entry that may send so many requests of the fixed allowance.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// assert!(Exposure::new(allowance, 2.0).is_due(1, 0.5, 0.0));
+    /// assert!(ExposureBudget::new(allowance, 2.0).may_send_canary(1, 0.5, 0.0));
     /// ```
     #[must_use]
     pub fn new(allowance: ExposureLimit, first: f64) -> Self {
@@ -121,9 +121,9 @@
     /// Requests of the fixed allowance that one of so many entries may begin with.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// assert!((Exposure::first_of(allowance, 10) - 3.0).abs() < 1e-9);
+    /// assert!((ExposureBudget::first_of(allowance, 10) - 3.0).abs() < 1e-9);
     /// ```
     #[must_use]
     pub fn first_of(allowance: ExposureLimit, entries: usize) -> f64 {
@@ -134,11 +134,11 @@
     /// passed. `random` is from 0 to 1; it is where the route begins, so that routes with few requests at each entry have their part.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// assert!(!Exposure::new(allowance, 0.0).is_due(1, 0.5, 0.0));
+    /// assert!(!ExposureBudget::new(allowance, 0.0).may_send_canary(1, 0.5, 0.0));
     /// ```
-    pub fn is_due(&mut self, route: u32, passed: f64, random: f64) -> bool {
+    pub fn may_send_canary(&mut self, route: u32, passed: f64, random: f64) -> bool {
         let part = self.part;
         let credit = self.credits.entry(route).or_insert(random);
         let first = self.first * (passed * FIRST_SPEED).min(1.0);
@@ -148,9 +148,9 @@
     /// Notes that a request was sent to an upstream of the service.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// let mut exposure = Exposure::new(allowance, 0.0);
+    /// let mut exposure = ExposureBudget::new(allowance, 0.0);
     /// exposure.record_dispatch(1, true, false);
     /// assert_eq!((exposure.total(), exposure.at_new()), (1, 1));
     /// ```
@@ -174,9 +174,9 @@
     /// Requests sent to any upstream of the service.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// assert_eq!(Exposure::new(allowance, 0.0).total(), 0);
+    /// assert_eq!(ExposureBudget::new(allowance, 0.0).total(), 0);
     /// ```
     #[must_use]
     pub fn total(&self) -> u64 {
@@ -186,9 +186,9 @@
     /// Those that went to the new version.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// assert_eq!(Exposure::new(allowance, 0.0).at_new(), 0);
+    /// assert_eq!(ExposureBudget::new(allowance, 0.0).at_new(), 0);
     /// ```
     #[must_use]
     pub fn at_new(&self) -> u64 {
@@ -198,9 +198,9 @@
     /// Part of the requests that could not be moved to another upstream.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, Exposure};
+    /// # use sardinewood::direct::rollout::exposure::{ExposureLimit, ExposureBudget};
     /// let allowance = ExposureLimit { share: 0.1, slack_requests: 50.0 };
-    /// assert!(Exposure::new(allowance, 0.0).fixed_part() < 1e-9);
+    /// assert!(ExposureBudget::new(allowance, 0.0).fixed_part() < 1e-9);
     /// ```
     #[must_use]
     pub fn fixed_part(&self) -> f64 {
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::rollout::exposure::Exposure;
+use crate::direct::rollout::exposure::ExposureBudget;
 use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::message::DecisionReason;
 use crate::direct::rollout::message::EvidenceReport;
@@ -126,7 +126,7 @@
     reason: DecisionReason,
     /// Odd while an operator keeps it from being shifted; counts up with each change.
     hold_changes: u32,
-    exposure: Exposure,
+    exposure: ExposureBudget,
     own: OutcomeCounts,
     next_counts: NextCounts,
     others: IndexMap<u64, OutcomeCounts>,
@@ -167,7 +167,7 @@
         // An entry that starts in the middle can't know what was spent before.
         let is_new = rollout.status == RolloutStatus::Ordered && elapsed_ms < NEW_MS;
         let first = if is_new {
-            Exposure::first_of(allowance, entries)
+            ExposureBudget::first_of(allowance, entries)
         } else {
             0.0
         };
@@ -183,7 +183,7 @@
             phase: RolloutPhase::Judging,
             reason: DecisionReason::Begun,
             hold_changes: 0,
-            exposure: Exposure::new(allowance, first),
+            exposure: ExposureBudget::new(allowance, first),
             own,
             next_counts: NextCounts::default(),
             others: IndexMap::new(),
@@ -250,7 +250,7 @@
 
     /// What is sent where by this entry.
     #[must_use]
-    pub fn exposure(&self) -> &Exposure {
+    pub fn exposure(&self) -> &ExposureBudget {
         &self.exposure
     }
 
@@ -302,7 +302,7 @@
         if is_pinned && self.is_early {
             return RequestTarget::Canary;
         }
-        if is_burst && self.exposure.is_due(route, passed, random) {
+        if is_burst && self.exposure.may_send_canary(route, passed, random) {
             return RequestTarget::Canary;
         }
         RequestTarget::Serving
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::rollout::exposure::Exposure;
+use sardinewood::direct::rollout::exposure::ExposureBudget;
 use sardinewood::direct::rollout::exposure::ExposureLimit;
 use sardinewood::direct::rollout::message::DecisionReason;
 use sardinewood::direct::rollout::message::RolloutMessage;
@@ -247,10 +247,10 @@
     // Guards against an allowance that is spent anew by each start of an entry.
     let mut sent = (0.0, 0.0);
     for start in 0..200 {
-        let mut exposure = Exposure::new(ALLOWANCE, 0.0);
+        let mut exposure = ExposureBudget::new(ALLOWANCE, 0.0);
         for _ in 0..30 {
             let random = f64::from(start) / 200.0;
-            let is_trial = exposure.is_due(1, 0.5, random);
+            let is_trial = exposure.may_send_canary(1, 0.5, random);
             exposure.record_dispatch(1, is_trial, false);
             sent.0 += 1.0;
             sent.1 += f64::from(u8::from(is_trial));
