--- a/lib/src/direct/rollout/serving_versions.rs
+++ b/lib/src/direct/rollout/serving_versions.rs
@@ -11,21 +11,21 @@
 /// The versions that serve, by service. One that nobody ordered gets nothing.
 ///
 /// ```
-/// use sardinewood::direct::rollout::serving_versions::Versions;
+/// use sardinewood::direct::rollout::serving_versions::ServingVersions;
 ///
-/// assert_eq!(Versions::default().serving("s"), None);
+/// assert_eq!(ServingVersions::default().serving("s"), None);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Versions {
+pub struct ServingVersions {
     serving: IndexMap<Arc<str>, Arc<str>>,
 }
 
-impl Versions {
+impl ServingVersions {
     /// The version that serves, if any upstream of the service was ever listed.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::serving_versions::Versions;
-    /// assert_eq!(Versions::default().serving("s"), None);
+    /// # use sardinewood::direct::rollout::serving_versions::ServingVersions;
+    /// assert_eq!(ServingVersions::default().serving("s"), None);
     /// ```
     #[must_use]
     pub fn serving(&self, service: &str) -> Option<&Arc<str>> {
@@ -38,8 +38,8 @@
     /// upstreams are listed beside the old ones, at times before their order can be read.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::serving_versions::Versions;
-    /// Versions::default().update(&[], &[]);
+    /// # use sardinewood::direct::rollout::serving_versions::ServingVersions;
+    /// ServingVersions::default().update(&[], &[]);
     /// ```
     pub fn update(&mut self, upstreams: &[Arc<Upstream>], rollouts: &[Rollout]) {
         for rollout in rollouts {
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -19,7 +19,7 @@
 use crate::direct::rollout::progress::RequestTarget;
 use crate::direct::rollout::progress::RolloutAction;
 use crate::direct::rollout::progress::RolloutProgress;
-use crate::direct::rollout::serving_versions::Versions;
+use crate::direct::rollout::serving_versions::ServingVersions;
 use crate::direct::rollout::verdict::RequestCounts;
 use crate::direct::view::directory::Upstream;
 
@@ -88,7 +88,7 @@
     /// None where versions mean nothing, so that all upstreams serve.
     allowance: Option<ExposureLimit>,
     incarnation: u64,
-    versions: Versions,
+    versions: ServingVersions,
     rollouts: IndexMap<Arc<str>, RolloutProgress>,
     withdrawn: IndexMap<RolloutId, u64>,
     upstreams: Vec<Arc<Upstream>>,
@@ -108,7 +108,7 @@
         Self {
             allowance,
             incarnation,
-            versions: Versions::default(),
+            versions: ServingVersions::default(),
             rollouts: IndexMap::new(),
             withdrawn: IndexMap::new(),
             upstreams: Vec::new(),
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -18,7 +18,7 @@
 use sardinewood::direct::rollout::progress::RequestTarget;
 use sardinewood::direct::rollout::progress::RolloutAction;
 use sardinewood::direct::rollout::progress::RolloutProgress;
-use sardinewood::direct::rollout::serving_versions::Versions;
+use sardinewood::direct::rollout::serving_versions::ServingVersions;
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunOutcome;
 use sardinewood::direct::rollout::verdict::VersionEvidence;
@@ -213,7 +213,7 @@
 #[test]
 fn versions_completed_order_serves_alone() {
     // Guards against an entry that starts after a roll-out and goes back to the old version.
-    let mut versions = Versions::default();
+    let mut versions = ServingVersions::default();
     versions.update(&both(2), &[rollout(10, RolloutStatus::Completed)]);
     assert_eq!(
         versions.serving("pool").map(|version| &**version),
@@ -224,7 +224,7 @@
 #[test]
 fn versions_reverted_order_never_serves() {
     // Guards against a version that was given up and serves since the old one restarted.
-    let mut versions = Versions::default();
+    let mut versions = ServingVersions::default();
     let restarted = [upstream(500, "v1"), upstream(101, "v2")];
     versions.update(&restarted, &[rollout(10, RolloutStatus::Reverted)]);
     assert_eq!(
