--- a/lib/src/direct/request/rollout_page.rs
+++ b/lib/src/direct/request/rollout_page.rs
@@ -9,7 +9,7 @@
 
 use crate::direct::request::page::said;
 use crate::direct::request::page::shown;
-use crate::direct::rollout_driver::Command;
+use crate::direct::rollout_driver::RolloutCommand;
 use crate::direct::traffic::Traffic;
 
 const USAGE: &str = "GET /rollouts, or POST /rollouts/SERVICE/hold, /resume or /revert\n";
@@ -21,7 +21,7 @@
     match (method, rest, command) {
         (&Method::GET, "" | "/", _) => list(traffic),
         (&Method::POST, _, Some((service, command))) => {
-            if traffic.command_rollout(service, command) {
+            if traffic.apply_rollout_command(service, command) {
                 said(
                     StatusCode::OK,
                     "done, here and at all entries that are heard\n",
@@ -39,12 +39,12 @@
     }
 }
 
-fn parse(rest: &str) -> Option<(&str, Command)> {
+fn parse(rest: &str) -> Option<(&str, RolloutCommand)> {
     let (service, command) = rest.rsplit_once('/')?;
     let command = match command {
-        "hold" => Command::Hold,
-        "resume" => Command::Resume,
-        "revert" => Command::Revert,
+        "hold" => RolloutCommand::Hold,
+        "resume" => RolloutCommand::Resume,
+        "revert" => RolloutCommand::Revert,
         _ => return None,
     };
     Some((service, command))
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -47,7 +47,7 @@
 
 /// What an operator wants of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Command {
+pub enum RolloutCommand {
     /// It is not shifted until it is let go on.
     Hold,
     /// It goes on.
@@ -56,7 +56,7 @@
     Revert,
 }
 
-impl Command {
+impl RolloutCommand {
     fn name(self) -> &'static str {
         match self {
             Self::Hold => "hold",
@@ -236,13 +236,13 @@
     }
 
     /// Does what an operator wants of a service's roll-out; whether that changed anything.
-    pub fn command_rollout(&self, service: &str, command: Command) -> bool {
+    pub fn apply_rollout_command(&self, service: &str, command: RolloutCommand) -> bool {
         let now_ms = self.now_ms();
         let mut table = self.rollouts.borrow_mut();
         let all = match command {
-            Command::Hold => table.set_hold(service, true, now_ms),
-            Command::Resume => table.set_hold(service, false, now_ms),
-            Command::Revert => table.reject(service, now_ms),
+            RolloutCommand::Hold => table.set_hold(service, true, now_ms),
+            RolloutCommand::Resume => table.set_hold(service, false, now_ms),
+            RolloutCommand::Revert => table.reject(service, now_ms),
         };
         drop(table);
         if all.is_empty() {
