--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -67,13 +67,13 @@
 }
 
 /// The statuses that are to be written.
-pub type DueStatuses = UnboundedSender<(Rollout, RolloutStatus)>;
+pub type StatusWriter = UnboundedSender<(Rollout, RolloutStatus)>;
 
 /// Looks after orders until the process ends.
 pub async fn run(
     traffic: Rc<Traffic>,
     mut view: watch::Receiver<Option<OrderView>>,
-    due: DueStatuses,
+    due: StatusWriter,
 ) {
     loop {
         let pause = if traffic.rollouts.borrow().has_open_rollouts() {
@@ -162,7 +162,7 @@
         peers.known() + peers.unmet(self.now_ms())
     }
 
-    fn step_rollouts(&self, due: &DueStatuses) {
+    fn step_rollouts(&self, due: &StatusWriter) {
         if self.rollouts.borrow().is_empty() {
             return;
         }
@@ -196,7 +196,7 @@
         service: &str,
         next: RolloutAction,
         coordinators: &[SocketAddr],
-        due: &DueStatuses,
+        due: &StatusWriter,
     ) {
         match self.carry_out_here(service, next) {
             Some(RolloutAction::Report(report)) => {
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -43,7 +43,7 @@
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::rollout::table::RolloutTable;
 use crate::direct::rollout_driver;
-use crate::direct::rollout_driver::DueStatuses;
+use crate::direct::rollout_driver::StatusWriter;
 use crate::direct::sharing::allotment::Tolerance;
 use crate::direct::sharing::attempt_budget::AttemptLimits;
 use crate::direct::traffic::Traffic;
@@ -216,7 +216,7 @@
     view: watch::Receiver<View>,
     own: watch::Sender<Revisions>,
     links: ControlLinks,
-    (orders, due): (watch::Receiver<Option<OrderView>>, DueStatuses),
+    (orders, due): (watch::Receiver<Option<OrderView>>, StatusWriter),
     reload: impl FnMut() -> Reload + 'static,
 ) -> eyre::Result<()> {
     let mut stop = StopSignal::listen().wrap_err("can't wait for signals")?;
