--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -55,7 +55,7 @@
         drop(notices);
         if changes.iter().any(Change::concerns_all) {
             self.tell_some_notices(self.notices_of(instance), usize::MAX);
-            self.place_versions();
+            self.update_eligible_upstreams();
             self.grant_rooms();
         } else if !changes.is_empty() {
             self.place_notices();
@@ -83,7 +83,7 @@
                 .field("upstreams", names.collect::<Vec<_>>())
         });
         self.tell_some_notices(news, gossip::PASSED_ON_TO);
-        self.place_versions();
+        self.update_eligible_upstreams();
         self.grant_rooms();
     }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -133,7 +133,7 @@
                 });
             }
         }
-        self.place_versions();
+        self.update_eligible_upstreams();
     }
 
     /// Takes a peer's message about a roll-out.
@@ -145,7 +145,7 @@
             .borrow_mut()
             .handle_message(from, message, entries, now_ms);
         if next.contains(&RolloutAction::UpdateEligibleUpstreams) {
-            self.place_versions();
+            self.update_eligible_upstreams();
             self.rollouts_changed.notify_one();
         }
     }
@@ -228,7 +228,7 @@
     fn carry_out_here(&self, service: &str, next: RolloutAction) -> Option<RolloutAction> {
         match next {
             RolloutAction::Broadcast(state) => self.tell_all_rollout(RolloutMessage::State(state)),
-            RolloutAction::UpdateEligibleUpstreams => self.place_versions(),
+            RolloutAction::UpdateEligibleUpstreams => self.update_eligible_upstreams(),
             RolloutAction::Log(reason) => self.log_rollout(service, reason),
             left @ (RolloutAction::Report(_) | RolloutAction::WriteStatus(_)) => return Some(left),
         }
@@ -329,7 +329,7 @@
     ///
     /// The list says that one leaves when the store has taken its word. While the store is away, an
     /// upstream would get requests until it ends, and end with them.
-    pub fn place_versions(&self) {
+    pub fn update_eligible_upstreams(&self) {
         let mut placement = self.rollouts.borrow_mut().eligible_upstreams();
         let notices = self.notices.borrow();
         placement
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -335,7 +335,7 @@
         traffic.has_upstreams.set(true);
         traffic.upstreams_listed(&upstreams);
         traffic.rollouts.borrow_mut().set_upstreams(&upstreams);
-        traffic.place_versions();
+        traffic.update_eligible_upstreams();
         traffic.grant_rooms();
         traffic.configured.notify_waiters();
     }
