--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -178,7 +178,7 @@
 async fn attempt(traffic: &Rc<Traffic>, call: &mut Call) -> Result<Attempt, u64> {
     let asked_ms = traffic.now_ms();
     let turn = if call.tried.is_empty() {
-        traffic.first_turn(call).await
+        traffic.acquire_first_slot(call).await
     } else {
         traffic.turn(call.job()).await
     };
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -356,7 +356,7 @@
 
     /// Waits for room for a request's first attempt, at an upstream of the version that is judged
     /// if it is the request's turn.
-    pub async fn first_turn(self: &Rc<Self>, call: &Call) -> Turn {
+    pub async fn acquire_first_slot(self: &Rc<Self>, call: &Call) -> Turn {
         let target = self.rollouts.borrow_mut().choose_target(
             &call.service,
             &call.route.name,
