--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -224,7 +224,7 @@
     let request = upstream_request(traffic, call, &lease, last_event_id);
     call.tried.push(Arc::clone(&lease.upstream.instance));
     lease.sent(call.prompt_tokens);
-    traffic.sent_to_version(call, &mut lease);
+    traffic.record_version_dispatch(call, &mut lease);
     count_tokens(traffic, call, &lease);
     match timeout_at(until, connection.send(request)).await {
         Err(_) => {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -381,7 +381,7 @@
     }
 
     /// Notes that a request goes to an upstream.
-    pub fn sent_to_version(&self, call: &Call, lease: &mut Lease) {
+    pub fn record_version_dispatch(&self, call: &Call, lease: &mut Lease) {
         let is_pinned = !call.route.repeat.is_idempotent();
         let mut table = self.rollouts.borrow_mut();
         if !table.tracks_versions() {
