--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -229,7 +229,7 @@
     match timeout_at(until, connection.send(request)).await {
         Err(_) => {
             lease.ended = Ended::Failed;
-            traffic.run_ended_at_version(call, &lease, RunOutcome::Failed);
+            traffic.record_version_outcome(call, &lease, RunOutcome::Failed);
             log_attempt(traffic, call, &lease, "no answer from upstream in time");
             Attempt::TimeUp
         }
@@ -483,7 +483,7 @@
             ms_per_event: numbers::as_f64(lease.worked_ms()),
         }
     };
-    traffic.run_ended_at_version(call, &lease, came);
+    traffic.record_version_outcome(call, &lease, came);
     if !has_failed {
         lease.learn(|health| health.answered_after(numbers::as_f64(held_ms)));
     }
--- a/lib/src/direct/request/pace.rs
+++ b/lib/src/direct/request/pace.rs
@@ -47,6 +47,6 @@
                 ms_per_event: first.elapsed().as_secs_f64() * MS_PER_S / f64::from(self.events),
             }
         };
-        traffic.run_ended_at_version(call, lease, came);
+        traffic.record_version_outcome(call, lease, came);
     }
 }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -395,7 +395,7 @@
     }
 
     /// Notes how a request ended at its upstream, or how fast its answer comes.
-    pub fn run_ended_at_version(&self, call: &Call, lease: &Lease, came: RunOutcome) {
+    pub fn record_version_outcome(&self, call: &Call, lease: &Lease, came: RunOutcome) {
         let mut table = self.rollouts.borrow_mut();
         table.record_run_outcome(&lease.upstream, &call.route.name, came);
     }
