--- a/lib/src/direct/request/rollout_page.rs
+++ b/lib/src/direct/request/rollout_page.rs
@@ -54,7 +54,7 @@
     let states = traffic.rollouts.borrow().states(traffic.now_ms());
     let pages: Vec<Value> = states
         .iter()
-        .map(|state| traffic.rollout_page(&state.rollout.id.service))
+        .map(|state| traffic.rollout_json(&state.rollout.id.service))
         .collect();
     shown(&pages)
 }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -271,7 +271,7 @@
     }
 
     fn log_rollout(&self, service: &str, reason: DecisionReason) {
-        let page = self.rollout_page(service);
+        let page = self.rollout_json(service);
         let decided = &self.figures.rollouts_decided;
         decided.with_label_values(&[service, reason.name()]).inc();
         self.log(Level::Warn, "roll-out decided", |line| {
@@ -283,7 +283,7 @@
 
     /// What operators see of a service's order; null if there is none.
     #[must_use]
-    pub fn rollout_page(&self, service: &str) -> Value {
+    pub fn rollout_json(&self, service: &str) -> Value {
         let table = self.rollouts.borrow();
         let Some(progress) = table.progress(service) else {
             return Value::Null;
