--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -141,7 +141,7 @@
         }
         if heard.is_new || heard.is_back {
             traffic.greet_with_suspects(from);
-            traffic.greet_with_rollouts(from);
+            traffic.sync_rollouts_to(from);
             traffic.greet_with_notices(from);
         }
         let mut allotments = traffic.allotments.borrow_mut();
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -151,7 +151,7 @@
     }
 
     /// Tells a peer how far all orders have come that has started, or was silent.
-    pub fn greet_with_rollouts(&self, peer: SocketAddr) {
+    pub fn sync_rollouts_to(&self, peer: SocketAddr) {
         for state in self.rollouts.borrow().states(self.now_ms()) {
             self.tell(peer, &Message::Rollout(RolloutMessage::State(state)));
         }
