--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -14,7 +14,7 @@
 use crate::direct::membership::peer_message::Message;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
-use crate::direct::replication::store_follower::StoreAnswers;
+use crate::direct::replication::store_follower::LastStoreResponse;
 use crate::direct::sharing::door::Asker;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
@@ -38,7 +38,7 @@
     /// How far this entry has followed the store.
     pub own: watch::Receiver<Revisions>,
     /// When the store last answered.
-    pub store_answers: StoreAnswers,
+    pub last_store_response: LastStoreResponse,
     /// A peer that has followed the store further.
     pub ahead: watch::Sender<Option<SocketAddr>>,
     /// Whether this entry asks the store itself.
@@ -221,7 +221,11 @@
             is_leaving: traffic.is_stopping.get(),
             age_s: PeerTable::own_age_s(traffic.now_ms()),
             known: u16::try_from(peers.known()).unwrap_or(u16::MAX),
-            store_age_ms: self.links.store_answers.age_ms().filter(|_| asks_store),
+            store_age_ms: self
+                .links
+                .last_store_response
+                .age_ms()
+                .filter(|_| asks_store),
             revisions: *self.links.own.borrow(),
             others: peers.named(self.sequence),
             running: RunningPart::of(
--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -77,13 +77,13 @@
 
 /// When the store last answered this entry; shared between the two threads.
 #[derive(Clone, Debug)]
-pub struct StoreAnswers {
+pub struct LastStoreResponse {
     began: Instant,
     /// Milliseconds from the start to the last answer; 0 if there was none.
     last_ms: Arc<AtomicU64>,
 }
 
-impl Default for StoreAnswers {
+impl Default for LastStoreResponse {
     fn default() -> Self {
         Self {
             began: Instant::now(),
@@ -92,7 +92,7 @@
     }
 }
 
-impl StoreAnswers {
+impl LastStoreResponse {
     fn now_ms(&self) -> u64 {
         u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
@@ -117,7 +117,7 @@
     view: watch::Sender<View>,
     began: Instant,
     asks_store: watch::Receiver<bool>,
-    answers: StoreAnswers,
+    answers: LastStoreResponse,
 }
 
 impl Follower {
@@ -127,7 +127,7 @@
         decoders: Decoders,
         view: watch::Sender<View>,
         asks_store: watch::Receiver<bool>,
-        answers: StoreAnswers,
+        answers: LastStoreResponse,
     ) -> Self {
         Self {
             replica: Rc::new(RefCell::new(Replica::new(decoders))),
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -34,8 +34,8 @@
 use crate::direct::replication::rollout_follower::OrderStore;
 use crate::direct::replication::rollout_follower::OrderView;
 use crate::direct::replication::store_follower::Follower;
+use crate::direct::replication::store_follower::LastStoreResponse;
 use crate::direct::replication::store_follower::ObjectSource;
-use crate::direct::replication::store_follower::StoreAnswers;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::front;
 use crate::direct::rollout::exposure::ExposureLimit;
@@ -144,13 +144,13 @@
     let (ahead_sender, ahead) = watch::channel(None);
     let (asks_sender, asks_store) = watch::channel(true);
     let (own_sender, own) = watch::channel(Revisions::default());
-    let store_answers = StoreAnswers::default();
+    let last_store_response = LastStoreResponse::default();
     let (orders_sender, orders) = watch::channel(None);
     let (due_sender, due) = mpsc::unbounded_channel();
     let tells_versions = settings.rollouts.is_some();
     let links = ControlLinks {
         own,
-        store_answers: store_answers.clone(),
+        last_store_response: last_store_response.clone(),
         ahead: ahead_sender,
         asks_store: asks_sender,
     };
@@ -161,7 +161,12 @@
         .spawn(move || {
             let orders = OrderFollower::new(orders_sender, asks_store.clone());
             let orders = tells_versions.then_some((orders, due));
-            let follower = Follower::new(adapter.decoders, view_sender, asks_store, store_answers);
+            let follower = Follower::new(
+                adapter.decoders,
+                view_sender,
+                asks_store,
+                last_store_response,
+            );
             LocalSet::new().block_on(&control, follow(follower, orders, source, peers, ahead));
         })
         .wrap_err("can't start the control thread")?;
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -9,8 +9,8 @@
 use sardinewood::direct::membership::peer_message::Revisions;
 use sardinewood::direct::replication::peer_pull::UpstreamCopy;
 use sardinewood::direct::replication::store_follower::Follower;
+use sardinewood::direct::replication::store_follower::LastStoreResponse;
 use sardinewood::direct::replication::store_follower::ObjectSource;
-use sardinewood::direct::replication::store_follower::StoreAnswers;
 use sardinewood::direct::view::catalog::Catalog;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::direct::view::replica::Decoders;
@@ -83,7 +83,7 @@
     let (view_sender, view) = watch::channel(View::default());
     // The sender may go: what it said last stays.
     let (_asks, asks) = watch::channel(true);
-    let answers = StoreAnswers::default();
+    let answers = LastStoreResponse::default();
     (Follower::new(DECODERS, view_sender, asks, answers), view)
 }
 
