--- a/lib/src/direct/replication/peer_pull.rs
+++ b/lib/src/direct/replication/peer_pull.rs
@@ -19,7 +19,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::direct::membership::peer_message::Revisions;
-use crate::direct::replication::store_follower::Follower;
+use crate::direct::replication::store_follower::StoreFollower;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ObjectList;
@@ -194,7 +194,7 @@
 }
 
 /// Gives peers copies until the process ends.
-pub async fn serve(listener: TcpListener, follower: Follower) {
+pub async fn serve(listener: TcpListener, follower: StoreFollower) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -218,7 +218,7 @@
     }
 }
 
-async fn give(stream: TcpStream, follower: Follower) -> io::Result<()> {
+async fn give(stream: TcpStream, follower: StoreFollower) -> io::Result<()> {
     let mut channel = channel(stream);
     let theirs: Revisions = receive(&mut channel).await?;
     let copies = follower.copies_after(theirs);
--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -112,7 +112,7 @@
 
 /// The task that follows the store.
 #[derive(Clone, Debug)]
-pub struct Follower {
+pub struct StoreFollower {
     replica: Rc<RefCell<Replica>>,
     view: watch::Sender<View>,
     began: Instant,
@@ -120,7 +120,7 @@
     answers: LastStoreResponse,
 }
 
-impl Follower {
+impl StoreFollower {
     /// A follower that knows nothing yet and tells `view` what it learns.
     #[must_use]
     pub fn new(
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -33,9 +33,9 @@
 use crate::direct::replication::rollout_follower::OrderFollower;
 use crate::direct::replication::rollout_follower::OrderStore;
 use crate::direct::replication::rollout_follower::OrderView;
-use crate::direct::replication::store_follower::Follower;
 use crate::direct::replication::store_follower::LastStoreResponse;
 use crate::direct::replication::store_follower::ObjectSource;
+use crate::direct::replication::store_follower::StoreFollower;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::front;
 use crate::direct::rollout::exposure::ExposureLimit;
@@ -161,7 +161,7 @@
         .spawn(move || {
             let orders = OrderFollower::new(orders_sender, asks_store.clone());
             let orders = tells_versions.then_some((orders, due));
-            let follower = Follower::new(
+            let follower = StoreFollower::new(
                 adapter.decoders,
                 view_sender,
                 asks_store,
@@ -186,7 +186,7 @@
 }
 
 async fn follow<S: ObjectSource + OrderStore>(
-    follower: Follower,
+    follower: StoreFollower,
     orders: Option<(OrderFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
     source: S,
     peers: SocketAddr,
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -8,9 +8,9 @@
 
 use sardinewood::direct::membership::peer_message::Revisions;
 use sardinewood::direct::replication::peer_pull::UpstreamCopy;
-use sardinewood::direct::replication::store_follower::Follower;
 use sardinewood::direct::replication::store_follower::LastStoreResponse;
 use sardinewood::direct::replication::store_follower::ObjectSource;
+use sardinewood::direct::replication::store_follower::StoreFollower;
 use sardinewood::direct::view::catalog::Catalog;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::direct::view::replica::Decoders;
@@ -79,12 +79,15 @@
     }
 }
 
-fn follower() -> (Follower, watch::Receiver<View>) {
+fn follower() -> (StoreFollower, watch::Receiver<View>) {
     let (view_sender, view) = watch::channel(View::default());
     // The sender may go: what it said last stays.
     let (_asks, asks) = watch::channel(true);
     let answers = LastStoreResponse::default();
-    (Follower::new(DECODERS, view_sender, asks, answers), view)
+    (
+        StoreFollower::new(DECODERS, view_sender, asks, answers),
+        view,
+    )
 }
 
 fn peer() -> SocketAddr {
@@ -92,7 +95,7 @@
 }
 
 /// A follower that has seen a list of two upstreams, and then one more come and one go.
-async fn followed() -> (Follower, watch::Receiver<View>) {
+async fn followed() -> (StoreFollower, watch::Receiver<View>) {
     let (follower, view) = follower();
     let source = Scripted {
         list: ObjectList {
