--- a/lib/src/direct/replication/rollout_follower.rs
+++ b/lib/src/direct/replication/rollout_follower.rs
@@ -26,11 +26,11 @@
 
 /// A change of an order in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderEvent {
+pub enum RolloutEvent {
     /// It was given or has changed.
     Put(Rollout),
     /// It was taken away, or is none any more.
-    Gone {
+    Removed {
         /// The name of its object.
         name: Arc<str>,
         /// The store's revision of that.
@@ -40,11 +40,11 @@
 
 /// What the store tells of orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OrderBatch {
+pub struct RolloutBatch {
     /// Where to watch from next.
     pub revision: u64,
     /// What has changed; all orders in a list.
-    pub events: Vec<OrderEvent>,
+    pub events: Vec<RolloutEvent>,
 }
 
 /// Why a status was not written.
@@ -55,7 +55,7 @@
     Conflict,
     /// There is no such order any more.
     #[error("the order is gone")]
-    Gone,
+    Removed,
     /// Nobody knows whether it was written.
     #[error("{reason}")]
     Unknown {
@@ -65,24 +65,24 @@
 }
 
 /// Where orders stand: the platform's store, or a stand-in.
-pub trait OrderStore {
+pub trait RolloutStore {
     /// All orders.
     ///
     /// # Errors
     ///
     /// When the store does not answer, or not as expected.
-    fn list_orders(&self) -> impl Future<Output = Result<OrderBatch, ReadError>>;
+    fn list_rollouts(&self) -> impl Future<Output = Result<RolloutBatch, ReadError>>;
 
     /// Changes after a revision; waits for one.
     ///
     /// # Errors
     ///
     /// When the store does not answer, or has forgotten that revision.
-    fn watch_orders(
+    fn watch_rollouts(
         &self,
         after: u64,
         wait_ms: u64,
-    ) -> impl Future<Output = Result<OrderBatch, ReadError>>;
+    ) -> impl Future<Output = Result<RolloutBatch, ReadError>>;
 
     /// Writes the status of an order if it still has the revision that is known.
     ///
@@ -98,7 +98,7 @@
 
 /// The orders as the store last showed them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OrderView {
+pub struct RolloutView {
     /// All orders.
     pub rollouts: Vec<Rollout>,
     /// The store's revision of them.
@@ -107,16 +107,19 @@
 
 /// Keeps the orders that the store shows.
 #[derive(Clone, Debug)]
-pub struct OrderFollower {
+pub struct RolloutFollower {
     known: Rc<RefCell<IndexMap<Arc<str>, Rollout>>>,
-    view: watch::Sender<Option<OrderView>>,
+    view: watch::Sender<Option<RolloutView>>,
     asks_store: watch::Receiver<bool>,
 }
 
-impl OrderFollower {
+impl RolloutFollower {
     /// A follower that knows nothing yet and tells `view` what it learns.
     #[must_use]
-    pub fn new(view: watch::Sender<Option<OrderView>>, asks_store: watch::Receiver<bool>) -> Self {
+    pub fn new(
+        view: watch::Sender<Option<RolloutView>>,
+        asks_store: watch::Receiver<bool>,
+    ) -> Self {
         Self {
             known: Rc::default(),
             view,
@@ -125,7 +128,7 @@
     }
 
     /// Follows the orders until the process ends.
-    pub async fn follow(&self, store: &impl OrderStore) {
+    pub async fn follow(&self, store: &impl RolloutStore) {
         let mut backoff = Backoff::new(FIRST_PAUSE_MS, MOST_PAUSE_MS);
         let mut asks_store = self.asks_store.clone();
         let mut after = None;
@@ -135,8 +138,8 @@
                 return;
             }
             let read = match after {
-                None => store.list_orders().await,
-                Some(after) => store.watch_orders(after, WATCH_WAIT_MS).await,
+                None => store.list_rollouts().await,
+                Some(after) => store.watch_rollouts(after, WATCH_WAIT_MS).await,
             };
             match read {
                 Ok(batch) => {
@@ -166,7 +169,7 @@
     /// Writes statuses, one after the other, until the process ends.
     pub async fn write(
         &self,
-        store: &impl OrderStore,
+        store: &impl RolloutStore,
         mut due: UnboundedReceiver<(Rollout, RolloutStatus)>,
     ) {
         while let Some((rollout, status)) = due.recv().await {
@@ -183,8 +186,8 @@
                 Ok(written) => {
                     line(Level::Info, "roll-out status written").send();
                     let revision = written.revision;
-                    let events = vec![OrderEvent::Put(written)];
-                    self.take(OrderBatch { revision, events }, false);
+                    let events = vec![RolloutEvent::Put(written)];
+                    self.take(RolloutBatch { revision, events }, false);
                 }
                 Err(error) => {
                     line(Level::Warn, "roll-out status not written")
@@ -204,8 +207,8 @@
     }
 
     /// Sees what became of a write that may have been done.
-    async fn read_back(&self, store: &impl OrderStore) {
-        match store.list_orders().await {
+    async fn read_back(&self, store: &impl RolloutStore) {
+        match store.list_rollouts().await {
             Ok(batch) => self.take(batch, true),
             Err(error) => Line::new(Level::Warn, "roll-out status can't be read back")
                 .field("error", error.to_string())
@@ -213,7 +216,7 @@
         }
     }
 
-    fn take(&self, batch: OrderBatch, is_whole: bool) {
+    fn take(&self, batch: RolloutBatch, is_whole: bool) {
         let mut known = self.known.borrow_mut();
         let is_newer = |known: &IndexMap<Arc<str>, Rollout>, name: &str, revision: u64| {
             known
@@ -223,20 +226,20 @@
         if is_whole {
             let listed = |name: &Arc<str>| {
                 batch.events.iter().any(
-                    |event| matches!(event, OrderEvent::Put(rollout) if rollout.id.service == *name),
+                    |event| matches!(event, RolloutEvent::Put(rollout) if rollout.id.service == *name),
                 )
             };
             known.retain(|name, rollout| rollout.revision > batch.revision || listed(name));
         }
         for event in batch.events {
             match event {
-                OrderEvent::Put(rollout) => {
+                RolloutEvent::Put(rollout) => {
                     let name = Arc::clone(&rollout.id.service);
                     if is_newer(&known, &name, rollout.revision) {
                         known.insert(name, rollout);
                     }
                 }
-                OrderEvent::Gone { name, revision } => {
+                RolloutEvent::Removed { name, revision } => {
                     if is_newer(&known, &name, revision) {
                         known.shift_remove(&name);
                     }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -18,7 +18,7 @@
 use crate::direct::membership::peer_message::Message;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
-use crate::direct::replication::rollout_follower::OrderView;
+use crate::direct::replication::rollout_follower::RolloutView;
 use crate::direct::request::call::Call;
 use crate::direct::rollout::message::DecisionReason;
 use crate::direct::rollout::message::RolloutMessage;
@@ -72,7 +72,7 @@
 /// Looks after orders until the process ends.
 pub async fn run(
     traffic: Rc<Traffic>,
-    mut view: watch::Receiver<Option<OrderView>>,
+    mut view: watch::Receiver<Option<RolloutView>>,
     due: StatusWriter,
 ) {
     loop {
@@ -99,7 +99,7 @@
 }
 
 impl Traffic {
-    fn apply_stored(&self, view: &OrderView) {
+    fn apply_stored(&self, view: &RolloutView) {
         let now_ms = self.now_ms();
         let known: Vec<Rollout> = {
             let table = self.rollouts.borrow();
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -30,9 +30,9 @@
 use crate::direct::replication::heartbeats::ControlLinks;
 use crate::direct::replication::heartbeats::Peers;
 use crate::direct::replication::peer_pull;
-use crate::direct::replication::rollout_follower::OrderFollower;
-use crate::direct::replication::rollout_follower::OrderStore;
-use crate::direct::replication::rollout_follower::OrderView;
+use crate::direct::replication::rollout_follower::RolloutFollower;
+use crate::direct::replication::rollout_follower::RolloutStore;
+use crate::direct::replication::rollout_follower::RolloutView;
 use crate::direct::replication::store_follower::LastStoreResponse;
 use crate::direct::replication::store_follower::ObjectSource;
 use crate::direct::replication::store_follower::StoreFollower;
@@ -137,7 +137,7 @@
     reload: R,
 ) -> eyre::Result<()>
 where
-    S: ObjectSource + OrderStore + Send + 'static,
+    S: ObjectSource + RolloutStore + Send + 'static,
     R: FnMut() -> Reload + 'static,
 {
     let (view_sender, view) = watch::channel(View::default());
@@ -159,7 +159,7 @@
     thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || {
-            let orders = OrderFollower::new(orders_sender, asks_store.clone());
+            let orders = RolloutFollower::new(orders_sender, asks_store.clone());
             let orders = tells_versions.then_some((orders, due));
             let follower = StoreFollower::new(
                 adapter.decoders,
@@ -185,9 +185,9 @@
     )
 }
 
-async fn follow<S: ObjectSource + OrderStore>(
+async fn follow<S: ObjectSource + RolloutStore>(
     follower: StoreFollower,
-    orders: Option<(OrderFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
+    orders: Option<(RolloutFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
     source: S,
     peers: SocketAddr,
     ahead: watch::Receiver<Option<SocketAddr>>,
@@ -221,7 +221,7 @@
     view: watch::Receiver<View>,
     own: watch::Sender<Revisions>,
     links: ControlLinks,
-    (orders, due): (watch::Receiver<Option<OrderView>>, StatusWriter),
+    (orders, due): (watch::Receiver<Option<RolloutView>>, StatusWriter),
     reload: impl FnMut() -> Reload + 'static,
 ) -> eyre::Result<()> {
     let mut stop = StopSignal::listen().wrap_err("can't wait for signals")?;
