--- a/lib/src/direct/replication/rollout_follower.rs
+++ b/lib/src/direct/replication/rollout_follower.rs
@@ -49,7 +49,7 @@
 
 /// Why a status was not written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WriteError {
+pub enum StatusWriteError {
     /// The order has changed meanwhile.
     #[error("the order has changed meanwhile")]
     Conflict,
@@ -93,7 +93,7 @@
         &self,
         rollout: &Rollout,
         status: RolloutStatus,
-    ) -> impl Future<Output = Result<Rollout, WriteError>>;
+    ) -> impl Future<Output = Result<Rollout, StatusWriteError>>;
 }
 
 /// The orders as the store last showed them.
