--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -24,7 +24,7 @@
 
 /// The heartbeats of one entry.
 #[derive(Debug)]
-pub struct Peers {
+pub struct HeartbeatTask {
     traffic: Rc<Traffic>,
     incarnation: u64,
     sequence: u64,
@@ -45,7 +45,7 @@
     pub asks_store: watch::Sender<bool>,
 }
 
-impl Peers {
+impl HeartbeatTask {
     /// The heartbeats of a new start of the process.
     #[must_use]
     pub fn new(traffic: &Rc<Traffic>, links: ControlLinks) -> Self {
@@ -198,7 +198,7 @@
     }
 
     /// Tells all peers that this process ends, so that they need not wait for its silence.
-    pub fn announce_end(traffic: &Traffic) {
+    pub fn announce_exit(traffic: &Traffic) {
         let last_heartbeat = Message::Heartbeat(Heartbeat {
             is_last: true,
             ..Heartbeat::default()
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -28,7 +28,7 @@
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::replication::heartbeats::ControlLinks;
-use crate::direct::replication::heartbeats::Peers;
+use crate::direct::replication::heartbeats::HeartbeatTask;
 use crate::direct::replication::peer_pull;
 use crate::direct::replication::rollout_follower::RolloutFollower;
 use crate::direct::replication::rollout_follower::RolloutStore;
@@ -251,7 +251,7 @@
     spawn_local(front::serve_callers(callers, Rc::clone(&traffic)));
     spawn_local(front::serve_readiness(readiness, Rc::clone(&traffic)));
     spawn_local(front::serve_figures(figures, Rc::clone(&traffic)));
-    spawn_local(Peers::new(&traffic, links).run());
+    spawn_local(HeartbeatTask::new(&traffic, links).run());
     spawn_local(take_views(view, own, Rc::clone(&traffic)));
     spawn_local(sweep(Rc::clone(&traffic)));
     spawn_local(rollout_driver::run(Rc::clone(&traffic), orders, due));
@@ -391,7 +391,7 @@
             break;
         }
     }
-    Peers::announce_end(traffic);
+    HeartbeatTask::announce_exit(traffic);
     Line::new(Level::Info, "ended")
         .field("open_requests", traffic.open_requests.get())
         .field("after_ms", began.elapsed().as_millis())
