--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -26,7 +26,7 @@
     pub(super) fn owner(&self, entry: usize, upstream: u32) -> Asker {
         let peers = &self.entries[entry].peers;
         match door::owner(upstream, peers.owners(false, self.now_ms)) {
-            Some(owner) if owner != peers.own() => Asker::Peer(owner),
+            Some(owner) if owner != peers.own_address() => Asker::Peer(owner),
             Some(_) | None => Asker::Own,
         }
     }
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -163,10 +163,10 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let own = "10.0.0.1:7".parse().unwrap();
-    /// assert_eq!(PeerTable::new(own, &[]).own(), own);
+    /// assert_eq!(PeerTable::new(own, &[]).own_address(), own);
     /// ```
     #[must_use]
-    pub fn own(&self) -> SocketAddr {
+    pub fn own_address(&self) -> SocketAddr {
         self.own
     }
 
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -179,7 +179,7 @@
         let heard = peers.heard_now(now_ms).len() + 1;
         let keepers = peers.keepers(traffic.is_stopping.get(), now_ms);
         let mut allotments = traffic.allotments.borrow_mut();
-        allotments.set_keepers(peers.own(), keepers, unmet, now_ms);
+        allotments.set_keepers(peers.own_address(), keepers, unmet, now_ms);
         allotments.set_fleet(known, peers.overdue(now_ms), now_ms);
         drop(allotments);
         traffic.budget.borrow_mut().set_entries(known + unmet);
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -169,7 +169,7 @@
         let now_ms = self.now_ms();
         let coordinators = self.coordinators();
         let peers = self.peers.borrow();
-        let own = peers.own();
+        let own = peers.own_address();
         let facts = FleetSnapshot {
             coordinator_rank: coordinators
                 .iter()
@@ -200,7 +200,7 @@
     ) {
         match self.carry_out_here(service, next) {
             Some(RolloutAction::Report(report)) => {
-                let own = self.peers.borrow().own();
+                let own = self.peers.borrow().own_address();
                 let message = Message::Rollout(RolloutMessage::Report(report));
                 for coordinator in coordinators
                     .iter()
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -439,7 +439,7 @@
         let peers = self.peers.borrow();
         let owners = peers.owners(self.is_stopping.get(), self.now_ms());
         match door::owner(upstream, owners) {
-            Some(address) if address != peers.own() => Asker::Peer(address),
+            Some(address) if address != peers.own_address() => Asker::Peer(address),
             Some(_) | None => Asker::Own,
         }
     }
