--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -29,18 +29,18 @@
     incarnation: u64,
     sequence: u64,
     spent: SpentReport,
-    links: ControlLinks,
+    links: ControlChannels,
 }
 
 /// What the traffic thread hears from the control thread and tells it.
 #[derive(Debug)]
-pub struct ControlLinks {
+pub struct ControlChannels {
     /// How far this entry has followed the store.
-    pub own: watch::Receiver<Revisions>,
+    pub own_revisions: watch::Receiver<Revisions>,
     /// When the store last answered.
     pub last_store_response: LastStoreResponse,
     /// A peer that has followed the store further.
-    pub ahead: watch::Sender<Option<SocketAddr>>,
+    pub peer_ahead: watch::Sender<Option<SocketAddr>>,
     /// Whether this entry asks the store itself.
     pub asks_store: watch::Sender<bool>,
 }
@@ -48,7 +48,7 @@
 impl HeartbeatTask {
     /// The heartbeats of a new start of the process.
     #[must_use]
-    pub fn new(traffic: &Rc<Traffic>, links: ControlLinks) -> Self {
+    pub fn new(traffic: &Rc<Traffic>, links: ControlChannels) -> Self {
         Self {
             traffic: Rc::clone(traffic),
             incarnation: rand::random(),
@@ -72,7 +72,7 @@
                     }),
                 },
                 // What the store has just told this entry, the others hear at once.
-                changed = self.links.own.changed(), if *self.links.asks_store.borrow() => {
+                changed = self.links.own_revisions.changed(), if *self.links.asks_store.borrow() => {
                     if changed.is_err() {
                         return;
                     }
@@ -161,10 +161,13 @@
             &heartbeat.running,
             now_ms,
         );
-        let own = *self.links.own.borrow();
+        let own_revisions = *self.links.own_revisions.borrow();
         let random = rand::random::<u16>().into();
-        let ahead = traffic.peers.borrow().ahead_of(own, random, now_ms);
-        set(&self.links.ahead, ahead);
+        let peer_ahead = traffic
+            .peers
+            .borrow()
+            .ahead_of(own_revisions, random, now_ms);
+        set(&self.links.peer_ahead, peer_ahead);
         traffic.grant_rooms();
     }
 
@@ -226,7 +229,7 @@
                 .last_store_response
                 .age_ms()
                 .filter(|_| asks_store),
-            revisions: *self.links.own.borrow(),
+            revisions: *self.links.own_revisions.borrow(),
             others: peers.named(self.sequence),
             running: RunningPart::of(
                 dispatcher.running(traffic.now_ms()).collect(),
--- a/lib/src/direct/replication/peer_pull.rs
+++ b/lib/src/direct/replication/peer_pull.rs
@@ -171,15 +171,15 @@
     postcard::from_bytes(&frame).map_err(io::Error::other)
 }
 
-/// Asks a peer for what it has beyond `own`.
+/// Asks a peer for what it has beyond `own_revisions`.
 ///
 /// # Errors
 ///
 /// When the peer does not answer in time, or not as expected.
-pub async fn pull(peer: SocketAddr, own: Revisions) -> io::Result<Copies> {
+pub async fn pull(peer: SocketAddr, own_revisions: Revisions) -> io::Result<Copies> {
     let ask = async {
         let mut channel = channel(TcpStream::connect(peer).await?);
-        send(&mut channel, &own).await?;
+        send(&mut channel, &own_revisions).await?;
         receive::<SentCopies>(&mut channel).await
     };
     let sent = timeout(PULL_TIMEOUT, ask).await??;
--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -239,20 +239,20 @@
     }
 
     /// Asks peers that are ahead.
-    pub async fn follow_peers(&self, mut ahead: watch::Receiver<Option<SocketAddr>>) {
+    pub async fn follow_peers(&self, mut peer_ahead: watch::Receiver<Option<SocketAddr>>) {
         loop {
-            let Ok(peer) = ahead.wait_for(Option::is_some).await.map(|peer| *peer) else {
+            let Ok(peer) = peer_ahead.wait_for(Option::is_some).await.map(|peer| *peer) else {
                 return;
             };
             if *self.asks_store.borrow() {
                 sleep(PEER_LEAD).await;
             }
-            let is_still_ahead = ahead.borrow().is_some();
+            let is_still_ahead = peer_ahead.borrow().is_some();
             let (Some(peer), true) = (peer, is_still_ahead) else {
                 continue;
             };
-            let own = self.replica.borrow().revisions();
-            match peer_pull::pull(peer, own).await {
+            let own_revisions = self.replica.borrow().revisions();
+            match peer_pull::pull(peer, own_revisions).await {
                 Ok(copies) => self.take_copies(peer, copies),
                 Err(error) => {
                     Line::new(Level::Warn, "peer gives no copy")
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -27,7 +27,7 @@
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
-use crate::direct::replication::heartbeats::ControlLinks;
+use crate::direct::replication::heartbeats::ControlChannels;
 use crate::direct::replication::heartbeats::HeartbeatTask;
 use crate::direct::replication::peer_pull;
 use crate::direct::replication::rollout_follower::RolloutFollower;
@@ -141,17 +141,17 @@
     R: FnMut() -> Reload + 'static,
 {
     let (view_sender, view) = watch::channel(View::default());
-    let (ahead_sender, ahead) = watch::channel(None);
+    let (ahead_sender, peer_ahead) = watch::channel(None);
     let (asks_sender, asks_store) = watch::channel(true);
-    let (own_sender, own) = watch::channel(Revisions::default());
+    let (own_sender, own_revisions) = watch::channel(Revisions::default());
     let last_store_response = LastStoreResponse::default();
     let (orders_sender, orders) = watch::channel(None);
     let (due_sender, due) = mpsc::unbounded_channel();
     let tells_versions = settings.rollouts.is_some();
-    let links = ControlLinks {
-        own,
+    let links = ControlChannels {
+        own_revisions,
         last_store_response: last_store_response.clone(),
-        ahead: ahead_sender,
+        peer_ahead: ahead_sender,
         asks_store: asks_sender,
     };
     let control = current_thread().wrap_err("can't start the control thread's runtime")?;
@@ -167,7 +167,10 @@
                 asks_store,
                 last_store_response,
             );
-            LocalSet::new().block_on(&control, follow(follower, orders, source, peers, ahead));
+            LocalSet::new().block_on(
+                &control,
+                follow(follower, orders, source, peers, peer_ahead),
+            );
         })
         .wrap_err("can't start the control thread")?;
     let traffic = current_thread().wrap_err("can't start the traffic thread's runtime")?;
@@ -190,7 +193,7 @@
     orders: Option<(RolloutFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
     source: S,
     peers: SocketAddr,
-    ahead: watch::Receiver<Option<SocketAddr>>,
+    peer_ahead: watch::Receiver<Option<SocketAddr>>,
 ) {
     match TcpListener::bind(peers).await {
         Ok(listener) => {
@@ -210,7 +213,7 @@
         follow_orders,
         follower.follow_catalog(&source),
         follower.follow_upstreams(&source),
-        follower.follow_peers(ahead),
+        follower.follow_peers(peer_ahead),
         follower.sweep(),
     );
 }
@@ -219,8 +222,8 @@
     settings: DirectSettings,
     adapter: Adapter,
     view: watch::Receiver<View>,
-    own: watch::Sender<Revisions>,
-    links: ControlLinks,
+    own_revisions: watch::Sender<Revisions>,
+    links: ControlChannels,
     (orders, due): (watch::Receiver<Option<RolloutView>>, StatusWriter),
     reload: impl FnMut() -> Reload + 'static,
 ) -> eyre::Result<()> {
@@ -252,7 +255,7 @@
     spawn_local(front::serve_readiness(readiness, Rc::clone(&traffic)));
     spawn_local(front::serve_figures(figures, Rc::clone(&traffic)));
     spawn_local(HeartbeatTask::new(&traffic, links).run());
-    spawn_local(take_views(view, own, Rc::clone(&traffic)));
+    spawn_local(take_views(view, own_revisions, Rc::clone(&traffic)));
     spawn_local(sweep(Rc::clone(&traffic)));
     spawn_local(rollout_driver::run(Rc::clone(&traffic), orders, due));
     spawn_local(log_size_shares(Rc::clone(&traffic)));
@@ -327,13 +330,13 @@
 /// Brings each new view into force.
 async fn take_views(
     mut view: watch::Receiver<View>,
-    own: watch::Sender<Revisions>,
+    own_revisions: watch::Sender<Revisions>,
     traffic: Rc<Traffic>,
 ) {
     while view.changed().await.is_ok() {
         let view = view.borrow_and_update().clone();
         *traffic.catalog.borrow_mut() = view.catalog;
-        own.send_replace(view.revisions);
+        own_revisions.send_replace(view.revisions);
         let Some(upstreams) = view.upstreams else {
             continue;
         };
