--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -437,10 +437,10 @@
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
-    /// assert!(PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]).asks_store(0));
+    /// assert!(PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]).watches_store(0));
     /// ```
     #[must_use]
-    pub fn asks_store(&self, now_ms: u64) -> bool {
+    pub fn watches_store(&self, now_ms: u64) -> bool {
         let before = self
             .peers
             .iter()
@@ -459,8 +459,8 @@
     /// assert_eq!(table.heartbeat_ms(false), 50);
     /// ```
     #[must_use]
-    pub fn heartbeat_ms(&self, asks_store: bool) -> u64 {
-        let per_peer_ms = if asks_store {
+    pub fn heartbeat_ms(&self, watches_store: bool) -> u64 {
+        let per_peer_ms = if watches_store {
             ASKER_HEARTBEAT_PER_PEER_MS
         } else {
             HEARTBEAT_PER_PEER_MS
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -42,7 +42,7 @@
     /// A peer that has followed the store further.
     pub peer_ahead: watch::Sender<Option<SocketAddr>>,
     /// Whether this entry asks the store itself.
-    pub asks_store: watch::Sender<bool>,
+    pub watches_store: watch::Sender<bool>,
 }
 
 impl HeartbeatTask {
@@ -72,7 +72,7 @@
                     }),
                 },
                 // What the store has just told this entry, the others hear at once.
-                changed = self.links.own_revisions.changed(), if *self.links.asks_store.borrow() => {
+                changed = self.links.own_revisions.changed(), if *self.links.watches_store.borrow() => {
                     if changed.is_err() {
                         return;
                     }
@@ -88,8 +88,8 @@
     }
 
     fn period(&self) -> Duration {
-        let asks_store = *self.links.asks_store.borrow();
-        Duration::from_millis(self.traffic.peers.borrow().heartbeat_ms(asks_store))
+        let watches_store = *self.links.watches_store.borrow();
+        Duration::from_millis(self.traffic.peers.borrow().heartbeat_ms(watches_store))
     }
 
     fn receive(&mut self, bytes: &[u8], from: SocketAddr) {
@@ -188,7 +188,7 @@
         traffic.budget.borrow_mut().set_entries(known + unmet);
         let part = numbers::ratio(heard, known + unmet);
         traffic.doors.borrow_mut().set_part(part, now_ms);
-        set(&self.links.asks_store, peers.asks_store(now_ms));
+        set(&self.links.watches_store, peers.watches_store(now_ms));
         drop(peers);
         self.sequence += 1;
         self.tell_all();
@@ -215,7 +215,7 @@
         let mut allotments = traffic.allotments.borrow_mut();
         let spent = self.spent.next(allotments.own_spent());
         allotments.told(&spent);
-        let asks_store = *self.links.asks_store.borrow();
+        let watches_store = *self.links.watches_store.borrow();
         let peers = traffic.peers.borrow();
         Heartbeat {
             incarnation: self.incarnation,
@@ -228,7 +228,7 @@
                 .links
                 .last_store_response
                 .age_ms()
-                .filter(|_| asks_store),
+                .filter(|_| watches_store),
             revisions: *self.links.own_revisions.borrow(),
             others: peers.named(self.sequence),
             running: RunningPart::of(
--- a/lib/src/direct/replication/rollout_follower.rs
+++ b/lib/src/direct/replication/rollout_follower.rs
@@ -110,7 +110,7 @@
 pub struct RolloutFollower {
     known: Rc<RefCell<IndexMap<Arc<str>, Rollout>>>,
     view: watch::Sender<Option<RolloutView>>,
-    asks_store: watch::Receiver<bool>,
+    watches_store: watch::Receiver<bool>,
 }
 
 impl RolloutFollower {
@@ -118,23 +118,23 @@
     #[must_use]
     pub fn new(
         view: watch::Sender<Option<RolloutView>>,
-        asks_store: watch::Receiver<bool>,
+        watches_store: watch::Receiver<bool>,
     ) -> Self {
         Self {
             known: Rc::default(),
             view,
-            asks_store,
+            watches_store,
         }
     }
 
     /// Follows the orders until the process ends.
     pub async fn follow(&self, store: &impl RolloutStore) {
         let mut backoff = Backoff::new(FIRST_PAUSE_MS, MOST_PAUSE_MS);
-        let mut asks_store = self.asks_store.clone();
+        let mut watches_store = self.watches_store.clone();
         let mut after = None;
         let mut is_out = false;
         loop {
-            if asks_store.wait_for(|asks| *asks).await.is_err() {
+            if watches_store.wait_for(|asks| *asks).await.is_err() {
                 return;
             }
             let read = match after {
--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -116,7 +116,7 @@
     replica: Rc<RefCell<Replica>>,
     view: watch::Sender<View>,
     began: Instant,
-    asks_store: watch::Receiver<bool>,
+    watches_store: watch::Receiver<bool>,
     answers: LastStoreResponse,
 }
 
@@ -126,14 +126,14 @@
     pub fn new(
         decoders: Decoders,
         view: watch::Sender<View>,
-        asks_store: watch::Receiver<bool>,
+        watches_store: watch::Receiver<bool>,
         answers: LastStoreResponse,
     ) -> Self {
         Self {
             replica: Rc::new(RefCell::new(Replica::new(decoders))),
             view,
             began: Instant::now(),
-            asks_store,
+            watches_store,
             answers,
         }
     }
@@ -162,9 +162,9 @@
         let mut backoff = Backoff::new(FIRST_PAUSE_MS, MOST_PAUSE_MS);
         let mut outage = Outage::default();
         let mut after = None;
-        let mut asks_store = self.asks_store.clone();
+        let mut watches_store = self.watches_store.clone();
         loop {
-            if asks_store.wait_for(|asks| *asks).await.is_err() {
+            if watches_store.wait_for(|asks| *asks).await.is_err() {
                 return;
             }
             let read = match after {
@@ -244,7 +244,7 @@
             let Ok(peer) = peer_ahead.wait_for(Option::is_some).await.map(|peer| *peer) else {
                 return;
             };
-            if *self.asks_store.borrow() {
+            if *self.watches_store.borrow() {
                 sleep(PEER_LEAD).await;
             }
             let is_still_ahead = peer_ahead.borrow().is_some();
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -142,7 +142,7 @@
 {
     let (view_sender, view) = watch::channel(View::default());
     let (ahead_sender, peer_ahead) = watch::channel(None);
-    let (asks_sender, asks_store) = watch::channel(true);
+    let (asks_sender, watches_store) = watch::channel(true);
     let (own_sender, own_revisions) = watch::channel(Revisions::default());
     let last_store_response = LastStoreResponse::default();
     let (orders_sender, orders) = watch::channel(None);
@@ -152,19 +152,19 @@
         own_revisions,
         last_store_response: last_store_response.clone(),
         peer_ahead: ahead_sender,
-        asks_store: asks_sender,
+        watches_store: asks_sender,
     };
     let control = current_thread().wrap_err("can't start the control thread's runtime")?;
     let peers = settings.peers;
     thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || {
-            let orders = RolloutFollower::new(orders_sender, asks_store.clone());
+            let orders = RolloutFollower::new(orders_sender, watches_store.clone());
             let orders = tells_versions.then_some((orders, due));
             let follower = StoreFollower::new(
                 adapter.decoders,
                 view_sender,
-                asks_store,
+                watches_store,
                 last_store_response,
             );
             LocalSet::new().block_on(
--- a/lib/tests/test_direct_shares.rs
+++ b/lib/tests/test_direct_shares.rs
@@ -385,15 +385,15 @@
     for number in 1..4 {
         table.heard(address(number), &heartbeat(1), 0);
     }
-    assert!(!table.asks_store(0));
+    assert!(!table.watches_store(0));
     let lost = Heartbeat {
         store_age_ms: Some(9_000),
         ..heartbeat(2)
     };
     table.heard(address(2), &lost, 10);
-    assert!(table.asks_store(10));
+    assert!(table.watches_store(10));
     let first = PeerTable::new(address(0), &[]);
-    assert!(first.asks_store(0), "whoever is alone asks");
+    assert!(first.watches_store(0), "whoever is alone asks");
 }
 
 #[test]
