--- a/lib/src/direct/replication/peer_pull.rs
+++ b/lib/src/direct/replication/peer_pull.rs
@@ -34,7 +34,7 @@
 
 /// What one entry gives another.
 #[derive(Clone, Debug, Default)]
-pub struct Copies {
+pub struct ReplicaUpdate {
     /// The configuration, if it is newer.
     pub catalog: Option<Arc<StoredObject>>,
     /// The upstreams, if their list is newer.
@@ -176,14 +176,14 @@
 /// # Errors
 ///
 /// When the peer does not answer in time, or not as expected.
-pub async fn pull(peer: SocketAddr, own_revisions: Revisions) -> io::Result<Copies> {
+pub async fn pull(peer: SocketAddr, own_revisions: Revisions) -> io::Result<ReplicaUpdate> {
     let ask = async {
         let mut channel = channel(TcpStream::connect(peer).await?);
         send(&mut channel, &own_revisions).await?;
         receive::<SentCopies>(&mut channel).await
     };
     let sent = timeout(PULL_TIMEOUT, ask).await??;
-    Ok(Copies {
+    Ok(ReplicaUpdate {
         catalog: sent
             .catalog
             .map(StoredObject::try_from)
@@ -221,7 +221,7 @@
 async fn give(stream: TcpStream, follower: StoreFollower) -> io::Result<()> {
     let mut channel = channel(stream);
     let theirs: Revisions = receive(&mut channel).await?;
-    let copies = follower.copies_after(theirs);
+    let copies = follower.update_since(theirs);
     let sent = SentCopies {
         catalog: copies.catalog.map(|object| SentObject {
             kind: object.kind.to_string(),
--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -19,7 +19,7 @@
 use crate::backoff::Backoff;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::replication::peer_pull;
-use crate::direct::replication::peer_pull::Copies;
+use crate::direct::replication::peer_pull::ReplicaUpdate;
 use crate::direct::view::replica::Decoders;
 use crate::direct::view::replica::Replica;
 use crate::direct::view::replica::View;
@@ -253,7 +253,7 @@
             };
             let own_revisions = self.replica.borrow().revisions();
             match peer_pull::pull(peer, own_revisions).await {
-                Ok(copies) => self.take_copies(peer, copies),
+                Ok(copies) => self.apply_update(peer, copies),
                 Err(error) => {
                     Line::new(Level::Warn, "peer gives no copy")
                         .field("peer", peer)
@@ -268,9 +268,11 @@
     }
 
     /// Takes what a peer gave.
-    pub fn take_copies(&self, peer: SocketAddr, copies: Copies) {
+    pub fn apply_update(&self, peer: SocketAddr, copies: ReplicaUpdate) {
         let before = self.replica.borrow().revisions();
-        self.replica.borrow_mut().take_copies(copies, self.now_ms());
+        self.replica
+            .borrow_mut()
+            .apply_update(copies, self.now_ms());
         let after = self.replica.borrow().revisions();
         Line::new(Level::Info, "copy taken from a peer")
             .field("peer", peer)
@@ -284,8 +286,8 @@
 
     /// What a peer lacks.
     #[must_use]
-    pub fn copies_after(&self, theirs: Revisions) -> Copies {
-        self.replica.borrow().copies_after(theirs)
+    pub fn update_since(&self, theirs: Revisions) -> ReplicaUpdate {
+        self.replica.borrow().update_since(theirs)
     }
 
     /// The configuration's object as text; empty if there is none.
--- a/lib/src/direct/view/replica.rs
+++ b/lib/src/direct/view/replica.rs
@@ -11,7 +11,7 @@
 use indexmap::IndexSet;
 
 use crate::direct::membership::peer_message::Revisions;
-use crate::direct::replication::peer_pull::Copies;
+use crate::direct::replication::peer_pull::ReplicaUpdate;
 use crate::direct::replication::peer_pull::UpstreamChanges;
 use crate::direct::replication::peer_pull::UpstreamCopy;
 use crate::direct::view::catalog::Catalog;
@@ -152,7 +152,7 @@
     }
 
     /// Takes what a peer gave, as far as it is newer.
-    pub fn take_copies(&mut self, copies: Copies, now_ms: u64) {
+    pub fn apply_update(&mut self, copies: ReplicaUpdate, now_ms: u64) {
         if let Some(object) = copies.catalog {
             self.take_catalog(Arc::unwrap_or_clone(object));
         }
@@ -183,9 +183,9 @@
 
     /// What a peer lacks.
     #[must_use]
-    pub fn copies_after(&self, theirs: Revisions) -> Copies {
+    pub fn update_since(&self, theirs: Revisions) -> ReplicaUpdate {
         let catalog = self.catalog.as_ref().map(|(object, _)| Arc::clone(object));
-        Copies {
+        ReplicaUpdate {
             catalog: catalog.filter(|_| self.revisions.catalog > theirs.catalog),
             upstreams: (self.revisions.directory > theirs.directory)
                 .then(|| self.upstreams_after(theirs.directory)),
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -1,7 +1,7 @@
 //! The replica of the list of upstreams: what comes late, out of order or spoiled.
 
 use sardinewood::direct::membership::peer_message::Revisions;
-use sardinewood::direct::replication::peer_pull::Copies;
+use sardinewood::direct::replication::peer_pull::ReplicaUpdate;
 use sardinewood::direct::replication::peer_pull::UpstreamChanges;
 use sardinewood::direct::replication::peer_pull::UpstreamCopy;
 use sardinewood::direct::view::catalog::Catalog;
@@ -56,8 +56,8 @@
 }
 
 /// Of a peer that has followed the list from `after` to `revision`.
-fn changes(after: u64, revision: u64, objects: Vec<StoredObject>) -> Copies {
-    Copies {
+fn changes(after: u64, revision: u64, objects: Vec<StoredObject>) -> ReplicaUpdate {
+    ReplicaUpdate {
         catalog: None,
         upstreams: Some(UpstreamCopy::Changes(UpstreamChanges {
             after,
@@ -98,7 +98,7 @@
     // Callers go on being served by the restarted upstream. Its former self's entry lapsed at
     // revision 6 and the new one's came at 7; a peer told of 7 before our own watch told of 6.
     let mut replica = listed();
-    replica.take_copies(changes(3, 7, vec![object("a", 7, 20)]), 0);
+    replica.apply_update(changes(3, 7, vec![object("a", 7, 20)]), 0);
     replica.take_event("u", gone("a", 6), 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
     replica.take_event("u", gone("a", 8), 0);
@@ -114,7 +114,7 @@
     if let Some(UpstreamCopy::Changes(changes)) = &mut newer.upstreams {
         changes.gone.push((8, "b".into()));
     }
-    replica.take_copies(newer, 0);
+    replica.apply_update(newer, 0);
     let late = list(5, vec![object("a", 2, 10), object("b", 3, 10)]);
     replica.take_list("u", late, 0);
     assert_eq!(instances(&replica), ["a@20", "c@10"]);
@@ -125,11 +125,11 @@
 fn lagging_peer_brings_nothing_back() {
     let mut replica = listed();
     replica.take_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
-    let stale = Copies {
+    let stale = ReplicaUpdate {
         catalog: None,
         upstreams: Some(UpstreamCopy::Whole(list(5, vec![object("a", 2, 10)]))),
     };
-    replica.take_copies(stale, 0);
+    replica.apply_update(stale, 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
 }
 
@@ -180,7 +180,7 @@
         catalog: 0,
         directory: 5,
     };
-    let Some(UpstreamCopy::Changes(changes)) = replica.copies_after(theirs).upstreams else {
+    let Some(UpstreamCopy::Changes(changes)) = replica.update_since(theirs).upstreams else {
         panic!("changes were expected");
     };
     assert_eq!(changes.objects, [spoiled]);
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -146,10 +146,10 @@
 #[tokio::test]
 async fn peer_without_anything_gets_the_whole_list() {
     let (follower, _view) = followed().await;
-    let copies = follower.copies_after(Revisions::default());
+    let copies = follower.update_since(Revisions::default());
     assert!(matches!(copies.upstreams, Some(UpstreamCopy::Whole(_))));
     let (other, view) = self::follower();
-    other.take_copies(peer(), copies);
+    other.apply_update(peer(), copies);
     assert_eq!(names(&view), ["b", "c"]);
 }
 
@@ -157,7 +157,7 @@
 async fn lagging_peer_gets_the_changes_only() {
     // A peer that knows the first list lacks one upstream and still has another that is gone.
     let (follower, _view) = followed().await;
-    let copies = follower.copies_after(Revisions {
+    let copies = follower.update_since(Revisions {
         catalog: 0,
         directory: 3,
     });
@@ -171,14 +171,14 @@
         revision: 3,
         objects: vec![object("u", "a", 2), object("u", "b", 3)],
     };
-    other.take_copies(
+    other.apply_update(
         peer(),
-        sardinewood::direct::replication::peer_pull::Copies {
+        sardinewood::direct::replication::peer_pull::ReplicaUpdate {
             catalog: None,
             upstreams: Some(UpstreamCopy::Whole(first)),
         },
     );
-    other.take_copies(peer(), copies);
+    other.apply_update(peer(), copies);
     assert_eq!(names(&view), ["b", "c"]);
 }
 
@@ -190,9 +190,9 @@
         revision: 4,
         objects: vec![object("u", "z", 4)],
     };
-    follower.take_copies(
+    follower.apply_update(
         peer(),
-        sardinewood::direct::replication::peer_pull::Copies {
+        sardinewood::direct::replication::peer_pull::ReplicaUpdate {
             catalog: None,
             upstreams: Some(UpstreamCopy::Whole(old)),
         },
@@ -204,11 +204,11 @@
 async fn older_configuration_not_taken() {
     let (follower, view) = follower();
     for version in [7, 5] {
-        let copies = sardinewood::direct::replication::peer_pull::Copies {
+        let copies = sardinewood::direct::replication::peer_pull::ReplicaUpdate {
             catalog: Some(Arc::new(object("c", "main", version))),
             upstreams: None,
         };
-        follower.take_copies(peer(), copies);
+        follower.apply_update(peer(), copies);
     }
     let version = view
         .borrow()
