--- a/lib/src/direct/replication/peer_pull.rs
+++ b/lib/src/direct/replication/peer_pull.rs
@@ -38,21 +38,21 @@
     /// The configuration, if it is newer.
     pub catalog: Option<Arc<StoredObject>>,
     /// The upstreams, if their list is newer.
-    pub upstreams: Option<UpstreamCopy>,
+    pub upstreams: Option<UpstreamListUpdate>,
 }
 
 /// The upstreams, whole or as far as they have changed.
 #[derive(Clone, Debug)]
-pub enum UpstreamCopy {
+pub enum UpstreamListUpdate {
     /// All of them.
-    Whole(ObjectList),
+    Full(ObjectList),
     /// What is new since a revision.
-    Changes(UpstreamChanges),
+    Delta(UpstreamListDelta),
 }
 
 /// What has changed in the list of upstreams.
 #[derive(Clone, Debug)]
-pub struct UpstreamChanges {
+pub struct UpstreamListDelta {
     /// The revision that the changes follow.
     pub after: u64,
     /// The revision that they lead to.
@@ -60,7 +60,7 @@
     /// New and changed objects.
     pub objects: Vec<StoredObject>,
     /// Names of objects that are gone, with the revision of that.
-    pub gone: Vec<(u64, Arc<str>)>,
+    pub removed: Vec<(u64, Arc<str>)>,
 }
 
 /// The same as sent: values are JSON text, since their form is not known here.
@@ -76,30 +76,30 @@
     after: Option<u64>,
     revision: u64,
     objects: Vec<SentObject>,
-    gone: Vec<(u64, Arc<str>)>,
+    removed: Vec<(u64, Arc<str>)>,
 }
 
-impl From<&UpstreamCopy> for SentList {
-    fn from(copy: &UpstreamCopy) -> Self {
+impl From<&UpstreamListUpdate> for SentList {
+    fn from(copy: &UpstreamListUpdate) -> Self {
         let sent = |objects: &[StoredObject]| objects.iter().map(SentObject::from).collect();
         match copy {
-            UpstreamCopy::Whole(list) => Self {
+            UpstreamListUpdate::Full(list) => Self {
                 after: None,
                 revision: list.revision,
                 objects: sent(&list.objects),
-                gone: Vec::new(),
+                removed: Vec::new(),
             },
-            UpstreamCopy::Changes(changes) => Self {
+            UpstreamListUpdate::Delta(changes) => Self {
                 after: Some(changes.after),
                 revision: changes.revision,
                 objects: sent(&changes.objects),
-                gone: changes.gone.clone(),
+                removed: changes.removed.clone(),
             },
         }
     }
 }
 
-impl TryFrom<SentList> for UpstreamCopy {
+impl TryFrom<SentList> for UpstreamListUpdate {
     type Error = io::Error;
 
     fn try_from(sent: SentList) -> io::Result<Self> {
@@ -110,12 +110,12 @@
             .collect::<io::Result<_>>()?;
         let revision = sent.revision;
         Ok(match sent.after {
-            None => Self::Whole(ObjectList { revision, objects }),
-            Some(after) => Self::Changes(UpstreamChanges {
+            None => Self::Full(ObjectList { revision, objects }),
+            Some(after) => Self::Delta(UpstreamListDelta {
                 after,
                 revision,
                 objects,
-                gone: sent.gone,
+                removed: sent.removed,
             }),
         })
     }
@@ -189,7 +189,10 @@
             .map(StoredObject::try_from)
             .transpose()?
             .map(Arc::new),
-        upstreams: sent.upstreams.map(UpstreamCopy::try_from).transpose()?,
+        upstreams: sent
+            .upstreams
+            .map(UpstreamListUpdate::try_from)
+            .transpose()?,
     })
 }
 
--- a/lib/src/direct/view/replica.rs
+++ b/lib/src/direct/view/replica.rs
@@ -12,8 +12,8 @@
 
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::replication::peer_pull::ReplicaUpdate;
-use crate::direct::replication::peer_pull::UpstreamChanges;
-use crate::direct::replication::peer_pull::UpstreamCopy;
+use crate::direct::replication::peer_pull::UpstreamListDelta;
+use crate::direct::replication::peer_pull::UpstreamListUpdate;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Directory;
 use crate::direct::view::directory::Upstream;
@@ -157,10 +157,10 @@
             self.take_catalog(Arc::unwrap_or_clone(object));
         }
         match copies.upstreams {
-            Some(UpstreamCopy::Whole(list)) if list.revision > self.revisions.directory => {
+            Some(UpstreamListUpdate::Full(list)) if list.revision > self.revisions.directory => {
                 self.take_upstreams(list, now_ms);
             }
-            Some(UpstreamCopy::Changes(changes))
+            Some(UpstreamListUpdate::Delta(changes))
                 if changes.after <= self.revisions.directory
                     && changes.revision > self.revisions.directory =>
             {
@@ -170,11 +170,11 @@
         }
     }
 
-    fn take_changes(&mut self, changes: UpstreamChanges, now_ms: u64) {
+    fn take_changes(&mut self, changes: UpstreamListDelta, now_ms: u64) {
         for object in changes.objects {
             self.take_upstream(object, now_ms);
         }
-        for (version, name) in changes.gone {
+        for (version, name) in changes.removed {
             self.drop_upstream(&name, version, now_ms);
         }
         self.is_listed = true;
@@ -194,15 +194,15 @@
 
     /// What has changed in the list of upstreams: whole lists of thousands, sent to hundreds of
     /// peers at each change, would take hundreds of megabytes.
-    fn upstreams_after(&self, after: u64) -> UpstreamCopy {
+    fn upstreams_after(&self, after: u64) -> UpstreamListUpdate {
         let revision = self.revisions.directory;
         if after == 0 || after < self.gone_cut_at {
-            return UpstreamCopy::Whole(ObjectList {
+            return UpstreamListUpdate::Full(ObjectList {
                 revision,
                 objects: self.objects.values().cloned().collect(),
             });
         }
-        UpstreamCopy::Changes(UpstreamChanges {
+        UpstreamListUpdate::Delta(UpstreamListDelta {
             after,
             revision,
             objects: self
@@ -211,7 +211,7 @@
                 .filter(|object| object.version > after)
                 .cloned()
                 .collect(),
-            gone: self
+            removed: self
                 .gone
                 .iter()
                 .filter(|(version, _)| *version > after)
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -2,8 +2,8 @@
 
 use sardinewood::direct::membership::peer_message::Revisions;
 use sardinewood::direct::replication::peer_pull::ReplicaUpdate;
-use sardinewood::direct::replication::peer_pull::UpstreamChanges;
-use sardinewood::direct::replication::peer_pull::UpstreamCopy;
+use sardinewood::direct::replication::peer_pull::UpstreamListDelta;
+use sardinewood::direct::replication::peer_pull::UpstreamListUpdate;
 use sardinewood::direct::view::catalog::Catalog;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::direct::view::replica::Decoders;
@@ -59,11 +59,11 @@
 fn changes(after: u64, revision: u64, objects: Vec<StoredObject>) -> ReplicaUpdate {
     ReplicaUpdate {
         catalog: None,
-        upstreams: Some(UpstreamCopy::Changes(UpstreamChanges {
+        upstreams: Some(UpstreamListUpdate::Delta(UpstreamListDelta {
             after,
             revision,
             objects,
-            gone: Vec::new(),
+            removed: Vec::new(),
         })),
     }
 }
@@ -111,8 +111,8 @@
     // `a` has started again, `b` is gone and `c` is new.
     let mut replica = listed();
     let mut newer = changes(3, 9, vec![object("a", 7, 20), object("c", 9, 10)]);
-    if let Some(UpstreamCopy::Changes(changes)) = &mut newer.upstreams {
-        changes.gone.push((8, "b".into()));
+    if let Some(UpstreamListUpdate::Delta(changes)) = &mut newer.upstreams {
+        changes.removed.push((8, "b".into()));
     }
     replica.apply_update(newer, 0);
     let late = list(5, vec![object("a", 2, 10), object("b", 3, 10)]);
@@ -127,7 +127,7 @@
     replica.take_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
     let stale = ReplicaUpdate {
         catalog: None,
-        upstreams: Some(UpstreamCopy::Whole(list(5, vec![object("a", 2, 10)]))),
+        upstreams: Some(UpstreamListUpdate::Full(list(5, vec![object("a", 2, 10)]))),
     };
     replica.apply_update(stale, 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
@@ -180,7 +180,7 @@
         catalog: 0,
         directory: 5,
     };
-    let Some(UpstreamCopy::Changes(changes)) = replica.update_since(theirs).upstreams else {
+    let Some(UpstreamListUpdate::Delta(changes)) = replica.update_since(theirs).upstreams else {
         panic!("changes were expected");
     };
     assert_eq!(changes.objects, [spoiled]);
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sardinewood::direct::membership::peer_message::Revisions;
-use sardinewood::direct::replication::peer_pull::UpstreamCopy;
+use sardinewood::direct::replication::peer_pull::UpstreamListUpdate;
 use sardinewood::direct::replication::store_follower::LastStoreResponse;
 use sardinewood::direct::replication::store_follower::ObjectSource;
 use sardinewood::direct::replication::store_follower::StoreFollower;
@@ -147,7 +147,10 @@
 async fn peer_without_anything_gets_the_whole_list() {
     let (follower, _view) = followed().await;
     let copies = follower.update_since(Revisions::default());
-    assert!(matches!(copies.upstreams, Some(UpstreamCopy::Whole(_))));
+    assert!(matches!(
+        copies.upstreams,
+        Some(UpstreamListUpdate::Full(_))
+    ));
     let (other, view) = self::follower();
     other.apply_update(peer(), copies);
     assert_eq!(names(&view), ["b", "c"]);
@@ -161,11 +164,11 @@
         catalog: 0,
         directory: 3,
     });
-    let Some(UpstreamCopy::Changes(changes)) = &copies.upstreams else {
+    let Some(UpstreamListUpdate::Delta(changes)) = &copies.upstreams else {
         panic!("{copies:?}");
     };
     assert_eq!(changes.objects.len(), 1);
-    assert_eq!(changes.gone, [(9, "a".into())]);
+    assert_eq!(changes.removed, [(9, "a".into())]);
     let (other, view) = self::follower();
     let first = ObjectList {
         revision: 3,
@@ -175,7 +178,7 @@
         peer(),
         sardinewood::direct::replication::peer_pull::ReplicaUpdate {
             catalog: None,
-            upstreams: Some(UpstreamCopy::Whole(first)),
+            upstreams: Some(UpstreamListUpdate::Full(first)),
         },
     );
     other.apply_update(peer(), copies);
@@ -194,7 +197,7 @@
         peer(),
         sardinewood::direct::replication::peer_pull::ReplicaUpdate {
             catalog: None,
-            upstreams: Some(UpstreamCopy::Whole(old)),
+            upstreams: Some(UpstreamListUpdate::Full(old)),
         },
     );
     assert_eq!(names(&view), ["b", "c"]);
