--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -17,7 +17,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sardinewood::direct::membership::gossip;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::notices::book::Notices;
 use sardinewood::direct::placement::asking::Asking;
@@ -177,7 +177,7 @@
     Deliver {
         to: usize,
         from: usize,
-        message: Message,
+        message: PeerMessage,
     },
     Silence {
         request: usize,
@@ -447,7 +447,7 @@
         self.events.push(Reverse((at_ms, self.order, body)));
     }
 
-    fn tell(&mut self, from: usize, to: SocketAddr, message: Message) {
+    fn tell(&mut self, from: usize, to: SocketAddr, message: PeerMessage) {
         if self.random.random::<f64>() < self.setup.lost_part {
             return;
         }
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use sardinewood::direct::membership::gossip;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::quarantine::fingerprint::Asked;
@@ -201,7 +201,7 @@
         let known = self.entries[entry].peers.known();
         if gossip::greets(known, self.random.random::<u32>() as usize) {
             let told = self.entries[entry].suspects.next_told(self.now_ms);
-            self.tell(entry, peer, Message::Suspects(told));
+            self.tell(entry, peer, PeerMessage::Suspects(told));
         }
     }
 
@@ -230,7 +230,7 @@
             .copied()
             .collect();
         for target in chosen {
-            self.tell(entry, target, Message::Suspects(told.to_vec()));
+            self.tell(entry, target, PeerMessage::Suspects(told.to_vec()));
         }
     }
 }
--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use sardinewood::direct::membership::heartbeat_payload::RunningPart;
 use sardinewood::direct::membership::peer_message::Heartbeat;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door;
 use sardinewood::direct::sharing::door::Ask;
@@ -47,7 +47,7 @@
             .insert(id, (request, Arc::clone(instance), owner));
         match owner {
             Asker::Own => self.asked(entry, Asker::Own, ask),
-            Asker::Peer(peer) => self.tell(entry, peer, Message::Ask(ask)),
+            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Ask(ask)),
         }
     }
 
@@ -58,7 +58,7 @@
         let upstream = short_name(instance);
         match owner {
             Asker::Own => self.entries[entry].doors.cancel(Asker::Own, upstream, id),
-            Asker::Peer(peer) => self.tell(entry, peer, Message::Cancel { upstream, ask: id }),
+            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Cancel { upstream, ask: id }),
         }
     }
 
@@ -73,7 +73,7 @@
         let ask = ask.id;
         match from {
             Asker::Own => self.busy(entry, ask, wait_ms),
-            Asker::Peer(peer) => self.tell(entry, peer, Message::Busy { ask, wait_ms }),
+            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Busy { ask, wait_ms }),
         }
     }
 
@@ -82,7 +82,7 @@
             let (ask, upstream) = (grant.ask, grant.upstream);
             match grant.to {
                 Asker::Own => self.granted(entry, ask, upstream),
-                Asker::Peer(peer) => self.tell(entry, peer, Message::Grant { ask, upstream }),
+                Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Grant { ask, upstream }),
             }
         }
         self.grant_by_rate(entry);
@@ -111,33 +111,33 @@
                 doors.done(Asker::Own, upstream, release);
                 self.grant(entry);
             }
-            Asker::Peer(peer) => self.tell(entry, peer, Message::Done { upstream, release }),
+            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Done { upstream, release }),
         }
     }
 
-    pub(super) fn hear(&mut self, entry: usize, from: usize, message: Message) {
+    pub(super) fn hear(&mut self, entry: usize, from: usize, message: PeerMessage) {
         if !self.entries[entry].is_up {
             return;
         }
         let peer = address(from);
         match message {
-            Message::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
-            Message::Ask(ask) => self.asked(entry, Asker::Peer(peer), ask),
-            Message::Cancel { upstream, ask } => {
+            PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
+            PeerMessage::Ask(ask) => self.asked(entry, Asker::Peer(peer), ask),
+            PeerMessage::Cancel { upstream, ask } => {
                 let doors = &mut self.entries[entry].doors;
                 doors.cancel(Asker::Peer(peer), upstream, ask);
             }
-            Message::Grant { ask, upstream } => self.granted(entry, ask, upstream),
-            Message::Busy { ask, wait_ms } => self.busy(entry, ask, wait_ms),
-            Message::Done { upstream, release } => {
+            PeerMessage::Grant { ask, upstream } => self.granted(entry, ask, upstream),
+            PeerMessage::Busy { ask, wait_ms } => self.busy(entry, ask, wait_ms),
+            PeerMessage::Done { upstream, release } => {
                 let doors = &mut self.entries[entry].doors;
                 doors.done(Asker::Peer(peer), upstream, release);
                 self.grant(entry);
             }
             // Customers of the model have no limits, and its engines one version.
-            Message::ChargeAsk(_) | Message::Charged { .. } | Message::Rollout(_) => {}
-            Message::Notices(told) => self.hear_notices(entry, &told),
-            Message::Suspects(told) => self.hear_suspects(entry, &told),
+            PeerMessage::ChargeAsk(_) | PeerMessage::Charged { .. } | PeerMessage::Rollout(_) => {}
+            PeerMessage::Notices(told) => self.hear_notices(entry, &told),
+            PeerMessage::Suspects(told) => self.hear_suspects(entry, &told),
         }
     }
 
@@ -177,7 +177,7 @@
         let targets: Vec<SocketAddr> = state.peers.targets().collect();
         let next_ms = now_ms + state.peers.heartbeat_ms(false);
         for target in targets {
-            self.tell(entry, target, Message::Heartbeat(heartbeat.clone()));
+            self.tell(entry, target, PeerMessage::Heartbeat(heartbeat.clone()));
         }
         self.grant(entry);
         self.at(next_ms, Event::Heartbeat { entry });
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use indexmap::IndexSet;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
 use sardinewood::direct::notices::record::Told;
@@ -94,7 +94,7 @@
         self.place_notices(entry);
         let peers: Vec<_> = self.entries[entry].peers.targets().collect();
         for peer in peers.into_iter().filter(|_| !told.is_empty()) {
-            self.tell(entry, peer, Message::Notices(told.clone()));
+            self.tell(entry, peer, PeerMessage::Notices(told.clone()));
         }
     }
 
--- a/lib/src/direct/charging.rs
+++ b/lib/src/direct/charging.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use crate::direct::membership::peer_message::ChargeAsk;
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::asking::ANSWER_WITHIN_MS;
 use crate::direct::sharing::allotment::Begun;
 use crate::direct::sharing::allotment::Charge;
@@ -81,7 +81,7 @@
     };
     let (sender, answer) = oneshot::channel();
     traffic.charges.0.borrow_mut().insert(open.id, sender);
-    let question = Message::ChargeAsk(ChargeAsk {
+    let question = PeerMessage::ChargeAsk(ChargeAsk {
         id: open.id,
         customer: customer.name.clone(),
         due,
@@ -115,7 +115,7 @@
             question.demand,
             self.now_ms(),
         );
-        let answer = Message::Charged {
+        let answer = PeerMessage::Charged {
             ask: question.id,
             charge,
         };
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -107,7 +107,7 @@
 
 /// Everything that entries send each other by datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Message {
+pub enum PeerMessage {
     /// The state of the sender.
     Heartbeat(Heartbeat),
     /// The sender wants room at an engine whose door the receiver keeps.
@@ -157,15 +157,15 @@
     Notices(Vec<ToldNotice>),
 }
 
-impl Message {
+impl PeerMessage {
     /// The message as a datagram; none if it would be too long.
     ///
     /// ```
-    /// use sardinewood::direct::membership::peer_message::{Heartbeat, Message};
+    /// use sardinewood::direct::membership::peer_message::{Heartbeat, PeerMessage};
     ///
-    /// let message = Message::Heartbeat(Heartbeat::default());
+    /// let message = PeerMessage::Heartbeat(Heartbeat::default());
     /// let bytes = message.encode().unwrap();
-    /// assert_eq!(Message::decode(&bytes), Some(message));
+    /// assert_eq!(PeerMessage::decode(&bytes), Some(message));
     /// ```
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
@@ -176,7 +176,7 @@
     /// Reads a datagram; none if it is not a message of ours.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::membership::peer_message::Message::decode(b"?"), None);
+    /// assert_eq!(sardinewood::direct::membership::peer_message::PeerMessage::decode(b"?"), None);
     /// ```
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::direct::membership::gossip;
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::notices::book::Change;
 use crate::direct::notices::notice::Notice;
 use crate::direct::notices::record::Told;
@@ -94,7 +94,7 @@
         }
         let told = self.notices.borrow_mut().next_told(self.now_ms());
         if !told.is_empty() {
-            self.tell(peer, &Message::Notices(told));
+            self.tell(peer, &PeerMessage::Notices(told));
         }
     }
 
@@ -170,7 +170,7 @@
 
     fn tell_some_notices(&self, told: Vec<Told>, most: usize) {
         if !told.is_empty() {
-            self.tell_some(&Message::Notices(told), most);
+            self.tell_some(&PeerMessage::Notices(told), most);
         }
     }
 
@@ -180,7 +180,7 @@
         if !told.is_empty()
             && let Asker::Peer(keeper) = self.owner(short_name(instance))
         {
-            self.tell(keeper, &Message::Notices(told));
+            self.tell(keeper, &PeerMessage::Notices(told));
         }
     }
 
--- a/lib/src/direct/quarantining.rs
+++ b/lib/src/direct/quarantining.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use crate::direct::membership::gossip;
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::quarantine::ends::End;
 use crate::direct::quarantine::ends::Next;
@@ -177,7 +177,7 @@
             return;
         }
         let told = self.suspects.borrow_mut().next_told(self.now_ms());
-        self.tell(peer, &Message::Suspects(told));
+        self.tell(peer, &PeerMessage::Suspects(told));
     }
 
     fn tell_all_of(&self, requests: &[Fingerprint]) {
@@ -187,7 +187,7 @@
 
     fn tell_some_of(&self, told: Vec<Told>, most: usize) {
         if !told.is_empty() {
-            self.tell_some(&Message::Suspects(told), most);
+            self.tell_some(&PeerMessage::Suspects(told), most);
         }
     }
 
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::direct::membership::heartbeat_payload::RunningPart;
 use crate::direct::membership::heartbeat_payload::SpentReport;
 use crate::direct::membership::peer_message::Heartbeat;
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::replication::store_follower::LastStoreResponse;
@@ -94,29 +94,29 @@
 
     fn receive(&mut self, bytes: &[u8], from: SocketAddr) {
         let traffic = &self.traffic;
-        match Message::decode(bytes) {
-            Some(Message::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
-            Some(Message::Ask(ask)) => traffic.asked(Asker::Peer(from), ask),
-            Some(Message::Cancel { upstream, ask }) => {
+        match PeerMessage::decode(bytes) {
+            Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
+            Some(PeerMessage::Ask(ask)) => traffic.asked(Asker::Peer(from), ask),
+            Some(PeerMessage::Cancel { upstream, ask }) => {
                 traffic
                     .doors
                     .borrow_mut()
                     .cancel(Asker::Peer(from), upstream, ask);
             }
-            Some(Message::Grant { ask, upstream }) => traffic.granted(ask, upstream),
-            Some(Message::Busy { ask, wait_ms }) => traffic.busy(ask, wait_ms),
-            Some(Message::Done { upstream, release }) => {
+            Some(PeerMessage::Grant { ask, upstream }) => traffic.granted(ask, upstream),
+            Some(PeerMessage::Busy { ask, wait_ms }) => traffic.busy(ask, wait_ms),
+            Some(PeerMessage::Done { upstream, release }) => {
                 traffic
                     .doors
                     .borrow_mut()
                     .done(Asker::Peer(from), upstream, release);
                 traffic.grant_rooms();
             }
-            Some(Message::ChargeAsk(question)) => traffic.lend(from, &question),
-            Some(Message::Charged { ask, charge }) => traffic.charged(ask, charge),
-            Some(Message::Suspects(told)) => traffic.hear_suspects(&told),
-            Some(Message::Rollout(message)) => traffic.hear_rollout(from, &message),
-            Some(Message::Notices(told)) => traffic.hear_notices(from, &told),
+            Some(PeerMessage::ChargeAsk(question)) => traffic.lend(from, &question),
+            Some(PeerMessage::Charged { ask, charge }) => traffic.charged(ask, charge),
+            Some(PeerMessage::Suspects(told)) => traffic.hear_suspects(&told),
+            Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
+            Some(PeerMessage::Notices(told)) => traffic.hear_notices(from, &told),
             None => traffic.log(Level::Warn, "datagram is not understood", |line| {
                 line.field("from", from)
             }),
@@ -196,13 +196,13 @@
     }
 
     fn tell_all(&mut self) {
-        let heartbeat = Message::Heartbeat(self.own_heartbeat());
+        let heartbeat = PeerMessage::Heartbeat(self.own_heartbeat());
         self.traffic.tell_all(&heartbeat);
     }
 
     /// Tells all peers that this process ends, so that they need not wait for its silence.
     pub fn announce_exit(traffic: &Traffic) {
-        let last_heartbeat = Message::Heartbeat(Heartbeat {
+        let last_heartbeat = PeerMessage::Heartbeat(Heartbeat {
             is_last: true,
             ..Heartbeat::default()
         });
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
 use crate::direct::replication::rollout_follower::RolloutView;
@@ -153,7 +153,7 @@
     /// Tells a peer how far all orders have come that has started, or was silent.
     pub fn sync_rollouts_to(&self, peer: SocketAddr) {
         for state in self.rollouts.borrow().states(self.now_ms()) {
-            self.tell(peer, &Message::Rollout(RolloutMessage::State(state)));
+            self.tell(peer, &PeerMessage::Rollout(RolloutMessage::State(state)));
         }
     }
 
@@ -201,7 +201,7 @@
         match self.carry_out_here(service, next) {
             Some(RolloutAction::Report(report)) => {
                 let own = self.peers.borrow().own_address();
-                let message = Message::Rollout(RolloutMessage::Report(report));
+                let message = PeerMessage::Rollout(RolloutMessage::Report(report));
                 for coordinator in coordinators
                     .iter()
                     .filter(|coordinator| **coordinator != own)
@@ -267,7 +267,7 @@
     }
 
     fn tell_all_rollout(&self, message: RolloutMessage) {
-        self.tell_all(&Message::Rollout(message));
+        self.tell_all(&PeerMessage::Rollout(message));
     }
 
     fn log_rollout(&self, service: &str, reason: DecisionReason) {
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use tokio::time::timeout_at;
 
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::asking::ANSWER_WITHIN_MS;
 use crate::direct::placement::asking::Asking;
 use crate::direct::placement::asking::Next;
@@ -103,7 +103,7 @@
         traffic.asks.borrow_mut().insert(id, open);
         match owner {
             Asker::Own => traffic.asked(Asker::Own, ask),
-            Asker::Peer(address) => traffic.tell(address, &Message::Ask(ask)),
+            Asker::Peer(address) => traffic.tell(address, &PeerMessage::Ask(ask)),
         }
     }
 
@@ -116,7 +116,7 @@
         match open.owner {
             Asker::Own => traffic.doors.borrow_mut().cancel(Asker::Own, upstream, id),
             Asker::Peer(address) => {
-                traffic.tell(address, &Message::Cancel { upstream, ask: id });
+                traffic.tell(address, &PeerMessage::Cancel { upstream, ask: id });
             }
         }
     }
@@ -219,7 +219,7 @@
             Asker::Own => self.busy(ask.id, wait_ms),
             Asker::Peer(peer) => self.tell(
                 peer,
-                &Message::Busy {
+                &PeerMessage::Busy {
                     ask: ask.id,
                     wait_ms,
                 },
@@ -239,7 +239,7 @@
                 Asker::Own => self.granted(grant.ask, grant.upstream),
                 Asker::Peer(peer) => self.tell(
                     peer,
-                    &Message::Grant {
+                    &PeerMessage::Grant {
                         ask: grant.ask,
                         upstream: grant.upstream,
                     },
@@ -281,7 +281,7 @@
                 self.doors.borrow_mut().done(Asker::Own, upstream, release);
                 self.grant_rooms();
             }
-            Asker::Peer(peer) => self.tell(peer, &Message::Done { upstream, release }),
+            Asker::Peer(peer) => self.tell(peer, &PeerMessage::Done { upstream, release }),
         }
     }
 }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -20,7 +20,7 @@
 use crate::direct::log_budget::LogBudget;
 use crate::direct::log_budget::Outcome;
 use crate::direct::membership::gossip;
-use crate::direct::membership::peer_message::Message;
+use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::notices::book::Notices;
 use crate::direct::placement::dispatch::Dispatcher;
@@ -398,7 +398,7 @@
     }
 
     /// Sends a message to a peer. A lost one is made up for by the next heartbeat or question.
-    pub fn tell(&self, to: SocketAddr, message: &Message) {
+    pub fn tell(&self, to: SocketAddr, message: &PeerMessage) {
         let Some(bytes) = message.encode() else {
             self.log(Level::Error, "message to a peer is too long", |line| line);
             return;
@@ -411,7 +411,7 @@
     }
 
     /// Sends a message to all peers and to the seeds that were not heard yet.
-    pub fn tell_all(&self, message: &Message) {
+    pub fn tell_all(&self, message: &PeerMessage) {
         let targets: Vec<SocketAddr> = self.peers.borrow().targets().collect();
         for target in targets {
             self.tell(target, message);
@@ -419,7 +419,7 @@
     }
 
     /// Sends a message to so many of them, drawn anew each time.
-    pub fn tell_some(&self, message: &Message, most: usize) {
+    pub fn tell_some(&self, message: &PeerMessage, most: usize) {
         let targets: Vec<SocketAddr> = self.peers.borrow().targets().collect();
         for target in targets.choose_multiple(&mut rand::rng(), most) {
             self.tell(*target, message);
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::membership::heartbeat_payload::SpentReport;
 use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::Heartbeat;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::membership::peer_message::Running;
 use sardinewood::direct::membership::peer_message::Spent;
 use sardinewood::direct::membership::peer_table::PeerTable;
@@ -71,7 +71,7 @@
     // heartbeat were too long it would not leave, and the others would take the entry for dead.
     let mut report = SpentReport::default();
     for sequence in 1..100 {
-        let message = Message::Heartbeat(heartbeat(sequence, &mut report));
+        let message = PeerMessage::Heartbeat(heartbeat(sequence, &mut report));
         assert!(message.encode().is_some(), "heartbeat {sequence}");
     }
 }
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -3,7 +3,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::notices::book::Change;
 use sardinewood::direct::notices::book::Notices;
 use sardinewood::direct::notices::notice::Notice;
@@ -147,10 +147,10 @@
     }
     let told = notices.next_told(u64::MAX);
     assert!(told.len() >= 50);
-    assert!(Message::Notices(told).encode().is_some());
+    assert!(PeerMessage::Notices(told).encode().is_some());
     let changed: Vec<u32> = (0..200).map(|number| u32::MAX - number).collect();
     let passed_on = notices.told_of(&changed, u64::MAX);
-    assert!(Message::Notices(passed_on).encode().is_some());
+    assert!(PeerMessage::Notices(passed_on).encode().is_some());
 }
 
 #[test]
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -505,7 +505,8 @@
         if let RolloutAction::Report(report) = next {
             seen += 1;
             let message = RolloutMessage::Report(report);
-            let message = sardinewood::direct::membership::peer_message::Message::Rollout(message);
+            let message =
+                sardinewood::direct::membership::peer_message::PeerMessage::Rollout(message);
             assert!(message.encode().is_some());
         }
     }
--- a/lib/tests/test_direct_suspects.rs
+++ b/lib/tests/test_direct_suspects.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use sardinewood::direct::membership::peer_message::Message;
+use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::record::Told;
@@ -356,10 +356,10 @@
     }
     let told = suspects.next_told(2 * day_ms);
     assert!(told.len() > 5, "{}", told.len());
-    assert!(Message::Suspects(told).encode().is_some());
+    assert!(PeerMessage::Suspects(told).encode().is_some());
     let all: Vec<Fingerprint> = (0..40).map(request).collect();
     let told = suspects.told(&all, 2 * day_ms);
-    assert!(Message::Suspects(told).encode().is_some());
+    assert!(PeerMessage::Suspects(told).encode().is_some());
 }
 
 #[test]
@@ -499,7 +499,7 @@
             suspects.begin_trial(request(number), 6_000);
         }
         let told = suspects.next_told(6_000);
-        prop_assert!(Message::Suspects(told).encode().is_some());
+        prop_assert!(PeerMessage::Suspects(told).encode().is_some());
         for number in 0..4 {
             suspects.clear(request(number), 7_000);
             prop_assert_eq!(suspects.verdict(request(number), 7_000), Verdict::Free);
