--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -73,7 +73,7 @@
         let ask = ask.id;
         match from {
             Asker::Own => self.busy(entry, ask, wait_ms),
-            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Busy { ask, wait_ms }),
+            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Queued { ask, wait_ms }),
         }
     }
 
@@ -111,7 +111,9 @@
                 doors.done(Asker::Own, upstream, release);
                 self.grant(entry);
             }
-            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Done { upstream, release }),
+            Asker::Peer(peer) => {
+                self.tell(entry, peer, PeerMessage::Released { upstream, release })
+            }
         }
     }
 
@@ -128,14 +130,16 @@
                 doors.cancel(Asker::Peer(peer), upstream, ask);
             }
             PeerMessage::Grant { ask, upstream } => self.granted(entry, ask, upstream),
-            PeerMessage::Busy { ask, wait_ms } => self.busy(entry, ask, wait_ms),
-            PeerMessage::Done { upstream, release } => {
+            PeerMessage::Queued { ask, wait_ms } => self.busy(entry, ask, wait_ms),
+            PeerMessage::Released { upstream, release } => {
                 let doors = &mut self.entries[entry].doors;
                 doors.done(Asker::Peer(peer), upstream, release);
                 self.grant(entry);
             }
             // Customers of the model have no limits, and its engines one version.
-            PeerMessage::ChargeAsk(_) | PeerMessage::Charged { .. } | PeerMessage::Rollout(_) => {}
+            PeerMessage::ChargeAsk(_)
+            | PeerMessage::ChargeReply { .. }
+            | PeerMessage::Rollout(_) => {}
             PeerMessage::Notices(told) => self.hear_notices(entry, &told),
             PeerMessage::Suspects(told) => self.hear_suspects(entry, &told),
         }
--- a/lib/src/direct/charging.rs
+++ b/lib/src/direct/charging.rs
@@ -115,7 +115,7 @@
             question.demand,
             self.now_ms(),
         );
-        let answer = PeerMessage::Charged {
+        let answer = PeerMessage::ChargeReply {
             ask: question.id,
             charge,
         };
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -127,14 +127,14 @@
         upstream: u32,
     },
     /// The receiver's question waits.
-    Busy {
+    Queued {
         /// The question that is answered.
         ask: AskId,
         /// How long it is expected to wait.
         wait_ms: u32,
     },
     /// Room that the receiver had granted is free again.
-    Done {
+    Released {
         /// Short name of the engine.
         upstream: u32,
         /// How it was used.
@@ -143,7 +143,7 @@
     /// The sender wants to charge a request.
     ChargeAsk(ChargeAsk),
     /// The receiver's request was charged or not.
-    Charged {
+    ChargeReply {
         /// The question that is answered.
         ask: AskId,
         /// The answer.
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -104,8 +104,8 @@
                     .cancel(Asker::Peer(from), upstream, ask);
             }
             Some(PeerMessage::Grant { ask, upstream }) => traffic.granted(ask, upstream),
-            Some(PeerMessage::Busy { ask, wait_ms }) => traffic.busy(ask, wait_ms),
-            Some(PeerMessage::Done { upstream, release }) => {
+            Some(PeerMessage::Queued { ask, wait_ms }) => traffic.busy(ask, wait_ms),
+            Some(PeerMessage::Released { upstream, release }) => {
                 traffic
                     .doors
                     .borrow_mut()
@@ -113,7 +113,7 @@
                 traffic.grant_rooms();
             }
             Some(PeerMessage::ChargeAsk(question)) => traffic.lend(from, &question),
-            Some(PeerMessage::Charged { ask, charge }) => traffic.charged(ask, charge),
+            Some(PeerMessage::ChargeReply { ask, charge }) => traffic.charged(ask, charge),
             Some(PeerMessage::Suspects(told)) => traffic.hear_suspects(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
             Some(PeerMessage::Notices(told)) => traffic.hear_notices(from, &told),
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -219,7 +219,7 @@
             Asker::Own => self.busy(ask.id, wait_ms),
             Asker::Peer(peer) => self.tell(
                 peer,
-                &PeerMessage::Busy {
+                &PeerMessage::Queued {
                     ask: ask.id,
                     wait_ms,
                 },
@@ -281,7 +281,7 @@
                 self.doors.borrow_mut().done(Asker::Own, upstream, release);
                 self.grant_rooms();
             }
-            Asker::Peer(peer) => self.tell(peer, &PeerMessage::Done { upstream, release }),
+            Asker::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
         }
     }
 }
