--- a/lib/src/direct/membership/heartbeat_payload.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -10,8 +10,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::peer_message::Running;
 use crate::direct::membership::peer_message::Spent;
+use crate::direct::membership::peer_message::UpstreamLoad;
 
 /// Upstreams in one heartbeat. One takes 13 bytes at most, so that all take half a datagram.
 pub const MAX_RUNNING: usize = 50;
@@ -30,7 +30,7 @@
     /// Last short name of the range.
     pub to: u32,
     /// What runs there.
-    pub running: Vec<Running>,
+    pub running: Vec<UpstreamLoad>,
 }
 
 impl Default for RunningPart {
@@ -46,7 +46,7 @@
     /// assert!(sardinewood::direct::membership::heartbeat_payload::RunningPart::whole(Vec::new()).covers(7));
     /// ```
     #[must_use]
-    pub fn whole(running: Vec<Running>) -> Self {
+    pub fn whole(running: Vec<UpstreamLoad>) -> Self {
         Self {
             from: 0,
             to: u32::MAX,
@@ -57,14 +57,14 @@
     /// The part that goes into the heartbeat of this number; all parts take turns.
     ///
     /// ```
-    /// use sardinewood::direct::membership::peer_message::Running;
+    /// use sardinewood::direct::membership::peer_message::UpstreamLoad;
     /// use sardinewood::direct::membership::heartbeat_payload::RunningPart;
     ///
-    /// let one = Running { upstream: 7, count: 2, ..Running::default() };
+    /// let one = UpstreamLoad { upstream: 7, requests: 2, ..UpstreamLoad::default() };
     /// assert_eq!(RunningPart::of(vec![one], 3), RunningPart::whole(vec![one]));
     /// ```
     #[must_use]
-    pub fn of(mut running: Vec<Running>, sequence: u64) -> Self {
+    pub fn of(mut running: Vec<UpstreamLoad>, sequence: u64) -> Self {
         if running.len() <= MAX_RUNNING {
             return Self::whole(running);
         }
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -33,11 +33,11 @@
 
 /// What an entry runs at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Running {
+pub struct UpstreamLoad {
     /// Short name of the upstream.
     pub upstream: u32,
     /// Requests.
-    pub count: u16,
+    pub requests: u16,
     /// Time between two events of a stream there, 0 if not known.
     pub event_us: u32,
     /// What is wrong there.
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -10,7 +10,7 @@
 
 use crate::direct::membership::heartbeat_payload::RunningPart;
 use crate::direct::membership::peer_message::Condition;
-use crate::direct::membership::peer_message::Running;
+use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::health::Ended;
 use crate::direct::placement::health::Health;
@@ -109,9 +109,9 @@
     /// Takes what a peer has running, and how fast it is served.
     ///
     /// ```
-    /// # use sardinewood::direct::{membership::peer_message::Running, membership::heartbeat_payload::RunningPart};
+    /// # use sardinewood::direct::{membership::peer_message::UpstreamLoad, membership::heartbeat_payload::RunningPart};
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
-    /// let two = Running { upstream: 7, count: 2, ..Running::default() };
+    /// let two = UpstreamLoad { upstream: 7, requests: 2, ..UpstreamLoad::default() };
     /// dispatcher.set_peer_load(1, &RunningPart::whole(vec![two]), 0);
     /// ```
     pub fn set_peer_load(&mut self, peer: u64, told: &RunningPart, now_ms: u64) {
@@ -121,9 +121,9 @@
         let counts = told
             .running
             .iter()
-            .map(|running| (running.upstream, running.count));
+            .map(|running| (running.upstream, running.requests));
         load.running.extend(counts);
-        let by_name: IndexMap<u32, &Running> = told
+        let by_name: IndexMap<u32, &UpstreamLoad> = told
             .running
             .iter()
             .map(|running| (running.upstream, running))
@@ -150,16 +150,16 @@
     /// let dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// assert_eq!(dispatcher.running(0).count(), 0);
     /// ```
-    pub fn running(&self, now_ms: u64) -> impl Iterator<Item = Running> {
+    pub fn running(&self, now_ms: u64) -> impl Iterator<Item = UpstreamLoad> {
         self.places
             .values()
-            .map(move |place| Running {
+            .map(move |place| UpstreamLoad {
                 upstream: place.name,
-                count: u16::try_from(place.running).unwrap_or(u16::MAX),
+                requests: u16::try_from(place.running).unwrap_or(u16::MAX),
                 event_us: place.event_us(),
                 condition: place.condition(now_ms),
             })
-            .filter(|told| told.count > 0 || told.condition == Condition::Gone)
+            .filter(|told| told.requests > 0 || told.condition == Condition::Gone)
     }
 
     /// Takes the instances of upstreams that only take requests that judge their version.
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::direct::membership::peer_message::Condition;
-use crate::direct::membership::peer_message::Running;
+use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::health::Ended;
@@ -144,7 +144,7 @@
     }
 
     /// Takes a peer's word of it; the time between two events, if that was news.
-    pub fn hear(&mut self, told: &Running, now_ms: u64) -> Option<f64> {
+    pub fn hear(&mut self, told: &UpstreamLoad, now_ms: u64) -> Option<f64> {
         match told.condition {
             Condition::Works => {}
             Condition::Stalled => self.peer_stalled_until_ms = now_ms + PEER_WORD_MS,
--- a/lib/src/direct/sharing/door.rs
+++ b/lib/src/direct/sharing/door.rs
@@ -462,7 +462,7 @@
         let running: IndexMap<u32, u32> = told
             .running
             .iter()
-            .map(|running| (running.upstream, u32::from(running.count)))
+            .map(|running| (running.upstream, u32::from(running.requests)))
             .collect();
         let concerned = self.by_upstream.iter_mut();
         for (name, door) in concerned.filter(|(name, _)| told.covers(**name)) {
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -4,7 +4,7 @@
 
 use sardinewood::direct::membership::heartbeat_payload::RunningPart;
 use sardinewood::direct::membership::peer_message::Condition;
-use sardinewood::direct::membership::peer_message::Running;
+use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::asking::Asking;
 use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
@@ -65,10 +65,10 @@
 fn peers_load_leaves_less_room() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 2)]);
-    let running = Running {
+    let running = UpstreamLoad {
         upstream: short_name("i-1"),
-        count: 2,
-        ..Running::default()
+        requests: 2,
+        ..UpstreamLoad::default()
     };
     dispatcher.set_peer_load(1, &RunningPart::whole(vec![running]), 0);
     assert!(starts(&mut dispatcher, 1, 0).is_empty());
@@ -178,9 +178,9 @@
         health.first_event(1_000, 20.0);
         health.next_event(12.0, 0);
     });
-    let told = Running {
+    let told = UpstreamLoad {
         upstream: short_name("told"),
-        count: 1,
+        requests: 1,
         event_us: 48_000,
         condition: Condition::Works,
     };
@@ -271,7 +271,7 @@
     dispatcher.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
     dispatcher.began("i-1", 0);
     dispatcher.sent("i-1", 1, 1_000, 0);
-    let told: Vec<Running> = dispatcher.running(2_000).collect();
+    let told: Vec<UpstreamLoad> = dispatcher.running(2_000).collect();
     assert_eq!(told[0].condition, Condition::Stalled);
     let places = starts(&mut dispatcher, 5, 2_000);
     assert_eq!(places, ["i-2"; 5]);
@@ -347,7 +347,7 @@
     }
     first.began("dead", 0);
     first.finished("dead", 1, Ended::Misdirected, 2, 10);
-    let told: Vec<Running> = first.running(20).collect();
+    let told: Vec<UpstreamLoad> = first.running(20).collect();
     assert_eq!(told[0].condition, Condition::Gone);
     second.set_peer_load(1, &RunningPart::whole(told), 20);
     assert!(!second.is_there("dead", 30));
@@ -374,10 +374,10 @@
     // believe is of that incarnation; the new one is given its full room at once.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1@1", 2)]);
-    let running = Running {
+    let running = UpstreamLoad {
         upstream: short_name("i-1@1"),
-        count: 1,
-        ..Running::default()
+        requests: 1,
+        ..UpstreamLoad::default()
     };
     dispatcher.began("i-1@1", 0);
     dispatcher.set_peer_load(1, &RunningPart::whole(vec![running]), 0);
--- a/lib/tests/test_direct_door.rs
+++ b/lib/tests/test_direct_door.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use sardinewood::direct::membership::heartbeat_payload::RunningPart;
-use sardinewood::direct::membership::peer_message::Running;
+use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door::Ask;
 use sardinewood::direct::sharing::door::AskId;
@@ -49,11 +49,11 @@
         .collect()
 }
 
-fn runs(count: u16) -> RunningPart {
-    RunningPart::whole(vec![Running {
+fn runs(requests: u16) -> RunningPart {
+    RunningPart::whole(vec![UpstreamLoad {
         upstream: engine(),
-        count,
-        ..Running::default()
+        requests,
+        ..UpstreamLoad::default()
     }])
 }
 
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -9,8 +9,8 @@
 use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::membership::peer_message::Running;
 use sardinewood::direct::membership::peer_message::Spent;
+use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door::Ask;
@@ -42,11 +42,11 @@
         .collect()
 }
 
-fn running() -> Vec<Running> {
+fn running() -> Vec<UpstreamLoad> {
     (0..ENGINES)
-        .map(|number| Running {
+        .map(|number| UpstreamLoad {
             upstream: short_name(&engine(number)),
-            count: u16::MAX,
+            requests: u16::MAX,
             event_us: u32::MAX,
             condition: Condition::Works,
         })
@@ -136,7 +136,7 @@
     doors.set_upstreams((0..ENGINES).map(|number| (engine(number), 1)));
     let mut one_each = running();
     for running in &mut one_each {
-        running.count = 1;
+        running.requests = 1;
     }
     for sequence in 0..40 {
         doors.reconcile(
