--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use rand::Rng;
-use sardinewood::direct::membership::heartbeat_payload::RunningPart;
+use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::short_name;
@@ -152,9 +152,9 @@
         if heard.is_idle {
             return;
         }
-        state.doors.reconcile(peer, &heartbeat.running, now_ms);
+        state.doors.reconcile(peer, &heartbeat.loads, now_ms);
         let incarnation = heartbeat.incarnation;
-        let running = &heartbeat.running;
+        let running = &heartbeat.loads;
         state.dispatcher.set_peer_load(incarnation, running, now_ms);
         if heard.is_new || heard.is_back {
             self.greet(entry, peer);
@@ -175,7 +175,7 @@
             incarnation: (entry as u64) << 32 | state.incarnation,
             sequence: state.sequence,
             others: state.peers.named(state.sequence),
-            running: RunningPart::of(state.dispatcher.running(now_ms).collect(), state.sequence),
+            loads: LoadChunk::of(state.dispatcher.running(now_ms).collect(), state.sequence),
             ..Heartbeat::default()
         };
         let targets: Vec<SocketAddr> = state.peers.targets().collect();
--- a/lib/src/direct/membership/heartbeat_payload.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -14,7 +14,7 @@
 use crate::direct::membership::peer_message::UpstreamLoad;
 
 /// Upstreams in one heartbeat. One takes 13 bytes at most, so that all take half a datagram.
-pub const MAX_RUNNING: usize = 50;
+pub const MAX_LOADS: usize = 50;
 /// Bytes that customers may take in one heartbeat; the rest of the datagram is 650 bytes for
 /// upstreams and 200 for the entry itself and for peers' addresses.
 const MAX_SPENT_BYTES: usize = 450;
@@ -24,33 +24,33 @@
 /// What an entry runs at the upstreams whose short names lie within a range. One that lies
 /// there and is not listed runs nothing of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunningPart {
+pub struct LoadChunk {
     /// First short name of the range.
     pub from: u32,
     /// Last short name of the range.
     pub to: u32,
     /// What runs there.
-    pub running: Vec<UpstreamLoad>,
+    pub loads: Vec<UpstreamLoad>,
 }
 
-impl Default for RunningPart {
+impl Default for LoadChunk {
     fn default() -> Self {
         Self::whole(Vec::new())
     }
 }
 
-impl RunningPart {
+impl LoadChunk {
     /// All that an entry runs.
     ///
     /// ```
-    /// assert!(sardinewood::direct::membership::heartbeat_payload::RunningPart::whole(Vec::new()).covers(7));
+    /// assert!(sardinewood::direct::membership::heartbeat_payload::LoadChunk::whole(Vec::new()).covers(7));
     /// ```
     #[must_use]
-    pub fn whole(running: Vec<UpstreamLoad>) -> Self {
+    pub fn whole(loads: Vec<UpstreamLoad>) -> Self {
         Self {
             from: 0,
             to: u32::MAX,
-            running,
+            loads,
         }
     }
 
@@ -58,41 +58,32 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_message::UpstreamLoad;
-    /// use sardinewood::direct::membership::heartbeat_payload::RunningPart;
+    /// use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
     ///
     /// let one = UpstreamLoad { upstream: 7, requests: 2, ..UpstreamLoad::default() };
-    /// assert_eq!(RunningPart::of(vec![one], 3), RunningPart::whole(vec![one]));
+    /// assert_eq!(LoadChunk::of(vec![one], 3), LoadChunk::whole(vec![one]));
     /// ```
     #[must_use]
-    pub fn of(mut running: Vec<UpstreamLoad>, sequence: u64) -> Self {
-        if running.len() <= MAX_RUNNING {
-            return Self::whole(running);
+    pub fn of(mut loads: Vec<UpstreamLoad>, sequence: u64) -> Self {
+        if loads.len() <= MAX_LOADS {
+            return Self::whole(loads);
         }
-        running.sort_by_key(|running| running.upstream);
-        let parts = running.len().div_ceil(MAX_RUNNING);
+        loads.sort_by_key(|loads| loads.upstream);
+        let parts = loads.len().div_ceil(MAX_LOADS);
         let index = usize::try_from(sequence % parts as u64).unwrap_or_default();
-        let first = index * MAX_RUNNING;
-        let next = running.get(first + MAX_RUNNING);
+        let first = index * MAX_LOADS;
+        let next = loads.get(first + MAX_LOADS);
         Self {
-            from: if index == 0 {
-                0
-            } else {
-                running[first].upstream
-            },
+            from: if index == 0 { 0 } else { loads[first].upstream },
             to: next.map_or(u32::MAX, |next| next.upstream - 1),
-            running: running
-                .iter()
-                .skip(first)
-                .take(MAX_RUNNING)
-                .copied()
-                .collect(),
+            loads: loads.iter().skip(first).take(MAX_LOADS).copied().collect(),
         }
     }
 
     /// Whether an upstream lies within the range.
     ///
     /// ```
-    /// let part = sardinewood::direct::membership::heartbeat_payload::RunningPart { from: 5, to: 9, running: Vec::new() };
+    /// let part = sardinewood::direct::membership::heartbeat_payload::LoadChunk { from: 5, to: 9, loads: Vec::new() };
     /// assert!(part.covers(9) && !part.covers(10));
     /// ```
     #[must_use]
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::heartbeat_payload::RunningPart;
+use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::notices::record::Told as ToldNotice;
 use crate::direct::quarantine::record::Told;
 use crate::direct::rollout::message::RolloutMessage;
@@ -87,7 +87,7 @@
     /// Other entries that it hears from.
     pub others: Vec<SocketAddr>,
     /// Requests that it runs, by upstream; all of them, or a part if they are many.
-    pub running: RunningPart,
+    pub loads: LoadChunk,
     /// What customers have spent there; those told least of late if they are many.
     pub spent: Vec<Spent>,
 }
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::direct::membership::heartbeat_payload::RunningPart;
+use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::membership::peer_message::Condition;
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
@@ -109,22 +109,22 @@
     /// Takes what a peer has running, and how fast it is served.
     ///
     /// ```
-    /// # use sardinewood::direct::{membership::peer_message::UpstreamLoad, membership::heartbeat_payload::RunningPart};
+    /// # use sardinewood::direct::{membership::peer_message::UpstreamLoad, membership::heartbeat_payload::LoadChunk};
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// let two = UpstreamLoad { upstream: 7, requests: 2, ..UpstreamLoad::default() };
-    /// dispatcher.set_peer_load(1, &RunningPart::whole(vec![two]), 0);
+    /// dispatcher.set_peer_load(1, &LoadChunk::whole(vec![two]), 0);
     /// ```
-    pub fn set_peer_load(&mut self, peer: u64, told: &RunningPart, now_ms: u64) {
+    pub fn set_peer_load(&mut self, peer: u64, told: &LoadChunk, now_ms: u64) {
         let load = self.peers.entry(peer).or_default();
         load.at_ms = now_ms;
         load.running.retain(|name, _| !told.covers(*name));
         let counts = told
-            .running
+            .loads
             .iter()
             .map(|running| (running.upstream, running.requests));
         load.running.extend(counts);
         let by_name: IndexMap<u32, &UpstreamLoad> = told
-            .running
+            .loads
             .iter()
             .map(|running| (running.upstream, running))
             .collect();
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-use crate::direct::membership::heartbeat_payload::RunningPart;
+use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::membership::heartbeat_payload::SpentReport;
 use crate::direct::membership::peer_message::Heartbeat;
 use crate::direct::membership::peer_message::PeerMessage;
@@ -155,10 +155,10 @@
         traffic
             .doors
             .borrow_mut()
-            .reconcile(from, &heartbeat.running, now_ms);
+            .reconcile(from, &heartbeat.loads, now_ms);
         traffic.dispatcher.borrow_mut().set_peer_load(
             heartbeat.incarnation,
-            &heartbeat.running,
+            &heartbeat.loads,
             now_ms,
         );
         let own_revisions = *self.links.own_revisions.borrow();
@@ -231,7 +231,7 @@
                 .filter(|_| watches_store),
             revisions: *self.links.own_revisions.borrow(),
             others: peers.named(self.sequence),
-            running: RunningPart::of(
+            loads: LoadChunk::of(
                 dispatcher.running(traffic.now_ms()).collect(),
                 self.sequence,
             ),
--- a/lib/src/direct/sharing/door.rs
+++ b/lib/src/direct/sharing/door.rs
@@ -18,7 +18,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::heartbeat_payload::RunningPart;
+use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::placement::baseline::FIRST_HOLD_MS;
 use crate::direct::placement::dispatch::WAY_MS;
 use crate::direct::placement::dispatch::short_name;
@@ -453,14 +453,14 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::door::Doors;
-    /// # use sardinewood::direct::membership::heartbeat_payload::RunningPart;
-    /// let nothing = RunningPart::whole(Vec::new());
+    /// # use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
+    /// let nothing = LoadChunk::whole(Vec::new());
     /// Doors::default().reconcile("10.0.0.1:7".parse().unwrap(), &nothing, 0);
     /// ```
-    pub fn reconcile(&mut self, peer: SocketAddr, told: &RunningPart, now_ms: u64) {
+    pub fn reconcile(&mut self, peer: SocketAddr, told: &LoadChunk, now_ms: u64) {
         self.heard_ms.insert(peer, now_ms);
         let running: IndexMap<u32, u32> = told
-            .running
+            .loads
             .iter()
             .map(|running| (running.upstream, u32::from(running.requests)))
             .collect();
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sardinewood::direct::membership::heartbeat_payload::RunningPart;
+use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::asking::Asking;
@@ -70,7 +70,7 @@
         requests: 2,
         ..UpstreamLoad::default()
     };
-    dispatcher.set_peer_load(1, &RunningPart::whole(vec![running]), 0);
+    dispatcher.set_peer_load(1, &LoadChunk::whole(vec![running]), 0);
     assert!(starts(&mut dispatcher, 1, 0).is_empty());
     // A peer that fell silent no longer counts.
     assert_eq!(starts(&mut dispatcher, 1, 5_000).len(), 1);
@@ -184,7 +184,7 @@
         event_us: 48_000,
         condition: Condition::Works,
     };
-    dispatcher.set_peer_load(1, &RunningPart::whole(vec![told]), 0);
+    dispatcher.set_peer_load(1, &LoadChunk::whole(vec![told]), 0);
     let long = Job {
         prompt_tokens: 10_000,
         ..job(1, 0)
@@ -277,7 +277,7 @@
     assert_eq!(places, ["i-2"; 5]);
     let mut peer = Dispatcher::default();
     peer.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
-    peer.set_peer_load(1, &RunningPart::whole(told), 2_000);
+    peer.set_peer_load(1, &LoadChunk::whole(told), 2_000);
     let chosen = peer.choose(&job(1, 0), &[], 2_000, draws());
     assert_eq!(&*chosen.expect("an upstream").instance, "i-2");
 }
@@ -349,7 +349,7 @@
     first.finished("dead", 1, Ended::Misdirected, 2, 10);
     let told: Vec<UpstreamLoad> = first.running(20).collect();
     assert_eq!(told[0].condition, Condition::Gone);
-    second.set_peer_load(1, &RunningPart::whole(told), 20);
+    second.set_peer_load(1, &LoadChunk::whole(told), 20);
     assert!(!second.is_there("dead", 30));
     assert_eq!(second.running(30).count(), 0);
     assert!(
@@ -380,7 +380,7 @@
         ..UpstreamLoad::default()
     };
     dispatcher.began("i-1@1", 0);
-    dispatcher.set_peer_load(1, &RunningPart::whole(vec![running]), 0);
+    dispatcher.set_peer_load(1, &LoadChunk::whole(vec![running]), 0);
     dispatcher.set_upstreams(&[upstream("i-1@2", 2)]);
     assert_eq!(starts(&mut dispatcher, 3, 10).len(), 2);
 }
--- a/lib/tests/test_direct_door.rs
+++ b/lib/tests/test_direct_door.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use sardinewood::direct::membership::heartbeat_payload::RunningPart;
+use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::door::Ask;
@@ -49,8 +49,8 @@
         .collect()
 }
 
-fn runs(requests: u16) -> RunningPart {
-    RunningPart::whole(vec![UpstreamLoad {
+fn runs(requests: u16) -> LoadChunk {
+    LoadChunk::whole(vec![UpstreamLoad {
         upstream: engine(),
         requests,
         ..UpstreamLoad::default()
@@ -128,7 +128,7 @@
     }
     assert_eq!(granted(&mut doors, 0).len(), 3);
     for heartbeat in 0..3 {
-        doors.reconcile(peer(1), &RunningPart::default(), heartbeat * 50);
+        doors.reconcile(peer(1), &LoadChunk::default(), heartbeat * 50);
     }
     assert_eq!(granted(&mut doors, 150), [3]);
 }
@@ -137,12 +137,12 @@
 fn grant_on_its_way_not_undone_by_a_heartbeat() {
     // The peer's heartbeat left before the grant arrived there. It must not free the room.
     let mut doors = doors();
-    doors.reconcile(peer(1), &RunningPart::default(), 0);
+    doors.reconcile(peer(1), &LoadChunk::default(), 0);
     for id in 0..4 {
         doors.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
     assert_eq!(granted(&mut doors, 0).len(), 3);
-    doors.reconcile(peer(1), &RunningPart::default(), 1);
+    doors.reconcile(peer(1), &LoadChunk::default(), 1);
     assert!(granted(&mut doors, 1).is_empty());
 }
 
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
-use sardinewood::direct::membership::heartbeat_payload::RunningPart;
+use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::heartbeat_payload::SpentReport;
 use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::Heartbeat;
@@ -59,7 +59,7 @@
         sequence,
         store_age_ms: Some(u32::MAX),
         others: vec![peer(); 8],
-        running: RunningPart::of(running(), sequence),
+        loads: LoadChunk::of(running(), sequence),
         spent: report.next(customers().iter().map(|(name, units)| (name, *units))),
         ..Heartbeat::default()
     }
@@ -116,10 +116,10 @@
 fn parts_cover_every_engine_once() {
     let parts = running()
         .len()
-        .div_ceil(sardinewood::direct::membership::heartbeat_payload::MAX_RUNNING)
+        .div_ceil(sardinewood::direct::membership::heartbeat_payload::MAX_LOADS)
         as u64;
-    let parts: Vec<RunningPart> = (0..parts)
-        .map(|sequence| RunningPart::of(running(), sequence))
+    let parts: Vec<LoadChunk> = (0..parts)
+        .map(|sequence| LoadChunk::of(running(), sequence))
         .collect();
     for number in 0..ENGINES + 50 {
         let name = short_name(&engine(number));
@@ -139,11 +139,7 @@
         running.requests = 1;
     }
     for sequence in 0..40 {
-        doors.reconcile(
-            peer(),
-            &RunningPart::of(one_each.clone(), sequence),
-            sequence,
-        );
+        doors.reconcile(peer(), &LoadChunk::of(one_each.clone(), sequence), sequence);
     }
     for number in 0..ENGINES {
         let ask = Ask {
