--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -41,19 +41,19 @@
     /// Time between two events of a stream there, 0 if not known.
     pub event_us: u32,
     /// What is wrong there.
-    pub condition: Condition,
+    pub condition: UpstreamCondition,
 }
 
 /// What an entry has found of an upstream that others should not have to find out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Condition {
+pub enum UpstreamCondition {
     /// Nothing is wrong.
     #[default]
-    Works,
+    Healthy,
     /// A request has had no answer there for far too long.
     Stalled,
     /// Another process answers at its address.
-    Gone,
+    Replaced,
 }
 
 /// How far an entry has followed the platform's store.
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexSet;
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
-use crate::direct::membership::peer_message::Condition;
+use crate::direct::membership::peer_message::UpstreamCondition;
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::health::Ended;
@@ -159,7 +159,7 @@
                 event_us: place.event_us(),
                 condition: place.condition(now_ms),
             })
-            .filter(|told| told.requests > 0 || told.condition == Condition::Gone)
+            .filter(|told| told.requests > 0 || told.condition == UpstreamCondition::Replaced)
     }
 
     /// Takes the instances of upstreams that only take requests that judge their version.
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::membership::peer_message::Condition;
+use crate::direct::membership::peer_message::UpstreamCondition;
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::dispatch::short_name;
@@ -120,13 +120,13 @@
     /// What this entry itself has found wrong there; what it has from peers it does not repeat,
     /// or they would tell each other for ever.
     #[must_use]
-    pub fn condition(&self, now_ms: u64) -> Condition {
+    pub fn condition(&self, now_ms: u64) -> UpstreamCondition {
         if now_ms < self.gone_until_ms {
-            Condition::Gone
+            UpstreamCondition::Replaced
         } else if self.has_stalled_here(now_ms) {
-            Condition::Stalled
+            UpstreamCondition::Stalled
         } else {
-            Condition::Works
+            UpstreamCondition::Healthy
         }
     }
 
@@ -146,9 +146,9 @@
     /// Takes a peer's word of it; the time between two events, if that was news.
     pub fn hear(&mut self, told: &UpstreamLoad, now_ms: u64) -> Option<f64> {
         match told.condition {
-            Condition::Works => {}
-            Condition::Stalled => self.peer_stalled_until_ms = now_ms + PEER_WORD_MS,
-            Condition::Gone => self.peer_gone_until_ms = now_ms + PEER_WORD_MS,
+            UpstreamCondition::Healthy => {}
+            UpstreamCondition::Stalled => self.peer_stalled_until_ms = now_ms + PEER_WORD_MS,
+            UpstreamCondition::Replaced => self.peer_gone_until_ms = now_ms + PEER_WORD_MS,
         }
         if told.event_us == 0 {
             return None;
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
-use sardinewood::direct::membership::peer_message::Condition;
+use sardinewood::direct::membership::peer_message::UpstreamCondition;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::asking::Asking;
 use sardinewood::direct::placement::asking::Next;
@@ -182,7 +182,7 @@
         upstream: short_name("told"),
         requests: 1,
         event_us: 48_000,
-        condition: Condition::Works,
+        condition: UpstreamCondition::Healthy,
     };
     dispatcher.set_peer_load(1, &LoadChunk::whole(vec![told]), 0);
     let long = Job {
@@ -272,7 +272,7 @@
     dispatcher.began("i-1", 0);
     dispatcher.sent("i-1", 1, 1_000, 0);
     let told: Vec<UpstreamLoad> = dispatcher.running(2_000).collect();
-    assert_eq!(told[0].condition, Condition::Stalled);
+    assert_eq!(told[0].condition, UpstreamCondition::Stalled);
     let places = starts(&mut dispatcher, 5, 2_000);
     assert_eq!(places, ["i-2"; 5]);
     let mut peer = Dispatcher::default();
@@ -348,7 +348,7 @@
     first.began("dead", 0);
     first.finished("dead", 1, Ended::Misdirected, 2, 10);
     let told: Vec<UpstreamLoad> = first.running(20).collect();
-    assert_eq!(told[0].condition, Condition::Gone);
+    assert_eq!(told[0].condition, UpstreamCondition::Replaced);
     second.set_peer_load(1, &LoadChunk::whole(told), 20);
     assert!(!second.is_there("dead", 30));
     assert_eq!(second.running(30).count(), 0);
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -6,10 +6,10 @@
 use indexmap::IndexMap;
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::heartbeat_payload::SpentReport;
-use sardinewood::direct::membership::peer_message::Condition;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::membership::peer_message::Spent;
+use sardinewood::direct::membership::peer_message::UpstreamCondition;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::placement::dispatch::short_name;
@@ -48,7 +48,7 @@
             upstream: short_name(&engine(number)),
             requests: u16::MAX,
             event_us: u32::MAX,
-            condition: Condition::Works,
+            condition: UpstreamCondition::Healthy,
         })
         .collect()
 }
