--- a/lib/src/direct/membership/heartbeat_payload.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::peer_message::Spent;
+use crate::direct::membership::peer_message::CustomerSpending;
 use crate::direct::membership::peer_message::UpstreamLoad;
 
 /// Upstreams in one heartbeat. One takes 13 bytes at most, so that all take half a datagram.
@@ -103,26 +103,29 @@
 /// told least often, so that a lost datagram is made up for.
 ///
 /// ```
-/// use sardinewood::direct::membership::heartbeat_payload::SpentReport;
+/// use sardinewood::direct::membership::heartbeat_payload::SpendingReport;
 ///
-/// let mut report = SpentReport::default();
+/// let mut report = SpendingReport::default();
 /// let customer = "c".into();
 /// let spent = report.next([(&customer, 5)].into_iter());
 /// assert_eq!(spent[0].units, 5);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct SpentReport {
+pub struct SpendingReport {
     told: IndexMap<Arc<str>, Told>,
 }
 
-impl SpentReport {
+impl SpendingReport {
     /// What goes into the next heartbeat, of all that customers have spent here.
     ///
     /// ```
-    /// let mut report = sardinewood::direct::membership::heartbeat_payload::SpentReport::default();
+    /// let mut report = sardinewood::direct::membership::heartbeat_payload::SpendingReport::default();
     /// assert!(report.next(std::iter::empty()).is_empty());
     /// ```
-    pub fn next<'a>(&mut self, spent: impl Iterator<Item = (&'a Arc<str>, u64)>) -> Vec<Spent> {
+    pub fn next<'a>(
+        &mut self,
+        spent: impl Iterator<Item = (&'a Arc<str>, u64)>,
+    ) -> Vec<CustomerSpending> {
         for (customer, units) in spent {
             let told = self.told.entry(Arc::clone(customer)).or_default();
             if told.units != units {
@@ -143,7 +146,7 @@
             }
             left_bytes -= bytes;
             told.times = told.times.saturating_add(1);
-            chosen.push(Spent {
+            chosen.push(CustomerSpending {
                 customer: Arc::clone(customer),
                 units: told.units,
             });
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -24,7 +24,7 @@
 
 /// What an entry has spent of a customer's allotment since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct CustomerSpending {
     /// The customer's name.
     pub customer: Arc<str>,
     /// Tokens or requests.
@@ -89,7 +89,7 @@
     /// Requests that it runs, by upstream; all of them, or a part if they are many.
     pub loads: LoadChunk,
     /// What customers have spent there; those told least of late if they are many.
-    pub spent: Vec<Spent>,
+    pub spent: Vec<CustomerSpending>,
 }
 
 /// A request that the receiver is asked to charge to a customer whose allotment it keeps.
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -5,9 +5,9 @@
 
 use indexmap::IndexMap;
 
+use crate::direct::membership::peer_message::CustomerSpending;
 use crate::direct::membership::peer_message::Heartbeat;
 use crate::direct::membership::peer_message::Revisions;
-use crate::direct::membership::peer_message::Spent;
 
 /// Shortest time between two heartbeats. Within it, two entries may both take the last slot of an
 /// upstream; at some tens of requests a second on each that is rare.
@@ -71,14 +71,14 @@
     /// spent in their lives would then come out of buckets that have long been filled
     /// again, and their customers would be refused for minutes. So the first word of a peer
     /// that has run for some time only says where it stands.
-    fn take_spent(&mut self, told: &[Spent]) -> Vec<Spent> {
+    fn take_spent(&mut self, told: &[CustomerSpending]) -> Vec<CustomerSpending> {
         let mut newly_spent = Vec::new();
         for spent in told {
             let before = self.spent.insert(Arc::clone(&spent.customer), spent.units);
             let first = if self.was_running { spent.units } else { 0 };
             let units = spent.units.saturating_sub(before.unwrap_or(first));
             if units > 0 {
-                newly_spent.push(Spent {
+                newly_spent.push(CustomerSpending {
                     customer: Arc::clone(&spent.customer),
                     units,
                 });
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
     /// What customers have spent there since the heartbeat before.
-    pub newly_spent: Vec<Spent>,
+    pub newly_spent: Vec<CustomerSpending>,
     /// Whether the peer was not known, or has started anew.
     pub is_new: bool,
     /// Whether it was silent before, and may have missed what was told meanwhile.
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep_until;
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
-use crate::direct::membership::heartbeat_payload::SpentReport;
+use crate::direct::membership::heartbeat_payload::SpendingReport;
 use crate::direct::membership::peer_message::Heartbeat;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_message::Revisions;
@@ -28,7 +28,7 @@
     traffic: Rc<Traffic>,
     incarnation: u64,
     sequence: u64,
-    spent: SpentReport,
+    spent: SpendingReport,
     links: ControlChannels,
 }
 
@@ -53,7 +53,7 @@
             traffic: Rc::clone(traffic),
             incarnation: rand::random(),
             sequence: 0,
-            spent: SpentReport::default(),
+            spent: SpendingReport::default(),
             links,
         }
     }
--- a/lib/src/direct/sharing/allotment.rs
+++ b/lib/src/direct/sharing/allotment.rs
@@ -28,7 +28,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::membership::peer_message::Spent;
+use crate::direct::membership::peer_message::CustomerSpending;
 use crate::direct::membership::peer_table::Keepers;
 use crate::direct::sharing::allotment::bucket::Bucket;
 use crate::direct::sharing::allotment::bucket::Spending;
@@ -404,7 +404,7 @@
     /// ```
     /// sardinewood::direct::sharing::allotment::Allotments::default().told(&[]);
     /// ```
-    pub fn told(&mut self, told: &[Spent]) {
+    pub fn told(&mut self, told: &[CustomerSpending]) {
         for spent in told {
             if let Some(bucket) = self.buckets.get_mut(&spent.customer) {
                 bucket.told();
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
+use sardinewood::direct::membership::peer_message::CustomerSpending;
 use sardinewood::direct::membership::peer_message::Heartbeat;
-use sardinewood::direct::membership::peer_message::Spent;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::sharing::allotment::Allotments;
 use sardinewood::direct::sharing::allotment::Begun;
@@ -270,9 +270,9 @@
         own.set_fleet(table.known(), table.overdue(own_ms), own_ms);
         member.sequence += 1;
         member.next_heartbeat_ms = now_ms + table.heartbeat_ms(false);
-        let spent: Vec<Spent> = own
+        let spent: Vec<CustomerSpending> = own
             .own_spent()
-            .map(|(customer, units)| Spent {
+            .map(|(customer, units)| CustomerSpending {
                 customer: customer.clone(),
                 units,
             })
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -5,10 +5,10 @@
 
 use indexmap::IndexMap;
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
-use sardinewood::direct::membership::heartbeat_payload::SpentReport;
+use sardinewood::direct::membership::heartbeat_payload::SpendingReport;
+use sardinewood::direct::membership::peer_message::CustomerSpending;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::membership::peer_message::Spent;
 use sardinewood::direct::membership::peer_message::UpstreamCondition;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::membership::peer_table::PeerTable;
@@ -53,7 +53,7 @@
         .collect()
 }
 
-fn heartbeat(sequence: u64, report: &mut SpentReport) -> Heartbeat {
+fn heartbeat(sequence: u64, report: &mut SpendingReport) -> Heartbeat {
     Heartbeat {
         incarnation: u64::MAX,
         sequence,
@@ -69,7 +69,7 @@
 fn heartbeat_of_a_large_entry_fits_into_a_datagram() {
     // An entry before 400 engines with 1,700 customers, at today's longest figures. If its
     // heartbeat were too long it would not leave, and the others would take the entry for dead.
-    let mut report = SpentReport::default();
+    let mut report = SpendingReport::default();
     for sequence in 1..100 {
         let message = PeerMessage::Heartbeat(heartbeat(sequence, &mut report));
         assert!(message.encode().is_some(), "heartbeat {sequence}");
@@ -78,7 +78,7 @@
 
 #[test]
 fn all_customers_told_in_turn() {
-    let mut report = SpentReport::default();
+    let mut report = SpendingReport::default();
     let mut table = table();
     let mut heard: IndexMap<Arc<str>, u64> = IndexMap::new();
     for sequence in 1..200 {
@@ -97,9 +97,9 @@
 
 #[test]
 fn changed_customer_told_first() {
-    let mut report = SpentReport::default();
+    let mut report = SpendingReport::default();
     let mut spent = customers();
-    let tell = |report: &mut SpentReport, spent: &IndexMap<Arc<str>, u64>| {
+    let tell = |report: &mut SpendingReport, spent: &IndexMap<Arc<str>, u64>| {
         report.next(spent.iter().map(|(name, units)| (name, *units)))
     };
     for _ in 0..300 {
@@ -163,7 +163,7 @@
     let spent = |sequence, units| Heartbeat {
         incarnation: 1,
         sequence,
-        spent: vec![Spent {
+        spent: vec![CustomerSpending {
             customer: "c".into(),
             units,
         }],
--- a/lib/tests/test_direct_shares.rs
+++ b/lib/tests/test_direct_shares.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use sardinewood::direct::membership::peer_message::CustomerSpending;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::Revisions;
-use sardinewood::direct::membership::peer_message::Spent;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::sharing::allotment::Allotments;
 use sardinewood::direct::sharing::allotment::Charge;
@@ -400,7 +400,7 @@
 fn spending_told_once_in_spite_of_repeats() {
     let mut table = PeerTable::new(address(9), &[]);
     let spent = |sequence, units| Heartbeat {
-        spent: vec![Spent {
+        spent: vec![CustomerSpending {
             customer: "c".into(),
             units,
         }],
