--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -81,11 +81,11 @@
     /// How long it has run.
     pub age_s: u16,
     /// How many entries it has heard, itself included.
-    pub known: u16,
+    pub known_entries: u16,
     /// How long ago the store answered it, if it asks the store.
     pub store_age_ms: Option<u32>,
     /// Other entries that it hears from.
-    pub others: Vec<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
     /// Requests that it runs, by upstream; all of them, or a part if they are many.
     pub loads: LoadChunk,
     /// What customers have spent there; those told least of late if they are many.
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -180,7 +180,7 @@
     /// assert_eq!(table.known(), 2);
     /// ```
     pub fn heard(&mut self, from: SocketAddr, heartbeat: &Heartbeat, now_ms: u64) -> Heard {
-        self.add_seeds(&heartbeat.others);
+        self.add_seeds(&heartbeat.peer_addresses);
         if heartbeat.is_last {
             self.peers.shift_remove(&from);
             return Heard {
@@ -215,7 +215,7 @@
             heard_at_ms: now_ms,
             is_leaving: heartbeat.is_leaving,
             age_s: heartbeat.age_s,
-            known: heartbeat.known,
+            known: heartbeat.known_entries,
             store_age_ms: heartbeat.store_age_ms,
             revisions: heartbeat.revisions,
             spent,
@@ -406,7 +406,7 @@
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::Heartbeat, membership::peer_table::PeerTable};
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// let heartbeat = Heartbeat { known: 9, ..Heartbeat::default() };
+    /// let heartbeat = Heartbeat { known_entries: 9, ..Heartbeat::default() };
     /// table.heard("10.0.0.2:7".parse().unwrap(), &heartbeat, 0);
     /// assert_eq!(table.unmet(0), 7);
     /// ```
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -223,14 +223,14 @@
             is_last: false,
             is_leaving: traffic.is_stopping.get(),
             age_s: PeerTable::own_age_s(traffic.now_ms()),
-            known: u16::try_from(peers.known()).unwrap_or(u16::MAX),
+            known_entries: u16::try_from(peers.known()).unwrap_or(u16::MAX),
             store_age_ms: self
                 .links
                 .last_store_response
                 .age_ms()
                 .filter(|_| watches_store),
             revisions: *self.links.own_revisions.borrow(),
-            others: peers.named(self.sequence),
+            peer_addresses: peers.named(self.sequence),
             loads: LoadChunk::of(
                 dispatcher.running(traffic.now_ms()).collect(),
                 self.sequence,
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -282,8 +282,8 @@
             incarnation: member.incarnation,
             sequence: member.sequence,
             age_s: PeerTable::own_age_s(own_ms),
-            known: u16::try_from(table.known()).expect("a fleet of 250 at most"),
-            others: table.named(member.sequence),
+            known_entries: u16::try_from(table.known()).expect("a fleet of 250 at most"),
+            peer_addresses: table.named(member.sequence),
             spent,
             ..Heartbeat::default()
         };
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -58,7 +58,7 @@
         incarnation: u64::MAX,
         sequence,
         store_age_ms: Some(u32::MAX),
-        others: vec![peer(); 8],
+        peer_addresses: vec![peer(); 8],
         loads: LoadChunk::of(running(), sequence),
         spent: report.next(customers().iter().map(|(name, units)| (name, *units))),
         ..Heartbeat::default()
