--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -149,7 +149,7 @@
         let now_ms = self.now_ms;
         let state = &mut self.entries[entry];
         let heard = state.peers.heard(peer, heartbeat, now_ms);
-        if heard.is_idle {
+        if heard.is_ignored {
             return;
         }
         state.doors.reconcile(peer, &heartbeat.loads, now_ms);
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -90,7 +90,7 @@
 
 /// What a heartbeat changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeartbeatEffect {
     /// What customers have spent there since the heartbeat before.
     pub newly_spent: Vec<CustomerSpending>,
     /// Whether the peer was not known, or has started anew.
@@ -98,7 +98,7 @@
     /// Whether it was silent before, and may have missed what was told meanwhile.
     pub is_back: bool,
     /// Whether the heartbeat was old, repeated or the peer's last.
-    pub is_idle: bool,
+    pub is_ignored: bool,
 }
 
 /// The entries that may keep customers' allotments.
@@ -179,13 +179,18 @@
     /// assert!(heard.is_new);
     /// assert_eq!(table.known(), 2);
     /// ```
-    pub fn heard(&mut self, from: SocketAddr, heartbeat: &Heartbeat, now_ms: u64) -> Heard {
+    pub fn heard(
+        &mut self,
+        from: SocketAddr,
+        heartbeat: &Heartbeat,
+        now_ms: u64,
+    ) -> HeartbeatEffect {
         self.add_seeds(&heartbeat.peer_addresses);
         if heartbeat.is_last {
             self.peers.shift_remove(&from);
-            return Heard {
-                is_idle: true,
-                ..Heard::default()
+            return HeartbeatEffect {
+                is_ignored: true,
+                ..HeartbeatEffect::default()
             };
         }
         let known = self.peers.get(&from);
@@ -196,9 +201,9 @@
             .as_ref()
             .is_some_and(|peer| peer.sequence >= heartbeat.sequence)
         {
-            return Heard {
-                is_idle: true,
-                ..Heard::default()
+            return HeartbeatEffect {
+                is_ignored: true,
+                ..HeartbeatEffect::default()
             };
         }
         let is_new = known.is_none();
@@ -223,11 +228,11 @@
         };
         let newly_spent = peer.take_spent(&heartbeat.spent);
         self.peers.insert(from, peer);
-        Heard {
+        HeartbeatEffect {
             newly_spent,
             is_new,
             is_back,
-            is_idle: false,
+            is_ignored: false,
         }
     }
 
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -136,7 +136,7 @@
             });
             traffic.doors.borrow_mut().sweep(Some(from), now_ms);
         }
-        if heard.is_idle {
+        if heard.is_ignored {
             return;
         }
         if heard.is_new || heard.is_back {
