--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -148,7 +148,7 @@
     pub(super) fn hear_heartbeat(&mut self, entry: usize, peer: SocketAddr, heartbeat: &Heartbeat) {
         let now_ms = self.now_ms;
         let state = &mut self.entries[entry];
-        let heard = state.peers.heard(peer, heartbeat, now_ms);
+        let heard = state.peers.record_heartbeat(peer, heartbeat, now_ms);
         if heard.is_ignored {
             return;
         }
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -175,11 +175,11 @@
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::Heartbeat, membership::peer_table::PeerTable};
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// let heard = table.heard("10.0.0.2:7".parse().unwrap(), &Heartbeat::default(), 5);
+    /// let heard = table.record_heartbeat("10.0.0.2:7".parse().unwrap(), &Heartbeat::default(), 5);
     /// assert!(heard.is_new);
     /// assert_eq!(table.known(), 2);
     /// ```
-    pub fn heard(
+    pub fn record_heartbeat(
         &mut self,
         from: SocketAddr,
         heartbeat: &Heartbeat,
@@ -412,7 +412,7 @@
     /// # use sardinewood::direct::{membership::peer_message::Heartbeat, membership::peer_table::PeerTable};
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
     /// let heartbeat = Heartbeat { known_entries: 9, ..Heartbeat::default() };
-    /// table.heard("10.0.0.2:7".parse().unwrap(), &heartbeat, 0);
+    /// table.record_heartbeat("10.0.0.2:7".parse().unwrap(), &heartbeat, 0);
     /// assert_eq!(table.unmet(0), 7);
     /// ```
     #[must_use]
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -126,7 +126,10 @@
     fn hear(&self, heartbeat: &Heartbeat, from: SocketAddr) {
         let traffic = &self.traffic;
         let now_ms = traffic.now_ms();
-        let heard = traffic.peers.borrow_mut().heard(from, heartbeat, now_ms);
+        let heard = traffic
+            .peers
+            .borrow_mut()
+            .record_heartbeat(from, heartbeat, now_ms);
         if heard.is_new {
             traffic.log(Level::Info, "peer heard", |line| line.field("peer", from));
         }
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -293,7 +293,9 @@
     fn hear(&mut self, to: usize, from: usize, heartbeat: &Heartbeat) {
         let own_ms = self.own_ms(to);
         let member = &mut self.members[to];
-        let heard = member.table.heard(address(from), heartbeat, own_ms);
+        let heard = member
+            .table
+            .record_heartbeat(address(from), heartbeat, own_ms);
         if heard.is_new {
             member.allotments.peer_started(address(from));
         }
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -83,7 +83,10 @@
     let mut heard: IndexMap<Arc<str>, u64> = IndexMap::new();
     for sequence in 1..200 {
         let heartbeat = heartbeat(sequence, &mut report);
-        for spent in table.heard(peer(), &heartbeat, sequence).newly_spent {
+        for spent in table
+            .record_heartbeat(peer(), &heartbeat, sequence)
+            .newly_spent
+        {
             *heard.entry(spent.customer).or_default() += spent.units;
         }
     }
@@ -171,11 +174,11 @@
     };
     assert!(
         table
-            .heard(peer(), &spent(9_000, 4_000_000), 0)
+            .record_heartbeat(peer(), &spent(9_000, 4_000_000), 0)
             .newly_spent
             .is_empty()
     );
-    let heard = table.heard(peer(), &spent(9_001, 4_000_100), 50);
+    let heard = table.record_heartbeat(peer(), &spent(9_001, 4_000_100), 50);
     assert_eq!(heard.newly_spent[0].units, 100);
 }
 
@@ -187,7 +190,7 @@
     let mut table = table();
     for number in 1..=200 {
         let peer = SocketAddr::from(([10, 0, 1, number], 7));
-        table.heard(peer, &Heartbeat::default(), 0);
+        table.record_heartbeat(peer, &Heartbeat::default(), 0);
     }
     let named: std::collections::BTreeSet<SocketAddr> = (1..=25)
         .flat_map(|sequence| table.named(sequence))
--- a/lib/tests/test_direct_shares.rs
+++ b/lib/tests/test_direct_shares.rs
@@ -383,14 +383,14 @@
     // an entry with a high address never asks while three others do.
     let mut table = PeerTable::new(address(9), &[]);
     for number in 1..4 {
-        table.heard(address(number), &heartbeat(1), 0);
+        table.record_heartbeat(address(number), &heartbeat(1), 0);
     }
     assert!(!table.watches_store(0));
     let lost = Heartbeat {
         store_age_ms: Some(9_000),
         ..heartbeat(2)
     };
-    table.heard(address(2), &lost, 10);
+    table.record_heartbeat(address(2), &lost, 10);
     assert!(table.watches_store(10));
     let first = PeerTable::new(address(0), &[]);
     assert!(first.watches_store(0), "whoever is alone asks");
@@ -407,7 +407,7 @@
         ..heartbeat(sequence)
     };
     let units = |table: &mut PeerTable, heartbeat: &Heartbeat| -> u64 {
-        let heard = table.heard(address(1), heartbeat, 0);
+        let heard = table.record_heartbeat(address(1), heartbeat, 0);
         heard.newly_spent.iter().map(|spent| spent.units).sum()
     };
     assert_eq!(units(&mut table, &spent(1, 30)), 30);
@@ -428,13 +428,13 @@
 #[test]
 fn ended_peer_forgotten_at_once_silent_one_not() {
     let mut table = PeerTable::new(address(9), &[]);
-    table.heard(address(1), &heartbeat(1), 0);
-    table.heard(address(2), &heartbeat(1), 0);
+    table.record_heartbeat(address(1), &heartbeat(1), 0);
+    table.record_heartbeat(address(2), &heartbeat(1), 0);
     let last = Heartbeat {
         is_last: true,
         ..Heartbeat::default()
     };
-    table.heard(address(1), &last, 10);
+    table.record_heartbeat(address(1), &last, 10);
     assert_eq!(table.known(), 2);
     assert_eq!(table.silent(5_000), [address(2)]);
     assert_eq!(table.owners(false, 5_000).count(), 1);
@@ -450,7 +450,7 @@
         },
         ..heartbeat(1)
     };
-    table.heard(address(1), &ahead, 0);
+    table.record_heartbeat(address(1), &ahead, 0);
     let own = Revisions {
         catalog: 4,
         directory: 7,
