--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -299,10 +299,10 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// assert!(table.silent(0).is_empty());
+    /// assert!(table.silent_peers(0).is_empty());
     /// ```
     #[must_use]
-    pub fn silent(&self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn silent_peers(&self, now_ms: u64) -> Vec<SocketAddr> {
         self.peers
             .iter()
             .filter(|(_, peer)| !self.is_heard(peer, now_ms))
@@ -315,10 +315,10 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// assert!(table.heard_now(0).is_empty());
+    /// assert!(table.live_peers(0).is_empty());
     /// ```
     #[must_use]
-    pub fn heard_now(&self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn live_peers(&self, now_ms: u64) -> Vec<SocketAddr> {
         let heard = self.peers.iter();
         heard
             .filter(|(_, peer)| self.is_heard(peer, now_ms))
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -182,7 +182,7 @@
         let peers = traffic.peers.borrow();
         let known = peers.known();
         let unmet = peers.unmet(now_ms);
-        let heard = peers.heard_now(now_ms).len() + 1;
+        let heard = peers.live_peers(now_ms).len() + 1;
         let keepers = peers.keepers(traffic.is_stopping.get(), now_ms);
         let mut allotments = traffic.allotments.borrow_mut();
         allotments.set_keepers(peers.own_address(), keepers, unmet, now_ms);
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -340,7 +340,7 @@
         "customer": customer.name,
         "tokens": headers.charged_tokens(),
         "others_wait": traffic.demand(service) == Demand::Pressing,
-        "silent_peers": traffic.peers.borrow().silent(traffic.now_ms()).len(),
+        "silent_peers": traffic.peers.borrow().silent_peers(traffic.now_ms()).len(),
     });
     let id = headers.request_id.as_ref();
     let refusal = Refusal::new(StatusCode::TOO_MANY_REQUESTS, "allotment is spent", id);
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -174,8 +174,8 @@
             coordinator_rank: coordinators
                 .iter()
                 .position(|coordinator| *coordinator == own),
-            live_peers: peers.heard_now(now_ms),
-            has_silent_peers: !peers.silent(now_ms).is_empty() || peers.unmet(now_ms) > 0,
+            live_peers: peers.live_peers(now_ms),
+            has_silent_peers: !peers.silent_peers(now_ms).is_empty() || peers.unmet(now_ms) > 0,
             ..FleetSnapshot::default()
         };
         drop(peers);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -449,7 +449,7 @@
         let figures = &self.figures;
         let signed = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         let peers = self.peers.borrow();
-        let heard = peers.heard_now(self.now_ms()).len();
+        let heard = peers.live_peers(self.now_ms()).len();
         figures.open_requests.set(signed(self.open_requests.get()));
         figures.open_asks.set(signed(self.asks.borrow().len()));
         figures.peers.set(signed(heard));
