--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -413,10 +413,10 @@
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
     /// let heartbeat = Heartbeat { known_entries: 9, ..Heartbeat::default() };
     /// table.record_heartbeat("10.0.0.2:7".parse().unwrap(), &heartbeat, 0);
-    /// assert_eq!(table.unmet(0), 7);
+    /// assert_eq!(table.undiscovered(0), 7);
     /// ```
     #[must_use]
-    pub fn unmet(&self, now_ms: u64) -> usize {
+    pub fn undiscovered(&self, now_ms: u64) -> usize {
         let told = self
             .peers
             .values()
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -181,7 +181,7 @@
         traffic.doors.borrow_mut().sweep(None, now_ms);
         let peers = traffic.peers.borrow();
         let known = peers.known();
-        let unmet = peers.unmet(now_ms);
+        let unmet = peers.undiscovered(now_ms);
         let heard = peers.live_peers(now_ms).len() + 1;
         let keepers = peers.keepers(traffic.is_stopping.get(), now_ms);
         let mut allotments = traffic.allotments.borrow_mut();
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -159,7 +159,7 @@
 
     fn fleet_size(&self) -> usize {
         let peers = self.peers.borrow();
-        peers.known() + peers.unmet(self.now_ms())
+        peers.known() + peers.undiscovered(self.now_ms())
     }
 
     fn step_rollouts(&self, due: &StatusWriter) {
@@ -175,7 +175,8 @@
                 .iter()
                 .position(|coordinator| *coordinator == own),
             live_peers: peers.live_peers(now_ms),
-            has_silent_peers: !peers.silent_peers(now_ms).is_empty() || peers.unmet(now_ms) > 0,
+            has_silent_peers: !peers.silent_peers(now_ms).is_empty()
+                || peers.undiscovered(now_ms) > 0,
             ..FleetSnapshot::default()
         };
         drop(peers);
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -266,7 +266,7 @@
         let table = &member.table;
         let keepers = table.keepers(false, own_ms);
         let own = &mut member.allotments;
-        own.set_keepers(address(from), keepers, table.unmet(own_ms), own_ms);
+        own.set_keepers(address(from), keepers, table.undiscovered(own_ms), own_ms);
         own.set_fleet(table.known(), table.overdue(own_ms), own_ms);
         member.sequence += 1;
         member.next_heartbeat_ms = now_ms + table.heartbeat_ms(false);
