--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -198,7 +198,7 @@
         if self.entries[entry].suspects.is_empty() {
             return;
         }
-        let known = self.entries[entry].peers.known();
+        let known = self.entries[entry].peers.known_entries();
         if gossip::greets(known, self.random.random::<u32>() as usize) {
             let told = self.entries[entry].suspects.next_told(self.now_ms);
             self.tell(entry, peer, PeerMessage::Suspects(told));
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -117,7 +117,7 @@
 ///
 /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &["10.0.0.2:7".parse().unwrap()]);
 /// assert_eq!(table.targets().count(), 1);
-/// assert_eq!(table.known(), 1);
+/// assert_eq!(table.known_entries(), 1);
 /// ```
 #[derive(Clone, Debug)]
 pub struct PeerTable {
@@ -177,7 +177,7 @@
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
     /// let heard = table.record_heartbeat("10.0.0.2:7".parse().unwrap(), &Heartbeat::default(), 5);
     /// assert!(heard.is_new);
-    /// assert_eq!(table.known(), 2);
+    /// assert_eq!(table.known_entries(), 2);
     /// ```
     pub fn record_heartbeat(
         &mut self,
@@ -287,10 +287,10 @@
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
-    /// assert_eq!(PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]).known(), 1);
+    /// assert_eq!(PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]).known_entries(), 1);
     /// ```
     #[must_use]
-    pub fn known(&self) -> usize {
+    pub fn known_entries(&self) -> usize {
         self.peers.len() + 1
     }
 
@@ -430,7 +430,9 @@
         // Long after the start a seed that was never heard is an address of somebody who has left.
         let is_new = Self::own_age_s(now_ms) < STARTED_TOGETHER_S;
         let unheard_seeds = if is_new { unheard_seeds.count() } else { 0 };
-        let beyond = told.unwrap_or_default().saturating_sub(self.known());
+        let beyond = told
+            .unwrap_or_default()
+            .saturating_sub(self.known_entries());
         beyond.max(unheard_seeds)
     }
 
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -180,7 +180,7 @@
         traffic.peers.borrow_mut().sweep(now_ms);
         traffic.doors.borrow_mut().sweep(None, now_ms);
         let peers = traffic.peers.borrow();
-        let known = peers.known();
+        let known = peers.known_entries();
         let unmet = peers.undiscovered(now_ms);
         let heard = peers.live_peers(now_ms).len() + 1;
         let keepers = peers.keepers(traffic.is_stopping.get(), now_ms);
@@ -226,7 +226,7 @@
             is_last: false,
             is_leaving: traffic.is_stopping.get(),
             age_s: PeerTable::own_age_s(traffic.now_ms()),
-            known_entries: u16::try_from(peers.known()).unwrap_or(u16::MAX),
+            known_entries: u16::try_from(peers.known_entries()).unwrap_or(u16::MAX),
             store_age_ms: self
                 .links
                 .last_store_response
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -159,7 +159,7 @@
 
     fn fleet_size(&self) -> usize {
         let peers = self.peers.borrow();
-        peers.known() + peers.undiscovered(self.now_ms())
+        peers.known_entries() + peers.undiscovered(self.now_ms())
     }
 
     fn step_rollouts(&self, due: &StatusWriter) {
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -267,7 +267,7 @@
         let keepers = table.keepers(false, own_ms);
         let own = &mut member.allotments;
         own.set_keepers(address(from), keepers, table.undiscovered(own_ms), own_ms);
-        own.set_fleet(table.known(), table.overdue(own_ms), own_ms);
+        own.set_fleet(table.known_entries(), table.overdue(own_ms), own_ms);
         member.sequence += 1;
         member.next_heartbeat_ms = now_ms + table.heartbeat_ms(false);
         let spent: Vec<CustomerSpending> = own
@@ -282,7 +282,7 @@
             incarnation: member.incarnation,
             sequence: member.sequence,
             age_s: PeerTable::own_age_s(own_ms),
-            known_entries: u16::try_from(table.known()).expect("a fleet of 250 at most"),
+            known_entries: u16::try_from(table.known_entries()).expect("a fleet of 250 at most"),
             peer_addresses: table.named(member.sequence),
             spent,
             ..Heartbeat::default()
