--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -174,7 +174,7 @@
         let heartbeat = Heartbeat {
             incarnation: (entry as u64) << 32 | state.incarnation,
             sequence: state.sequence,
-            peer_addresses: state.peers.named(state.sequence),
+            peer_addresses: state.peers.addresses_to_share(state.sequence),
             loads: LoadChunk::of(state.dispatcher.running(now_ms).collect(), state.sequence),
             ..Heartbeat::default()
         };
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -267,10 +267,10 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// assert!(table.named(3).is_empty());
+    /// assert!(table.addresses_to_share(3).is_empty());
     /// ```
     #[must_use]
-    pub fn named(&self, sequence: u64) -> Vec<SocketAddr> {
+    pub fn addresses_to_share(&self, sequence: u64) -> Vec<SocketAddr> {
         let count = self.peers.len().max(1);
         let turn = usize::try_from(sequence).unwrap_or_default();
         let first = turn.wrapping_mul(MAX_ADDRESSES) % count;
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -233,7 +233,7 @@
                 .age_ms()
                 .filter(|_| watches_store),
             revisions: *self.links.own_revisions.borrow(),
-            peer_addresses: peers.named(self.sequence),
+            peer_addresses: peers.addresses_to_share(self.sequence),
             loads: LoadChunk::of(
                 dispatcher.running(traffic.now_ms()).collect(),
                 self.sequence,
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -283,7 +283,7 @@
             sequence: member.sequence,
             age_s: PeerTable::own_age_s(own_ms),
             known_entries: u16::try_from(table.known_entries()).expect("a fleet of 250 at most"),
-            peer_addresses: table.named(member.sequence),
+            peer_addresses: table.addresses_to_share(member.sequence),
             spent,
             ..Heartbeat::default()
         };
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -193,7 +193,7 @@
         table.record_heartbeat(peer, &Heartbeat::default(), 0);
     }
     let named: std::collections::BTreeSet<SocketAddr> = (1..=25)
-        .flat_map(|sequence| table.named(sequence))
+        .flat_map(|sequence| table.addresses_to_share(sequence))
         .collect();
     assert_eq!(named.len(), 200);
 }
