--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -224,7 +224,7 @@
         if told.is_empty() {
             return;
         }
-        let targets: Vec<SocketAddr> = self.entries[entry].peers.targets().collect();
+        let targets: Vec<SocketAddr> = self.entries[entry].peers.heartbeat_targets().collect();
         let chosen: Vec<SocketAddr> = targets
             .choose_multiple(&mut self.random, most)
             .copied()
--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -178,7 +178,7 @@
             loads: LoadChunk::of(state.dispatcher.running(now_ms).collect(), state.sequence),
             ..Heartbeat::default()
         };
-        let targets: Vec<SocketAddr> = state.peers.targets().collect();
+        let targets: Vec<SocketAddr> = state.peers.heartbeat_targets().collect();
         let next_ms = now_ms + state.peers.heartbeat_ms(false);
         for target in targets {
             self.tell(entry, target, PeerMessage::Heartbeat(heartbeat.clone()));
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -92,7 +92,7 @@
         }
         let told = notices.told(&instance, self.now_ms);
         self.place_notices(entry);
-        let peers: Vec<_> = self.entries[entry].peers.targets().collect();
+        let peers: Vec<_> = self.entries[entry].peers.heartbeat_targets().collect();
         for peer in peers.into_iter().filter(|_| !told.is_empty()) {
             self.tell(entry, peer, PeerMessage::Notices(told.clone()));
         }
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -116,7 +116,7 @@
 /// use sardinewood::direct::membership::peer_table::PeerTable;
 ///
 /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &["10.0.0.2:7".parse().unwrap()]);
-/// assert_eq!(table.targets().count(), 1);
+/// assert_eq!(table.heartbeat_targets().count(), 1);
 /// assert_eq!(table.known_entries(), 1);
 /// ```
 #[derive(Clone, Debug)]
@@ -148,7 +148,7 @@
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
     /// table.add_seeds(&["10.0.0.2:7".parse().unwrap()]);
-    /// assert_eq!(table.targets().count(), 1);
+    /// assert_eq!(table.heartbeat_targets().count(), 1);
     /// ```
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
@@ -252,9 +252,9 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// assert_eq!(table.targets().count(), 0);
+    /// assert_eq!(table.heartbeat_targets().count(), 0);
     /// ```
-    pub fn targets(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn heartbeat_targets(&self) -> impl Iterator<Item = SocketAddr> {
         let unheard = self
             .seeds
             .iter()
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -412,7 +412,7 @@
 
     /// Sends a message to all peers and to the seeds that were not heard yet.
     pub fn tell_all(&self, message: &PeerMessage) {
-        let targets: Vec<SocketAddr> = self.peers.borrow().targets().collect();
+        let targets: Vec<SocketAddr> = self.peers.borrow().heartbeat_targets().collect();
         for target in targets {
             self.tell(target, message);
         }
@@ -420,7 +420,7 @@
 
     /// Sends a message to so many of them, drawn anew each time.
     pub fn tell_some(&self, message: &PeerMessage, most: usize) {
-        let targets: Vec<SocketAddr> = self.peers.borrow().targets().collect();
+        let targets: Vec<SocketAddr> = self.peers.borrow().heartbeat_targets().collect();
         for target in targets.choose_multiple(&mut rand::rng(), most) {
             self.tell(*target, message);
         }
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -287,7 +287,7 @@
             spent,
             ..Heartbeat::default()
         };
-        (heartbeat, table.targets().map(index_of).collect())
+        (heartbeat, table.heartbeat_targets().map(index_of).collect())
     }
 
     fn hear(&mut self, to: usize, from: usize, heartbeat: &Heartbeat) {
