--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -487,10 +487,10 @@
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::Revisions, membership::peer_table::PeerTable};
     /// let table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// assert_eq!(table.ahead_of(Revisions::default(), 7, 0), None);
+    /// assert_eq!(table.peer_ahead_of(Revisions::default(), 7, 0), None);
     /// ```
     #[must_use]
-    pub fn ahead_of(&self, own: Revisions, random: usize, now_ms: u64) -> Option<SocketAddr> {
+    pub fn peer_ahead_of(&self, own: Revisions, random: usize, now_ms: u64) -> Option<SocketAddr> {
         let is_ahead = |peer: &Peer| {
             peer.revisions.catalog > own.catalog || peer.revisions.directory > own.directory
         };
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -169,7 +169,7 @@
         let peer_ahead = traffic
             .peers
             .borrow()
-            .ahead_of(own_revisions, random, now_ms);
+            .peer_ahead_of(own_revisions, random, now_ms);
         set(&self.links.peer_ahead, peer_ahead);
         traffic.grant_rooms();
     }
--- a/lib/tests/test_direct_shares.rs
+++ b/lib/tests/test_direct_shares.rs
@@ -455,8 +455,8 @@
         catalog: 4,
         directory: 7,
     };
-    assert_eq!(table.ahead_of(own, 7, 0), Some(address(1)));
-    assert_eq!(table.ahead_of(own, 7, 60_000), None);
+    assert_eq!(table.peer_ahead_of(own, 7, 0), Some(address(1)));
+    assert_eq!(table.peer_ahead_of(own, 7, 60_000), None);
 }
 
 /// Parts of the requests that are served of each kind, given as units and tier, when a customer
