--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -25,7 +25,7 @@
 impl Fleet {
     pub(super) fn owner(&self, entry: usize, upstream: u32) -> Asker {
         let peers = &self.entries[entry].peers;
-        match door::owner(upstream, peers.owners(false, self.now_ms)) {
+        match door::owner(upstream, peers.owner_candidates(false, self.now_ms)) {
             Some(owner) if owner != peers.own_address() => Asker::Peer(owner),
             Some(_) | None => Asker::Own,
         }
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -352,9 +352,13 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let own = "10.0.0.1:7".parse().unwrap();
-    /// assert!(PeerTable::new(own, &[]).owners(false, 0).eq([own]));
+    /// assert!(PeerTable::new(own, &[]).owner_candidates(false, 0).eq([own]));
     /// ```
-    pub fn owners(&self, is_own_leaving: bool, now_ms: u64) -> impl Iterator<Item = SocketAddr> {
+    pub fn owner_candidates(
+        &self,
+        is_own_leaving: bool,
+        now_ms: u64,
+    ) -> impl Iterator<Item = SocketAddr> {
         let own = (!is_own_leaving).then_some(self.own);
         self.peers
             .iter()
@@ -390,7 +394,7 @@
             let peer = self.peers.get(address);
             peer.map_or(Self::own_age_s(now_ms), |peer| peer.age_s)
         };
-        let owners: Vec<SocketAddr> = self.owners(is_own_leaving, now_ms).collect();
+        let owners: Vec<SocketAddr> = self.owner_candidates(is_own_leaving, now_ms).collect();
         let oldest_s = owners.iter().map(age_s).max().unwrap_or_default();
         let have_started_together = oldest_s < STARTED_TOGETHER_S;
         let addresses = if have_started_together {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -189,7 +189,7 @@
     /// The entries that judge, this one perhaps among them.
     fn coordinators(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
-        coordinators(peers.owners(self.is_stopping.get(), self.now_ms()))
+        coordinators(peers.owner_candidates(self.is_stopping.get(), self.now_ms()))
     }
 
     fn carry_out_rollout(
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -437,7 +437,7 @@
     #[must_use]
     pub fn owner(&self, upstream: u32) -> Asker {
         let peers = self.peers.borrow();
-        let owners = peers.owners(self.is_stopping.get(), self.now_ms());
+        let owners = peers.owner_candidates(self.is_stopping.get(), self.now_ms());
         match door::owner(upstream, owners) {
             Some(address) if address != peers.own_address() => Asker::Peer(address),
             Some(_) | None => Asker::Own,
--- a/lib/tests/test_direct_shares.rs
+++ b/lib/tests/test_direct_shares.rs
@@ -437,7 +437,7 @@
     table.record_heartbeat(address(1), &last, 10);
     assert_eq!(table.known_entries(), 2);
     assert_eq!(table.silent_peers(5_000), [address(2)]);
-    assert_eq!(table.owners(false, 5_000).count(), 1);
+    assert_eq!(table.owner_candidates(false, 5_000).count(), 1);
 }
 
 #[test]
