--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -354,7 +354,7 @@
             self.entries.push(entry_state);
             self.at(first_heartbeat_ms(entry), Event::Heartbeat { entry });
             if self.setup.deadly_every_ms.is_some() {
-                let first_ms = entry as u64 % gossip::REPEAT_MS;
+                let first_ms = entry as u64 % gossip::RESEND_INTERVAL_MS;
                 self.at(first_ms, Event::Repeat { entry });
             }
         }
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -191,7 +191,7 @@
         let suspects = &mut self.entries[entry].suspects;
         let change = suspects.hear(told, self.now_ms);
         let known = suspects.told(&change.changed, self.now_ms);
-        self.tell_some(entry, &known, gossip::PASSED_ON_TO);
+        self.tell_some(entry, &known, gossip::FORWARD_PEERS);
     }
 
     pub(super) fn greet(&mut self, entry: usize, peer: SocketAddr) {
@@ -199,7 +199,7 @@
             return;
         }
         let known = self.entries[entry].peers.known_entries();
-        if gossip::greets(known, self.random.random::<u32>() as usize) {
+        if gossip::should_sync(known, self.random.random::<u32>() as usize) {
             let told = self.entries[entry].suspects.next_told(self.now_ms);
             self.tell(entry, peer, PeerMessage::Suspects(told));
         }
@@ -210,9 +210,12 @@
         suspects.sweep(self.now_ms);
         let told = suspects.next_told(self.now_ms);
         if self.entries[entry].is_up {
-            self.tell_some(entry, &told, gossip::REPEATED_TO);
+            self.tell_some(entry, &told, gossip::RESEND_PEERS);
         }
-        self.at(self.now_ms + gossip::REPEAT_MS, Event::Repeat { entry });
+        self.at(
+            self.now_ms + gossip::RESEND_INTERVAL_MS,
+            Event::Repeat { entry },
+        );
     }
 
     fn tell_all_of(&mut self, entry: usize, requests: &[Fingerprint]) {
--- a/lib/src/direct/membership/gossip.rs
+++ b/lib/src/direct/membership/gossip.rs
@@ -6,11 +6,11 @@
 //! those that start or come back.
 
 /// Peers to which an entry passes on what it has just heard.
-pub const PASSED_ON_TO: usize = 2;
+pub const FORWARD_PEERS: usize = 2;
 /// Peers to which it repeats a part of all that it knows, each time.
-pub const REPEATED_TO: usize = 1;
+pub const RESEND_PEERS: usize = 1;
 /// Time between two repetitions.
-pub const REPEAT_MS: u64 = 1_000;
+pub const RESEND_INTERVAL_MS: u64 = 1_000;
 /// How many entries tell a peer that has started or was silent. Were it all, hundreds would at
 /// once.
 const GREETERS: usize = 4;
@@ -18,12 +18,12 @@
 /// Whether this entry, of so many, tells a peer that has started or was silent, by a random number.
 ///
 /// ```
-/// use sardinewood::direct::membership::gossip::greets;
+/// use sardinewood::direct::membership::gossip::should_sync;
 ///
-/// assert!(greets(3, 7));
-/// assert_eq!((0..100).filter(|random| greets(100, *random)).count(), 4);
+/// assert!(should_sync(3, 7));
+/// assert_eq!((0..100).filter(|random| should_sync(100, *random)).count(), 4);
 /// ```
 #[must_use]
-pub fn greets(entries: usize, random: usize) -> bool {
+pub fn should_sync(entries: usize, random: usize) -> bool {
     random % entries.max(1) < GREETERS
 }
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -82,7 +82,7 @@
             line.field("peer", from)
                 .field("upstreams", names.collect::<Vec<_>>())
         });
-        self.tell_some_notices(news, gossip::PASSED_ON_TO);
+        self.tell_some_notices(news, gossip::FORWARD_PEERS);
         self.update_eligible_upstreams();
         self.grant_rooms();
     }
@@ -109,7 +109,7 @@
         notices.sweep(&listed, self.now_ms());
         let told = notices.next_told(self.now_ms());
         drop(notices);
-        self.tell_some_notices(told, gossip::REPEATED_TO);
+        self.tell_some_notices(told, gossip::RESEND_PEERS);
     }
 
     /// Lets doors and placement go by what upstreams say.
--- a/lib/src/direct/quarantining.rs
+++ b/lib/src/direct/quarantining.rs
@@ -150,7 +150,7 @@
         let change = self.suspects.borrow_mut().hear(told, self.now_ms());
         if !change.changed.is_empty() {
             let known = self.suspects.borrow().told(&change.changed, self.now_ms());
-            self.tell_some_of(known, gossip::PASSED_ON_TO);
+            self.tell_some_of(known, gossip::FORWARD_PEERS);
         }
         self.log_held(&change.held);
         let ends = self.breaks.borrow_mut().told(&change.ended);
@@ -168,7 +168,7 @@
         suspects.sweep(now_ms);
         let told = suspects.next_told(now_ms);
         drop(suspects);
-        self.tell_some_of(told, gossip::REPEATED_TO);
+        self.tell_some_of(told, gossip::RESEND_PEERS);
     }
 
     /// Tells a peer what is known that has started, or was silent.
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -67,7 +67,7 @@
 const STOP_POLL: Duration = Duration::from_millis(50);
 /// How often idle connections to upstreams are looked after, and what is known of requests under
 /// which upstreams ended is forgotten or repeated to a peer.
-const SWEEP_PERIOD: Duration = Duration::from_millis(gossip::REPEAT_MS);
+const SWEEP_PERIOD: Duration = Duration::from_millis(gossip::RESEND_INTERVAL_MS);
 /// How often the log says how requests of each size ended, if some were not served: rare enough to
 /// cost nothing, and often enough to tell one burst from the next.
 const SHARES_PERIOD: Duration = Duration::from_secs(4);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -430,7 +430,7 @@
     #[must_use]
     pub fn is_greeter(&self) -> bool {
         let known = self.peers.borrow().known_entries();
-        gossip::greets(known, rand::random::<u32>() as usize)
+        gossip::should_sync(known, rand::random::<u32>() as usize)
     }
 
     /// Who keeps the door of an engine.
