--- a/bench/src/direct/fleet/doors.rs
+++ b/bench/src/direct/fleet/doors.rs
@@ -8,11 +8,11 @@
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::sharing::door;
-use sardinewood::direct::sharing::door::Ask;
-use sardinewood::direct::sharing::door::AskId;
-use sardinewood::direct::sharing::door::Asker;
-use sardinewood::direct::sharing::door::Release;
+use sardinewood::direct::sharing::admission;
+use sardinewood::direct::sharing::admission::Ask;
+use sardinewood::direct::sharing::admission::AskId;
+use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::Release;
 
 use super::Event;
 use super::Fleet;
@@ -25,7 +25,7 @@
 impl Fleet {
     pub(super) fn owner(&self, entry: usize, upstream: u32) -> Asker {
         let peers = &self.entries[entry].peers;
-        match door::owner(upstream, peers.owner_candidates(false, self.now_ms)) {
+        match admission::owner(upstream, peers.owner_candidates(false, self.now_ms)) {
             Some(owner) if owner != peers.own_address() => Asker::Peer(owner),
             Some(_) | None => Asker::Own,
         }
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
-use sardinewood::direct::sharing::door::Release;
+use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::size_floor::SizeFloor;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::numbers;
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -7,12 +7,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::sharing::door;
-use sardinewood::direct::sharing::door::Ask;
-use sardinewood::direct::sharing::door::AskId;
-use sardinewood::direct::sharing::door::Asker;
-use sardinewood::direct::sharing::door::Doors;
-use sardinewood::direct::sharing::door::Release;
+use sardinewood::direct::sharing::admission;
+use sardinewood::direct::sharing::admission::Ask;
+use sardinewood::direct::sharing::admission::AskId;
+use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::Doors;
+use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::rate::Rate;
 use sardinewood::numbers;
 
@@ -247,7 +247,7 @@
         let entries = self.entries.iter().enumerate();
         let believed = entries.filter(|(_, entry)| believed(entry));
         let addresses = believed.map(|(number, _)| address(number));
-        let owner = door::owner(short_name(UPSTREAM), addresses)?;
+        let owner = admission::owner(short_name(UPSTREAM), addresses)?;
         Some(entry_address::number(owner))
     }
 
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -10,12 +10,12 @@
 use crate::direct::notices::record::Told as ToldNotice;
 use crate::direct::quarantine::record::Told;
 use crate::direct::rollout::message::RolloutMessage;
+use crate::direct::sharing::admission::Ask;
+use crate::direct::sharing::admission::AskId;
+use crate::direct::sharing::admission::Release;
 use crate::direct::sharing::allotment::Charge;
 use crate::direct::sharing::allotment::Demand;
 use crate::direct::sharing::allotment::Due;
-use crate::direct::sharing::door::Ask;
-use crate::direct::sharing::door::AskId;
-use crate::direct::sharing::door::Release;
 
 /// First byte of every datagram; another form of the message gets another number.
 const FORM: u8 = 5;
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -19,7 +19,7 @@
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::request::call::Call;
 use crate::direct::request::caller::AnswerHeaders;
-use crate::direct::sharing::door::Asker;
+use crate::direct::sharing::admission::Asker;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
--- a/lib/src/direct/placement/job.rs
+++ b/lib/src/direct/placement/job.rs
@@ -4,7 +4,7 @@
 
 use crate::direct::placement::shared_start::KeptAt;
 use crate::direct::placement::shared_start::SharedStart;
-use crate::direct::sharing::door;
+use crate::direct::sharing::admission;
 use crate::numbers;
 
 /// Part of a request's worth that does not depend on its size, from the operators' sheets.
@@ -130,7 +130,7 @@
             (size / self.relative_hold).clamp(LEAST_DENSITY, MOST_DENSITY)
         };
         let customer = CUSTOMER_FACTOR.powi(i32::from(self.customer_tier));
-        let micros = door::tier_worth(self.tier) * customer * density * WORTH_MICROS;
+        let micros = admission::tier_worth(self.tier) * customer * density * WORTH_MICROS;
         numbers::whole_u32(micros).max(1)
     }
 
@@ -156,7 +156,7 @@
         let leaves_at_ms = self.leaves_at_ms.min(self.give_up_at_ms);
         let most_ms = leaves_at_ms.saturating_sub(self.arrived_ms) * MOST_WAIT_PERCENT / 100;
         let beyond_ms =
-            numbers::as_f64(most_ms.saturating_sub(least_ms)) * door::tier_worth(self.tier);
+            numbers::as_f64(most_ms.saturating_sub(least_ms)) * admission::tier_worth(self.tier);
         self.arrived_ms + least_ms.min(most_ms) + numbers::whole_u64(beyond_ms)
     }
 
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -15,7 +15,7 @@
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::replication::store_follower::LastStoreResponse;
-use crate::direct::sharing::door::Asker;
+use crate::direct::sharing::admission::Asker;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
 use crate::numbers;
--- a/lib/src/direct/sharing.rs
+++ b/lib/src/direct/sharing.rs
@@ -1,9 +1,9 @@
 //! What all entries share without a counter in the middle: room at upstreams, customers'
 //! allotments, second attempts. All of it decides and knows no socket.
 
+pub mod admission;
 pub mod allotment;
 pub mod attempt_budget;
-pub mod door;
 pub mod rate;
 pub mod size_floor;
 pub mod size_shares;
--- a/lib/src/direct/sharing/door.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -51,7 +51,7 @@
     /// The name that a random number gives.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::door::AskId;
+    /// use sardinewood::direct::sharing::admission::AskId;
     ///
     /// assert_eq!(AskId::drawn(7), AskId(7));
     /// ```
@@ -194,7 +194,7 @@
 /// behind the next tier's, but before a tier that is worth far less.
 ///
 /// ```
-/// use sardinewood::direct::sharing::door::worth;
+/// use sardinewood::direct::sharing::admission::worth;
 ///
 /// assert!(worth(500, true) > worth(1_000, false));
 /// ```
@@ -207,7 +207,7 @@
 /// What a request of a tier is worth, in relation to the first tier.
 ///
 /// ```
-/// assert!((sardinewood::direct::sharing::door::tier_worth(0) - 1.0).abs() < 1e-9);
+/// assert!((sardinewood::direct::sharing::admission::tier_worth(0) - 1.0).abs() < 1e-9);
 /// ```
 #[must_use]
 pub fn tier_worth(tier: u8) -> f64 {
@@ -217,7 +217,7 @@
 /// The entry that keeps an upstream's door, of those that are heard.
 ///
 /// ```
-/// use sardinewood::direct::sharing::door::owner;
+/// use sardinewood::direct::sharing::admission::owner;
 ///
 /// let one = "10.0.0.1:7".parse().unwrap();
 /// assert_eq!(owner(5, [one]), Some(one));
@@ -239,7 +239,7 @@
 /// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
 ///
 /// ```
-/// use sardinewood::direct::sharing::door::{Ask, AskId, Asker, Doors, Release};
+/// use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, Doors, Release};
 ///
 /// let mut doors = Doors::default();
 /// doors.set_upstreams([("i-1".into(), 1)]);
@@ -268,7 +268,7 @@
     /// Takes the upstreams that there are, and their slots.
     ///
     /// ```
-    /// sardinewood::direct::sharing::door::Doors::default().set_upstreams([("i-1".into(), 4)]);
+    /// sardinewood::direct::sharing::admission::Doors::default().set_upstreams([("i-1".into(), 4)]);
     /// ```
     pub fn set_upstreams(&mut self, upstreams: impl IntoIterator<Item = (Arc<str>, u32)>) {
         let mut before = std::mem::take(&mut self.by_upstream);
@@ -292,7 +292,7 @@
     /// Takes which of the upstreams, by short name, are plain services; the others are engines.
     ///
     /// ```
-    /// sardinewood::direct::sharing::door::Doors::default().set_plain(&[7].into_iter().collect());
+    /// sardinewood::direct::sharing::admission::Doors::default().set_plain(&[7].into_iter().collect());
     /// ```
     pub fn set_plain(&mut self, plain: &IndexSet<u32>) {
         for (name, door) in &mut self.by_upstream {
@@ -307,7 +307,7 @@
     /// knows what the others send. Its door does: every start goes through it.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::door::{Ask, AskId, Asker, Doors}};
+    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, Asker, Doors}};
     /// let mut doors = Doors::default();
     /// doors.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
@@ -329,7 +329,7 @@
     /// the whole limit, the upstream would get it twice.
     ///
     /// ```
-    /// sardinewood::direct::sharing::door::Doors::default().set_part(0.5, 0);
+    /// sardinewood::direct::sharing::admission::Doors::default().set_part(0.5, 0);
     /// ```
     pub fn set_part(&mut self, part: f64, now_ms: u64) {
         if self.part != Some(part) {
@@ -357,7 +357,7 @@
     /// Time until the rate of a limited upstream allows a grant that a question waits for.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::door::Doors::default().next_grant_in_ms(0), None);
+    /// assert_eq!(sardinewood::direct::sharing::admission::Doors::default().next_grant_in_ms(0), None);
     /// ```
     #[must_use]
     pub fn next_grant_in_ms(&self, now_ms: u64) -> Option<u64> {
@@ -374,7 +374,7 @@
     /// Takes a question.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::door::{Ask, AskId, Asker, Doors};
+    /// # use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, Doors};
     /// let ask = Ask { id: AskId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
     /// Doors::default().ask(Asker::Own, ask, 0);
     /// ```
@@ -407,7 +407,7 @@
     /// Takes a question back.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::door::{AskId, Asker, Doors};
+    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, Doors};
     /// Doors::default().cancel(Asker::Own, 7, AskId(1));
     /// ```
     pub fn cancel(&mut self, from: Asker, upstream: u32, ask: AskId) {
@@ -423,7 +423,7 @@
     /// counted, an upstream would get a good part less than its limit.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::door::{Asker, Doors, Release};
+    /// # use sardinewood::direct::sharing::admission::{Asker, Doors, Release};
     /// Doors::default().done(Asker::Own, 7, Release::Unused);
     /// ```
     pub fn done(&mut self, from: Asker, upstream: u32, release: Release) {
@@ -452,7 +452,7 @@
     /// message left wrong lasts two heartbeats.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::door::Doors;
+    /// # use sardinewood::direct::sharing::admission::Doors;
     /// # use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
     /// let nothing = LoadChunk::whole(Vec::new());
     /// Doors::default().reconcile("10.0.0.1:7".parse().unwrap(), &nothing, 0);
@@ -492,7 +492,7 @@
     /// Forgets what peers had that are gone: those named, and those that fell silent.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::door::Doors;
+    /// # use sardinewood::direct::sharing::admission::Doors;
     /// Doors::default().sweep(None, 0);
     /// ```
     pub fn sweep(&mut self, gone: Option<SocketAddr>, now_ms: u64) {
@@ -515,7 +515,7 @@
     /// The next grant, if a door has room and somebody asks.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::door::Doors::default().next_grant(0), None);
+    /// assert_eq!(sardinewood::direct::sharing::admission::Doors::default().next_grant(0), None);
     /// ```
     pub fn next_grant(&mut self, now_ms: u64) -> Option<Grant> {
         let allowed: Vec<u32> = self
@@ -562,7 +562,7 @@
     /// Expected wait of a question that is queued; none if it is not.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::door::{AskId, Asker, Doors};
+    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, Doors};
     /// assert_eq!(Doors::default().wait_ms(Asker::Own, 7, AskId(1), 0), None);
     /// ```
     #[must_use]
--- a/lib/src/direct/sharing/allotment/fleet.rs
+++ b/lib/src/direct/sharing/allotment/fleet.rs
@@ -4,7 +4,7 @@
 
 use crate::direct::membership::peer_table::Keepers;
 use crate::direct::placement::dispatch::short_name;
-use crate::direct::sharing::door;
+use crate::direct::sharing::admission;
 use crate::numbers;
 
 /// How long the entries have to stay the same until a keeper trusts what it knows of a customer
@@ -84,7 +84,7 @@
 
     /// The peer that keeps a customer; none if this entry does.
     pub(super) fn keeper(&self, customer: &str) -> Option<SocketAddr> {
-        let keeper = door::owner(short_name(customer), self.keepers.iter().copied())?;
+        let keeper = admission::owner(short_name(customer), self.keepers.iter().copied())?;
         (Some(keeper) != self.own).then_some(keeper)
     }
 }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -38,15 +38,15 @@
 use crate::direct::rollout::table::RolloutTable;
 use crate::direct::rooms;
 use crate::direct::rooms::AskedDoor;
+use crate::direct::sharing::admission;
+use crate::direct::sharing::admission::AskId;
+use crate::direct::sharing::admission::Asker;
+use crate::direct::sharing::admission::Doors;
+use crate::direct::sharing::admission::Release;
 use crate::direct::sharing::allotment::Allotments;
 use crate::direct::sharing::allotment::Demand;
 use crate::direct::sharing::attempt_budget::AttemptBudget;
 use crate::direct::sharing::attempt_budget::AttemptLimits;
-use crate::direct::sharing::door;
-use crate::direct::sharing::door::AskId;
-use crate::direct::sharing::door::Asker;
-use crate::direct::sharing::door::Doors;
-use crate::direct::sharing::door::Release;
 use crate::direct::sharing::size_floor::SizeFloor;
 use crate::direct::sharing::size_shares::SizeShares;
 use crate::direct::view::catalog::Catalog;
@@ -438,7 +438,7 @@
     pub fn owner(&self, upstream: u32) -> Asker {
         let peers = self.peers.borrow();
         let owners = peers.owner_candidates(self.is_stopping.get(), self.now_ms());
-        match door::owner(upstream, owners) {
+        match admission::owner(upstream, owners) {
             Some(address) if address != peers.own_address() => Asker::Peer(address),
             Some(_) | None => Asker::Own,
         }
--- a/lib/tests/test_direct_asking.rs
+++ b/lib/tests/test_direct_asking.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::sharing::door::AskId;
+use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::view::directory::Upstream;
 
 use crate::direct_fixture::job;
--- a/lib/tests/test_direct_door.rs
+++ b/lib/tests/test_direct_door.rs
@@ -6,12 +6,12 @@
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::sharing::door::Ask;
-use sardinewood::direct::sharing::door::AskId;
-use sardinewood::direct::sharing::door::Asker;
-use sardinewood::direct::sharing::door::Doors;
-use sardinewood::direct::sharing::door::Release;
-use sardinewood::direct::sharing::door::owner;
+use sardinewood::direct::sharing::admission::Ask;
+use sardinewood::direct::sharing::admission::AskId;
+use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::Doors;
+use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::owner;
 
 const SLOTS: u32 = 3;
 
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -13,10 +13,10 @@
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::sharing::door::Ask;
-use sardinewood::direct::sharing::door::AskId;
-use sardinewood::direct::sharing::door::Asker;
-use sardinewood::direct::sharing::door::Doors;
+use sardinewood::direct::sharing::admission::Ask;
+use sardinewood::direct::sharing::admission::AskId;
+use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::Doors;
 
 const ENGINES: u32 = 400;
 const CUSTOMERS: u64 = 1_700;
--- a/lib/tests/test_direct_size_floor.rs
+++ b/lib/tests/test_direct_size_floor.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::placement::asking::Asking;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::sharing::door::AskId;
+use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::size_floor::SizeFloor;
 use sardinewood::direct::sharing::size_shares::CallEnd;
 use sardinewood::direct::sharing::size_shares::SizeClass;
