--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -1,9 +1,9 @@
 //! Entries of the direct mode in virtual time: the decisions that ship, and around them
 //! messages that take a millisecond, engines, and callers.
 
+mod admission;
 mod callers;
 mod deadly;
-mod doors;
 mod need;
 mod runs;
 
