--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -25,9 +25,9 @@
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::suspects::Suspects;
+use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::Asker;
-use sardinewood::direct::sharing::admission::Doors;
 use sardinewood::direct::sharing::size_floor::SizeFloor;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 use sardinewood::direct::sharing::size_shares::SizeShares;
@@ -239,7 +239,7 @@
     is_up: bool,
     sequence: u64,
     dispatcher: Dispatcher,
-    doors: Doors,
+    doors: AdmissionController,
     peers: PeerTable,
     asks: IndexMap<AskId, (usize, Arc<str>, Asker)>,
     waiting: IndexMap<usize, Asking>,
@@ -388,7 +388,7 @@
     fn started(&self, entry: usize, incarnation: u64) -> Entry {
         let mut dispatcher = Dispatcher::default();
         dispatcher.set_upstreams(&self.upstreams);
-        let mut doors = Doors::default();
+        let mut doors = AdmissionController::default();
         let engines = self.upstreams.iter();
         doors.set_upstreams(engines.map(|up| (Arc::clone(&up.instance), up.slots)));
         let seeds = [address(0), address(self.setup.entries / 2)];
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -8,10 +8,10 @@
 use rand::rngs::StdRng;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission;
+use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::Asker;
-use sardinewood::direct::sharing::admission::Doors;
 use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::rate::Rate;
 use sardinewood::numbers;
@@ -86,7 +86,7 @@
     /// Part of all requests that reach it.
     load: f64,
     rate: Option<Rate>,
-    doors: Doors,
+    doors: AdmissionController,
     /// Requests that wait, by number and arrival.
     waiting: VecDeque<(u64, u64)>,
     /// Requests since it last told its need, and those that it told.
@@ -157,7 +157,7 @@
             Way::PartsByNeed => Some(0.0),
             Way::FewEntries => (entry < self.few()).then(|| numbers::ratio(1, self.few())),
         };
-        let mut doors = Doors::default();
+        let mut doors = AdmissionController::default();
         doors.set_upstreams([(UPSTREAM.into(), SLOTS)]);
         let limit = (short_name(UPSTREAM), self.limit_per_1000_s());
         doors.set_limits([limit].into_iter().collect(), now_ms);
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -239,9 +239,9 @@
 /// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
 ///
 /// ```
-/// use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, Doors, Release};
+/// use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, AdmissionController, Release};
 ///
-/// let mut doors = Doors::default();
+/// let mut doors = AdmissionController::default();
 /// doors.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
 /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
@@ -253,7 +253,7 @@
 /// assert_eq!(doors.next_grant(0).unwrap().ask, AskId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Doors {
+pub struct AdmissionController {
     by_upstream: IndexMap<u32, Door>,
     heard_ms: IndexMap<SocketAddr, u64>,
     /// Doors that may have something to grant.
@@ -264,11 +264,11 @@
     part: Option<f64>,
 }
 
-impl Doors {
+impl AdmissionController {
     /// Takes the upstreams that there are, and their slots.
     ///
     /// ```
-    /// sardinewood::direct::sharing::admission::Doors::default().set_upstreams([("i-1".into(), 4)]);
+    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_upstreams([("i-1".into(), 4)]);
     /// ```
     pub fn set_upstreams(&mut self, upstreams: impl IntoIterator<Item = (Arc<str>, u32)>) {
         let mut before = std::mem::take(&mut self.by_upstream);
@@ -292,7 +292,7 @@
     /// Takes which of the upstreams, by short name, are plain services; the others are engines.
     ///
     /// ```
-    /// sardinewood::direct::sharing::admission::Doors::default().set_plain(&[7].into_iter().collect());
+    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_plain(&[7].into_iter().collect());
     /// ```
     pub fn set_plain(&mut self, plain: &IndexSet<u32>) {
         for (name, door) in &mut self.by_upstream {
@@ -307,8 +307,8 @@
     /// knows what the others send. Its door does: every start goes through it.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, Asker, Doors}};
-    /// let mut doors = Doors::default();
+    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, Asker, AdmissionController}};
+    /// let mut doors = AdmissionController::default();
     /// doors.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
     /// doors.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
@@ -329,7 +329,7 @@
     /// the whole limit, the upstream would get it twice.
     ///
     /// ```
-    /// sardinewood::direct::sharing::admission::Doors::default().set_part(0.5, 0);
+    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_part(0.5, 0);
     /// ```
     pub fn set_part(&mut self, part: f64, now_ms: u64) {
         if self.part != Some(part) {
@@ -357,7 +357,7 @@
     /// Time until the rate of a limited upstream allows a grant that a question waits for.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::admission::Doors::default().next_grant_in_ms(0), None);
+    /// assert_eq!(sardinewood::direct::sharing::admission::AdmissionController::default().next_grant_in_ms(0), None);
     /// ```
     #[must_use]
     pub fn next_grant_in_ms(&self, now_ms: u64) -> Option<u64> {
@@ -374,9 +374,9 @@
     /// Takes a question.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, Doors};
+    /// # use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, AdmissionController};
     /// let ask = Ask { id: AskId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// Doors::default().ask(Asker::Own, ask, 0);
+    /// AdmissionController::default().ask(Asker::Own, ask, 0);
     /// ```
     pub fn ask(&mut self, from: Asker, ask: Ask, now_ms: u64) {
         let Some(door) = self.by_upstream.get_mut(&ask.upstream) else {
@@ -407,8 +407,8 @@
     /// Takes a question back.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, Doors};
-    /// Doors::default().cancel(Asker::Own, 7, AskId(1));
+    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, AdmissionController};
+    /// AdmissionController::default().cancel(Asker::Own, 7, AskId(1));
     /// ```
     pub fn cancel(&mut self, from: Asker, upstream: u32, ask: AskId) {
         if let Some(door) = self.by_upstream.get_mut(&upstream) {
@@ -423,8 +423,8 @@
     /// counted, an upstream would get a good part less than its limit.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{Asker, Doors, Release};
-    /// Doors::default().done(Asker::Own, 7, Release::Unused);
+    /// # use sardinewood::direct::sharing::admission::{Asker, AdmissionController, Release};
+    /// AdmissionController::default().done(Asker::Own, 7, Release::Unused);
     /// ```
     pub fn done(&mut self, from: Asker, upstream: u32, release: Release) {
         let Some(door) = self.by_upstream.get_mut(&upstream) else {
@@ -452,10 +452,10 @@
     /// message left wrong lasts two heartbeats.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::Doors;
+    /// # use sardinewood::direct::sharing::admission::AdmissionController;
     /// # use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
     /// let nothing = LoadChunk::whole(Vec::new());
-    /// Doors::default().reconcile("10.0.0.1:7".parse().unwrap(), &nothing, 0);
+    /// AdmissionController::default().reconcile("10.0.0.1:7".parse().unwrap(), &nothing, 0);
     /// ```
     pub fn reconcile(&mut self, peer: SocketAddr, told: &LoadChunk, now_ms: u64) {
         self.heard_ms.insert(peer, now_ms);
@@ -492,8 +492,8 @@
     /// Forgets what peers had that are gone: those named, and those that fell silent.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::Doors;
-    /// Doors::default().sweep(None, 0);
+    /// # use sardinewood::direct::sharing::admission::AdmissionController;
+    /// AdmissionController::default().sweep(None, 0);
     /// ```
     pub fn sweep(&mut self, gone: Option<SocketAddr>, now_ms: u64) {
         self.heard_ms
@@ -515,7 +515,7 @@
     /// The next grant, if a door has room and somebody asks.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::admission::Doors::default().next_grant(0), None);
+    /// assert_eq!(sardinewood::direct::sharing::admission::AdmissionController::default().next_grant(0), None);
     /// ```
     pub fn next_grant(&mut self, now_ms: u64) -> Option<Grant> {
         let allowed: Vec<u32> = self
@@ -562,8 +562,8 @@
     /// Expected wait of a question that is queued; none if it is not.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, Doors};
-    /// assert_eq!(Doors::default().wait_ms(Asker::Own, 7, AskId(1), 0), None);
+    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, AdmissionController};
+    /// assert_eq!(AdmissionController::default().wait_ms(Asker::Own, 7, AskId(1), 0), None);
     /// ```
     #[must_use]
     pub fn wait_ms(&self, from: Asker, upstream: u32, ask: AskId, now_ms: u64) -> Option<u32> {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -39,9 +39,9 @@
 use crate::direct::rooms;
 use crate::direct::rooms::AskedDoor;
 use crate::direct::sharing::admission;
+use crate::direct::sharing::admission::AdmissionController;
 use crate::direct::sharing::admission::AskId;
 use crate::direct::sharing::admission::Asker;
-use crate::direct::sharing::admission::Doors;
 use crate::direct::sharing::admission::Release;
 use crate::direct::sharing::allotment::Allotments;
 use crate::direct::sharing::allotment::Demand;
@@ -68,7 +68,7 @@
     /// Order and places of requests.
     pub dispatcher: RefCell<Dispatcher>,
     /// The doors that this entry keeps.
-    pub doors: RefCell<Doors>,
+    pub doors: RefCell<AdmissionController>,
     /// The other entries.
     pub peers: RefCell<PeerTable>,
     /// What this entry has asked at doors.
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,10 +6,10 @@
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::Asker;
-use sardinewood::direct::sharing::admission::Doors;
 use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::admission::owner;
 
@@ -19,8 +19,8 @@
     short_name("i-1")
 }
 
-fn doors() -> Doors {
-    let mut doors = Doors::default();
+fn doors() -> AdmissionController {
+    let mut doors = AdmissionController::default();
     doors.set_upstreams([("i-1".into(), SLOTS)]);
     doors
 }
@@ -43,7 +43,7 @@
     Release::Answered { held_ms }
 }
 
-fn granted(doors: &mut Doors, now_ms: u64) -> Vec<u64> {
+fn granted(doors: &mut AdmissionController, now_ms: u64) -> Vec<u64> {
     std::iter::from_fn(|| doors.next_grant(now_ms))
         .map(|grant| grant.ask.0)
         .collect()
@@ -276,10 +276,10 @@
     // one and the start of the next lies a way of some milliseconds, in which its slot would be
     // idle; so it is given two more than it has slots. Without a door each entry would go by loads
     // a quarter of a second old, and the service would queue until everybody is late.
-    let mut doors = Doors::default();
+    let mut doors = AdmissionController::default();
     doors.set_upstreams([("i-1".into(), 6)]);
     doors.set_plain(&[engine()].into_iter().collect());
-    let press = |doors: &mut Doors, first: u64| {
+    let press = |doors: &mut AdmissionController, first: u64| {
         for id in first..first + 20 {
             doors.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
         }
@@ -298,7 +298,10 @@
 }
 
 /// Grants in a time in which there is always somebody who asks and room.
-fn granted_under_pressure(doors: &mut Doors, times_ms: std::ops::Range<u64>) -> Vec<u64> {
+fn granted_under_pressure(
+    doors: &mut AdmissionController,
+    times_ms: std::ops::Range<u64>,
+) -> Vec<u64> {
     const WAITING: usize = 3;
     let mut granted_ms = Vec::new();
     for id in 0..WAITING as u64 {
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -13,10 +13,10 @@
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::Asker;
-use sardinewood::direct::sharing::admission::Doors;
 
 const ENGINES: u32 = 400;
 const CUSTOMERS: u64 = 1_700;
@@ -135,7 +135,7 @@
 fn part_says_nothing_of_other_engines() {
     // A peer runs the one slot of each of 400 engines and tells them in parts. A door must
     // not take an engine for free because this part leaves it out.
-    let mut doors = Doors::default();
+    let mut doors = AdmissionController::default();
     doors.set_upstreams((0..ENGINES).map(|number| (engine(number), 1)));
     let mut one_each = running();
     for running in &mut one_each {
