--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -239,7 +239,7 @@
     is_up: bool,
     sequence: u64,
     dispatcher: Dispatcher,
-    doors: AdmissionController,
+    admission: AdmissionController,
     peers: PeerTable,
     asks: IndexMap<AskId, (usize, Arc<str>, Asker)>,
     waiting: IndexMap<usize, Asking>,
@@ -388,16 +388,16 @@
     fn started(&self, entry: usize, incarnation: u64) -> Entry {
         let mut dispatcher = Dispatcher::default();
         dispatcher.set_upstreams(&self.upstreams);
-        let mut doors = AdmissionController::default();
+        let mut admission = AdmissionController::default();
         let engines = self.upstreams.iter();
-        doors.set_upstreams(engines.map(|up| (Arc::clone(&up.instance), up.slots)));
+        admission.set_upstreams(engines.map(|up| (Arc::clone(&up.instance), up.slots)));
         let seeds = [address(0), address(self.setup.entries / 2)];
         Entry {
             incarnation,
             is_up: true,
             sequence: 0,
             dispatcher,
-            doors,
+            admission,
             peers: PeerTable::new(address(entry), &seeds),
             asks: IndexMap::new(),
             waiting: IndexMap::new(),
--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -57,17 +57,19 @@
         };
         let upstream = short_name(instance);
         match owner {
-            Asker::Own => self.entries[entry].doors.cancel(Asker::Own, upstream, id),
+            Asker::Own => self.entries[entry]
+                .admission
+                .cancel(Asker::Own, upstream, id),
             Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Cancel { upstream, ask: id }),
         }
     }
 
     pub(super) fn asked(&mut self, entry: usize, from: Asker, ask: Ask) {
         let now_ms = self.now_ms;
-        self.entries[entry].doors.ask(from, ask, now_ms);
+        self.entries[entry].admission.ask(from, ask, now_ms);
         self.grant(entry);
-        let doors = &self.entries[entry].doors;
-        let Some(wait_ms) = doors.wait_ms(from, ask.upstream, ask.id, now_ms) else {
+        let admission = &self.entries[entry].admission;
+        let Some(wait_ms) = admission.wait_ms(from, ask.upstream, ask.id, now_ms) else {
             return;
         };
         let ask = ask.id;
@@ -78,7 +80,7 @@
     }
 
     pub(super) fn grant(&mut self, entry: usize) {
-        while let Some(grant) = self.entries[entry].doors.next_grant(self.now_ms) {
+        while let Some(grant) = self.entries[entry].admission.next_grant(self.now_ms) {
             let (ask, upstream) = (grant.ask, grant.upstream);
             match grant.to {
                 Asker::Own => self.granted(entry, ask, upstream),
@@ -107,8 +109,8 @@
     pub(super) fn give_back(&mut self, entry: usize, upstream: u32, release: Release) {
         match self.owner(entry, upstream) {
             Asker::Own => {
-                let doors = &mut self.entries[entry].doors;
-                doors.done(Asker::Own, upstream, release);
+                let admission = &mut self.entries[entry].admission;
+                admission.done(Asker::Own, upstream, release);
                 self.grant(entry);
             }
             Asker::Peer(peer) => {
@@ -126,14 +128,14 @@
             PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
             PeerMessage::Ask(ask) => self.asked(entry, Asker::Peer(peer), ask),
             PeerMessage::Cancel { upstream, ask } => {
-                let doors = &mut self.entries[entry].doors;
-                doors.cancel(Asker::Peer(peer), upstream, ask);
+                let admission = &mut self.entries[entry].admission;
+                admission.cancel(Asker::Peer(peer), upstream, ask);
             }
             PeerMessage::Grant { ask, upstream } => self.granted(entry, ask, upstream),
             PeerMessage::Queued { ask, wait_ms } => self.busy(entry, ask, wait_ms),
             PeerMessage::Released { upstream, release } => {
-                let doors = &mut self.entries[entry].doors;
-                doors.done(Asker::Peer(peer), upstream, release);
+                let admission = &mut self.entries[entry].admission;
+                admission.done(Asker::Peer(peer), upstream, release);
                 self.grant(entry);
             }
             // Customers of the model have no limits, and its engines one version.
@@ -152,7 +154,7 @@
         if heard.is_ignored {
             return;
         }
-        state.doors.reconcile(peer, &heartbeat.loads, now_ms);
+        state.admission.reconcile(peer, &heartbeat.loads, now_ms);
         let incarnation = heartbeat.incarnation;
         let running = &heartbeat.loads;
         state.dispatcher.set_peer_load(incarnation, running, now_ms);
@@ -169,7 +171,7 @@
             return;
         }
         state.peers.sweep(now_ms);
-        state.doors.sweep(None, now_ms);
+        state.admission.sweep(None, now_ms);
         state.sequence += 1;
         let heartbeat = Heartbeat {
             incarnation: (entry as u64) << 32 | state.incarnation,
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -116,15 +116,15 @@
         state.dispatcher.set_limited(&limited);
         state.dispatcher.set_rests(&state.notices.rests(now_ms));
         let slots = there.iter().map(|up| (Arc::clone(&up.instance), up.slots));
-        state.doors.set_upstreams(slots);
-        state.doors.set_limits(limits, now_ms);
+        state.admission.set_upstreams(slots);
+        state.admission.set_limits(limits, now_ms);
         self.grant(entry);
     }
 
     /// Looks again when the rate of a limited engine allows a grant.
     pub(super) fn grant_by_rate(&mut self, entry: usize) {
         let state = &mut self.entries[entry];
-        let Some(after_ms) = state.doors.next_grant_in_ms(self.now_ms) else {
+        let Some(after_ms) = state.admission.next_grant_in_ms(self.now_ms) else {
             return;
         };
         let due_ms = self.now_ms + after_ms.max(1);
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -223,7 +223,7 @@
             state.dispatcher.set_upstreams(upstreams);
             let engines = upstreams.iter();
             state
-                .doors
+                .admission
                 .set_upstreams(engines.map(|up| (Arc::clone(&up.instance), up.slots)));
             self.grant(entry);
         }
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -86,7 +86,7 @@
     /// Part of all requests that reach it.
     load: f64,
     rate: Option<Rate>,
-    doors: AdmissionController,
+    admission: AdmissionController,
     /// Requests that wait, by number and arrival.
     waiting: VecDeque<(u64, u64)>,
     /// Requests since it last told its need, and those that it told.
@@ -157,15 +157,15 @@
             Way::PartsByNeed => Some(0.0),
             Way::FewEntries => (entry < self.few()).then(|| numbers::ratio(1, self.few())),
         };
-        let mut doors = AdmissionController::default();
-        doors.set_upstreams([(UPSTREAM.into(), SLOTS)]);
+        let mut admission = AdmissionController::default();
+        admission.set_upstreams([(UPSTREAM.into(), SLOTS)]);
         let limit = (short_name(UPSTREAM), self.limit_per_1000_s());
-        doors.set_limits([limit].into_iter().collect(), now_ms);
+        admission.set_limits([limit].into_iter().collect(), now_ms);
         Entry {
             died_ms: None,
             load,
             rate: part.map(|part| Rate::new(self.limit_per_1000_s(), part, now_ms)),
-            doors,
+            admission,
             waiting: VecDeque::new(),
             need: 0,
             told_need: 0,
@@ -325,13 +325,13 @@
                         waited_ms: 0,
                     };
                     let asker = Asker::Peer(address(from));
-                    self.entries[to].doors.ask(asker, ask, now_ms);
+                    self.entries[to].admission.ask(asker, ask, now_ms);
                 }
                 Sent::Grant(request) => self.granted(now_ms, to, from, request),
                 Sent::Unused => {
                     let asker = Asker::Peer(address(from));
-                    let doors = &mut self.entries[to].doors;
-                    doors.done(asker, short_name(UPSTREAM), Release::Unused);
+                    let admission = &mut self.entries[to].admission;
+                    admission.done(asker, short_name(UPSTREAM), Release::Unused);
                 }
             }
         }
@@ -365,7 +365,7 @@
                     starts += 1;
                 }
             }
-            while let Some(grant) = entry.doors.next_grant(now_ms) {
+            while let Some(grant) = entry.admission.next_grant(now_ms) {
                 grants.push((number(grant.to, number_of), number_of, grant.ask.0));
             }
         }
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -121,8 +121,8 @@
         dispatcher.set_limited(&limited);
         dispatcher.set_rests(&notices.rests(self.now_ms()));
         drop(dispatcher);
-        let mut doors = self.doors.borrow_mut();
-        doors.set_limits(limits, self.now_ms());
+        let mut admission = self.admission.borrow_mut();
+        admission.set_limits(limits, self.now_ms());
     }
 
     /// What operators see of what upstreams say, by the upstreams' names.
@@ -146,7 +146,7 @@
     /// Grants again when the rate of a limited upstream allows it.
     pub fn grant_by_rate(self: &Rc<Self>) {
         let now_ms = self.now_ms();
-        let Some(after_ms) = self.doors.borrow().next_grant_in_ms(now_ms) else {
+        let Some(after_ms) = self.admission.borrow().next_grant_in_ms(now_ms) else {
             return;
         };
         let due_ms = now_ms + after_ms.max(1);
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -99,7 +99,7 @@
             Some(PeerMessage::Ask(ask)) => traffic.asked(Asker::Peer(from), ask),
             Some(PeerMessage::Cancel { upstream, ask }) => {
                 traffic
-                    .doors
+                    .admission
                     .borrow_mut()
                     .cancel(Asker::Peer(from), upstream, ask);
             }
@@ -107,7 +107,7 @@
             Some(PeerMessage::Queued { ask, wait_ms }) => traffic.busy(ask, wait_ms),
             Some(PeerMessage::Released { upstream, release }) => {
                 traffic
-                    .doors
+                    .admission
                     .borrow_mut()
                     .done(Asker::Peer(from), upstream, release);
                 traffic.grant_rooms();
@@ -137,7 +137,7 @@
             traffic.log(Level::Info, "peer has ended", |line| {
                 line.field("peer", from)
             });
-            traffic.doors.borrow_mut().sweep(Some(from), now_ms);
+            traffic.admission.borrow_mut().sweep(Some(from), now_ms);
         }
         if heard.is_ignored {
             return;
@@ -156,7 +156,7 @@
         }
         drop(allotments);
         traffic
-            .doors
+            .admission
             .borrow_mut()
             .reconcile(from, &heartbeat.loads, now_ms);
         traffic.dispatcher.borrow_mut().set_peer_load(
@@ -178,7 +178,7 @@
         let traffic = Rc::clone(&self.traffic);
         let now_ms = traffic.now_ms();
         traffic.peers.borrow_mut().sweep(now_ms);
-        traffic.doors.borrow_mut().sweep(None, now_ms);
+        traffic.admission.borrow_mut().sweep(None, now_ms);
         let peers = traffic.peers.borrow();
         let known = peers.known_entries();
         let unmet = peers.undiscovered(now_ms);
@@ -190,7 +190,7 @@
         drop(allotments);
         traffic.budget.borrow_mut().set_entries(known + unmet);
         let part = numbers::ratio(heard, known + unmet);
-        traffic.doors.borrow_mut().set_part(part, now_ms);
+        traffic.admission.borrow_mut().set_part(part, now_ms);
         set(&self.links.watches_store, peers.watches_store(now_ms));
         drop(peers);
         self.sequence += 1;
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -345,13 +345,13 @@
             .upstreams
             .iter()
             .map(|upstream| (Arc::clone(&upstream.instance), upstream.slots));
-        let mut doors = self.doors.borrow_mut();
-        doors.set_upstreams(slots);
-        doors.set_plain(&plain_services(
+        let mut admission = self.admission.borrow_mut();
+        admission.set_upstreams(slots);
+        admission.set_plain(&plain_services(
             &placement.upstreams,
             self.catalog.borrow().as_deref(),
         ));
-        drop(doors);
+        drop(admission);
         self.place_notices();
     }
 
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -114,7 +114,10 @@
         };
         let upstream = short_name(instance);
         match open.owner {
-            Asker::Own => traffic.doors.borrow_mut().cancel(Asker::Own, upstream, id),
+            Asker::Own => traffic
+                .admission
+                .borrow_mut()
+                .cancel(Asker::Own, upstream, id),
             Asker::Peer(address) => {
                 traffic.tell(address, &PeerMessage::Cancel { upstream, ask: id });
             }
@@ -206,10 +209,10 @@
     /// Takes a question to a door of ours.
     pub fn asked(self: &Rc<Self>, from: Asker, ask: Ask) {
         let now_ms = self.now_ms();
-        self.doors.borrow_mut().ask(from, ask, now_ms);
+        self.admission.borrow_mut().ask(from, ask, now_ms);
         self.grant_rooms();
         let wait_ms = self
-            .doors
+            .admission
             .borrow()
             .wait_ms(from, ask.upstream, ask.id, now_ms);
         let Some(wait_ms) = wait_ms else {
@@ -230,7 +233,7 @@
     /// Gives out what room the doors have.
     pub fn grant_rooms(self: &Rc<Self>) {
         loop {
-            let grant = self.doors.borrow_mut().next_grant(self.now_ms());
+            let grant = self.admission.borrow_mut().next_grant(self.now_ms());
             let Some(grant) = grant else {
                 self.grant_by_rate();
                 return;
@@ -278,7 +281,9 @@
     pub fn give_back(self: &Rc<Self>, upstream: u32, release: Release) {
         match self.owner(upstream) {
             Asker::Own => {
-                self.doors.borrow_mut().done(Asker::Own, upstream, release);
+                self.admission
+                    .borrow_mut()
+                    .done(Asker::Own, upstream, release);
                 self.grant_rooms();
             }
             Asker::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -241,16 +241,16 @@
 /// ```
 /// use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, AdmissionController, Release};
 ///
-/// let mut doors = AdmissionController::default();
-/// doors.set_upstreams([("i-1".into(), 1)]);
+/// let mut admission = AdmissionController::default();
+/// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
 /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-/// doors.ask(Asker::Own, ask(1), 0);
-/// doors.ask(Asker::Own, ask(2), 0);
-/// assert_eq!(doors.next_grant(0).unwrap().ask, AskId(1));
-/// assert_eq!(doors.next_grant(0), None);
-/// doors.done(Asker::Own, upstream, Release::Answered { held_ms: 40 });
-/// assert_eq!(doors.next_grant(0).unwrap().ask, AskId(2));
+/// admission.ask(Asker::Own, ask(1), 0);
+/// admission.ask(Asker::Own, ask(2), 0);
+/// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(1));
+/// assert_eq!(admission.next_grant(0), None);
+/// admission.done(Asker::Own, upstream, Release::Answered { held_ms: 40 });
+/// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
@@ -308,15 +308,15 @@
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, Asker, AdmissionController}};
-    /// let mut doors = AdmissionController::default();
-    /// doors.set_upstreams([("i-1".into(), 9)]);
+    /// let mut admission = AdmissionController::default();
+    /// admission.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
-    /// doors.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
+    /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
     /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// doors.ask(Asker::Own, ask(1), 0);
-    /// assert_eq!(doors.next_grant(0), None);
-    /// assert_eq!(doors.next_grant_in_ms(0), Some(1_000));
-    /// assert!(doors.next_grant(1_000).is_some());
+    /// admission.ask(Asker::Own, ask(1), 0);
+    /// assert_eq!(admission.next_grant(0), None);
+    /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
+    /// assert!(admission.next_grant(1_000).is_some());
     /// ```
     pub fn set_limits(&mut self, limits: IndexMap<u32, u32>, now_ms: u64) {
         self.limits = limits;
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -68,7 +68,7 @@
     /// Order and places of requests.
     pub dispatcher: RefCell<Dispatcher>,
     /// The doors that this entry keeps.
-    pub doors: RefCell<AdmissionController>,
+    pub admission: RefCell<AdmissionController>,
     /// The other entries.
     pub peers: RefCell<PeerTable>,
     /// What this entry has asked at doors.
@@ -265,7 +265,7 @@
             dialect,
             connections: Rc::default(),
             dispatcher: RefCell::default(),
-            doors: RefCell::default(),
+            admission: RefCell::default(),
             peers: RefCell::new(peers),
             asks: RefCell::default(),
             socket,
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -19,10 +19,10 @@
     short_name("i-1")
 }
 
-fn doors() -> AdmissionController {
-    let mut doors = AdmissionController::default();
-    doors.set_upstreams([("i-1".into(), SLOTS)]);
-    doors
+fn admission() -> AdmissionController {
+    let mut admission = AdmissionController::default();
+    admission.set_upstreams([("i-1".into(), SLOTS)]);
+    admission
 }
 
 fn peer(number: u8) -> SocketAddr {
@@ -43,8 +43,8 @@
     Release::Answered { held_ms }
 }
 
-fn granted(doors: &mut AdmissionController, now_ms: u64) -> Vec<u64> {
-    std::iter::from_fn(|| doors.next_grant(now_ms))
+fn granted(admission: &mut AdmissionController, now_ms: u64) -> Vec<u64> {
+    std::iter::from_fn(|| admission.next_grant(now_ms))
         .map(|grant| grant.ask.0)
         .collect()
 }
@@ -59,126 +59,126 @@
 
 #[test]
 fn grants_within_slots() {
-    let mut doors = doors();
+    let mut admission = admission();
     for id in 0..5 {
-        doors.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
-    assert_eq!(granted(&mut doors, 0), [0, 1, 2]);
-    doors.done(Asker::Peer(peer(1)), engine(), answered(40));
-    assert_eq!(granted(&mut doors, 0), [3]);
+    assert_eq!(granted(&mut admission, 0), [0, 1, 2]);
+    admission.done(Asker::Peer(peer(1)), engine(), answered(40));
+    assert_eq!(granted(&mut admission, 0), [3]);
 }
 
 #[test]
 fn more_important_first_whoever_asks() {
     // Callers of the first entry pressed first, with what is worth little. The other entry's
     // request is worth more and gets the next room.
-    let mut doors = doors();
+    let mut admission = admission();
     for id in 0..5 {
-        doors.ask(Asker::Own, ask(id, 50, 500), 0);
+        admission.ask(Asker::Own, ask(id, 50, 500), 0);
     }
-    assert_eq!(granted(&mut doors, 0).len(), 3);
-    doors.ask(Asker::Peer(peer(1)), ask(9, 1_000, 500), 10);
-    doors.done(Asker::Own, engine(), answered(40));
-    assert_eq!(granted(&mut doors, 10), [9]);
+    assert_eq!(granted(&mut admission, 0).len(), 3);
+    admission.ask(Asker::Peer(peer(1)), ask(9, 1_000, 500), 10);
+    admission.done(Asker::Own, engine(), answered(40));
+    assert_eq!(granted(&mut admission, 10), [9]);
 }
 
 #[test]
 fn late_yields_to_in_time() {
     // Under overload each request would be served just as it becomes late. What is late by
     // now waits for what can still be in time, of its own tier and of the next.
-    let mut doors = doors();
+    let mut admission = admission();
     for id in 0..3 {
-        doors.ask(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Own, ask(id, 1_000, 500), 0);
     }
-    granted(&mut doors, 0);
-    doors.ask(Asker::Own, ask(10, 1_000, 100), 0);
-    doors.ask(Asker::Own, ask(11, 500, 900), 50);
-    doors.done(Asker::Own, engine(), answered(40));
-    assert_eq!(granted(&mut doors, 200), [11]);
+    granted(&mut admission, 0);
+    admission.ask(Asker::Own, ask(10, 1_000, 100), 0);
+    admission.ask(Asker::Own, ask(11, 500, 900), 50);
+    admission.done(Asker::Own, engine(), answered(40));
+    assert_eq!(granted(&mut admission, 200), [11]);
 }
 
 #[test]
 fn cancelled_question_not_granted() {
-    let mut doors = doors();
+    let mut admission = admission();
     for id in 0..4 {
-        doors.ask(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Own, ask(id, 1_000, 500), 0);
     }
-    granted(&mut doors, 0);
-    doors.cancel(Asker::Own, engine(), AskId(3));
-    doors.done(Asker::Own, engine(), Release::Unanswered);
-    assert!(granted(&mut doors, 0).is_empty());
+    granted(&mut admission, 0);
+    admission.cancel(Asker::Own, engine(), AskId(3));
+    admission.done(Asker::Own, engine(), Release::Unanswered);
+    assert!(granted(&mut admission, 0).is_empty());
 }
 
 #[test]
 fn repeated_question_counts_once() {
-    let mut doors = doors();
+    let mut admission = admission();
     for _ in 0..4 {
-        doors.ask(Asker::Peer(peer(1)), ask(1, 1_000, 500), 0);
+        admission.ask(Asker::Peer(peer(1)), ask(1, 1_000, 500), 0);
     }
-    assert_eq!(granted(&mut doors, 0), [1]);
+    assert_eq!(granted(&mut admission, 0), [1]);
 }
 
 #[test]
 fn lost_end_made_good_by_heartbeats() {
     // A peer's word that it is done was lost, so the door thinks it full. The peer's heartbeats say
     // twice that it runs nothing, and the room is free again.
-    let mut doors = doors();
+    let mut admission = admission();
     for id in 0..4 {
-        doors.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
-    assert_eq!(granted(&mut doors, 0).len(), 3);
+    assert_eq!(granted(&mut admission, 0).len(), 3);
     for heartbeat in 0..3 {
-        doors.reconcile(peer(1), &LoadChunk::default(), heartbeat * 50);
+        admission.reconcile(peer(1), &LoadChunk::default(), heartbeat * 50);
     }
-    assert_eq!(granted(&mut doors, 150), [3]);
+    assert_eq!(granted(&mut admission, 150), [3]);
 }
 
 #[test]
 fn grant_on_its_way_not_undone_by_a_heartbeat() {
     // The peer's heartbeat left before the grant arrived there. It must not free the room.
-    let mut doors = doors();
-    doors.reconcile(peer(1), &LoadChunk::default(), 0);
+    let mut admission = admission();
+    admission.reconcile(peer(1), &LoadChunk::default(), 0);
     for id in 0..4 {
-        doors.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
-    assert_eq!(granted(&mut doors, 0).len(), 3);
-    doors.reconcile(peer(1), &LoadChunk::default(), 1);
-    assert!(granted(&mut doors, 1).is_empty());
+    assert_eq!(granted(&mut admission, 0).len(), 3);
+    admission.reconcile(peer(1), &LoadChunk::default(), 1);
+    assert!(granted(&mut admission, 1).is_empty());
 }
 
 #[test]
 fn next_owner_knows_what_runs() {
     // The entry that kept the door is gone. The next one has never granted anything there,
     // but the heartbeats told it what its peers run.
-    let mut doors = doors();
-    doors.reconcile(peer(1), &runs(2), 0);
-    doors.reconcile(peer(2), &runs(1), 0);
-    doors.ask(Asker::Own, ask(1, 1_000, 500), 1);
-    assert!(granted(&mut doors, 1).is_empty());
-    doors.sweep(Some(peer(2)), 2);
-    assert_eq!(granted(&mut doors, 2), [1]);
+    let mut admission = admission();
+    admission.reconcile(peer(1), &runs(2), 0);
+    admission.reconcile(peer(2), &runs(1), 0);
+    admission.ask(Asker::Own, ask(1, 1_000, 500), 1);
+    assert!(granted(&mut admission, 1).is_empty());
+    admission.sweep(Some(peer(2)), 2);
+    assert_eq!(granted(&mut admission, 2), [1]);
 }
 
 #[test]
 fn silent_peers_room_freed() {
-    let mut doors = doors();
-    doors.reconcile(peer(1), &runs(3), 0);
-    doors.ask(Asker::Own, ask(1, 1_000, 500), 1);
-    assert!(granted(&mut doors, 1).is_empty());
-    doors.sweep(None, 5_000);
-    assert_eq!(granted(&mut doors, 5_000), [1]);
+    let mut admission = admission();
+    admission.reconcile(peer(1), &runs(3), 0);
+    admission.ask(Asker::Own, ask(1, 1_000, 500), 1);
+    assert!(granted(&mut admission, 1).is_empty());
+    admission.sweep(None, 5_000);
+    assert_eq!(granted(&mut admission, 5_000), [1]);
 }
 
 #[test]
 fn leaving_engine_grants_nothing() {
-    let mut doors = doors();
+    let mut admission = admission();
     for id in 0..4 {
-        doors.ask(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Own, ask(id, 1_000, 500), 0);
     }
-    granted(&mut doors, 0);
-    doors.set_upstreams([]);
-    doors.done(Asker::Own, engine(), Release::Unanswered);
-    assert!(granted(&mut doors, 0).is_empty());
+    granted(&mut admission, 0);
+    admission.set_upstreams([]);
+    admission.done(Asker::Own, engine(), Release::Unanswered);
+    assert!(granted(&mut admission, 0).is_empty());
 }
 
 #[test]
@@ -217,14 +217,14 @@
 fn grant_before_first_heartbeat_not_forgotten() {
     // A peer asks before its first heartbeat has come. Another peer ends, and what the first one
     // was granted still counts.
-    let mut doors = doors();
-    doors.ask(Asker::Peer(peer(1)), ask(1, 1, 500), 0);
-    granted(&mut doors, 0);
-    doors.sweep(Some(peer(2)), 1);
+    let mut admission = admission();
+    admission.ask(Asker::Peer(peer(1)), ask(1, 1, 500), 0);
+    granted(&mut admission, 0);
+    admission.sweep(Some(peer(2)), 1);
     for id in 2..6 {
-        doors.ask(Asker::Peer(peer(1)), ask(id, 1, 500), 2);
+        admission.ask(Asker::Peer(peer(1)), ask(id, 1, 500), 2);
     }
-    assert_eq!(granted(&mut doors, 2), [2, 3]);
+    assert_eq!(granted(&mut admission, 2), [2, 3]);
 }
 
 proptest! {
@@ -237,29 +237,29 @@
     /// given back never exceeds the slots.
     #[test]
     fn slots_never_exceeded(steps in steps()) {
-        let mut doors = doors();
+        let mut admission = admission();
         let mut running = [0u16; 4];
         let mut id = 0;
         for (now_ms, step) in (0u64..).zip(steps) {
             match step {
                 Step::Ask(from, worth) => {
                     id += 1;
-                    doors.ask(Asker::Peer(peer(from)), ask(id, worth, 500), now_ms);
+                    admission.ask(Asker::Peer(peer(from)), ask(id, worth, 500), now_ms);
                 }
                 Step::Done(from) if running[usize::from(from)] > 0 => {
                     running[usize::from(from)] -= 1;
-                    doors.done(Asker::Peer(peer(from)), engine(), answered(9));
+                    admission.done(Asker::Peer(peer(from)), engine(), answered(9));
                 }
                 Step::Done(_) => {}
                 Step::Heartbeat(from) => {
-                    doors.reconcile(peer(from), &runs(running[usize::from(from)]), now_ms);
+                    admission.reconcile(peer(from), &runs(running[usize::from(from)]), now_ms);
                 }
                 Step::Gone(from) => {
                     running[usize::from(from)] = 0;
-                    doors.sweep(Some(peer(from)), now_ms);
+                    admission.sweep(Some(peer(from)), now_ms);
                 }
             }
-            while let Some(grant) = doors.next_grant(now_ms) {
+            while let Some(grant) = admission.next_grant(now_ms) {
                 let Asker::Peer(to) = grant.to else { unreachable!() };
                 let SocketAddr::V4(to) = to else { unreachable!() };
                 running[usize::from(to.ip().octets()[3])] += 1;
@@ -276,43 +276,47 @@
     // one and the start of the next lies a way of some milliseconds, in which its slot would be
     // idle; so it is given two more than it has slots. Without a door each entry would go by loads
     // a quarter of a second old, and the service would queue until everybody is late.
-    let mut doors = AdmissionController::default();
-    doors.set_upstreams([("i-1".into(), 6)]);
-    doors.set_plain(&[engine()].into_iter().collect());
-    let press = |doors: &mut AdmissionController, first: u64| {
+    let mut admission = AdmissionController::default();
+    admission.set_upstreams([("i-1".into(), 6)]);
+    admission.set_plain(&[engine()].into_iter().collect());
+    let press = |admission: &mut AdmissionController, first: u64| {
         for id in first..first + 20 {
-            doors.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+            admission.ask(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
         }
-        granted(doors, 0).len()
+        granted(admission, 0).len()
     };
     assert_eq!(
-        press(&mut doors, 0),
+        press(&mut admission, 0),
         6,
         "how long calls last is not known yet"
     );
-    doors.done(Asker::Peer(peer(1)), engine(), answered(60));
-    assert_eq!(granted(&mut doors, 0).len(), 3);
-    doors.set_plain(&[].into_iter().collect());
-    doors.done(Asker::Peer(peer(1)), engine(), answered(60));
-    assert_eq!(granted(&mut doors, 0).len(), 0, "an engine never gets more");
+    admission.done(Asker::Peer(peer(1)), engine(), answered(60));
+    assert_eq!(granted(&mut admission, 0).len(), 3);
+    admission.set_plain(&[].into_iter().collect());
+    admission.done(Asker::Peer(peer(1)), engine(), answered(60));
+    assert_eq!(
+        granted(&mut admission, 0).len(),
+        0,
+        "an engine never gets more"
+    );
 }
 
 /// Grants in a time in which there is always somebody who asks and room.
 fn granted_under_pressure(
-    doors: &mut AdmissionController,
+    admission: &mut AdmissionController,
     times_ms: std::ops::Range<u64>,
 ) -> Vec<u64> {
     const WAITING: usize = 3;
     let mut granted_ms = Vec::new();
     for id in 0..WAITING as u64 {
-        doors.ask(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Own, ask(id, 1_000, 500), 0);
     }
     for now_ms in times_ms {
-        while doors.next_grant(now_ms).is_some() {
-            doors.done(Asker::Own, engine(), answered(10));
+        while admission.next_grant(now_ms).is_some() {
+            admission.done(Asker::Own, engine(), answered(10));
             granted_ms.push(now_ms);
             let id = (WAITING + granted_ms.len()) as u64;
-            doors.ask(Asker::Own, ask(id, 1_000, 500), now_ms);
+            admission.ask(Asker::Own, ask(id, 1_000, 500), now_ms);
         }
     }
     granted_ms
@@ -333,9 +337,9 @@
 fn next_grant_keeps_a_limit_and_uses_it() {
     // Guards against an upstream that gets more than it said, or far less.
     for (limit_per_1000_s, most, least) in [(1_400, 7, 135), (700, 4, 68), (20_000, 86, 1_980)] {
-        let mut doors = doors();
-        doors.set_limits([(engine(), limit_per_1000_s)].into_iter().collect(), 0);
-        let granted_ms = granted_under_pressure(&mut doors, 0..100_000);
+        let mut admission = admission();
+        admission.set_limits([(engine(), limit_per_1000_s)].into_iter().collect(), 0);
+        let granted_ms = granted_under_pressure(&mut admission, 0..100_000);
         let in_4_s = most_within(&granted_ms, 4_000);
         assert!(in_4_s <= most, "{in_4_s} in 4 s at {limit_per_1000_s}");
         assert!(granted_ms.len() >= least, "{} in 100 s", granted_ms.len());
@@ -345,9 +349,9 @@
 #[test]
 fn next_grant_asks_an_upstream_that_takes_nothing() {
     // Guards against a limit of zero that nobody ever hears the end of.
-    let mut doors = doors();
-    doors.set_limits([(engine(), 0)].into_iter().collect(), 0);
-    let granted_ms = granted_under_pressure(&mut doors, 0..20_000);
+    let mut admission = admission();
+    admission.set_limits([(engine(), 0)].into_iter().collect(), 0);
+    let granted_ms = granted_under_pressure(&mut admission, 0..20_000);
     assert_eq!(granted_ms.len(), 9, "one every two seconds");
 }
 
@@ -356,62 +360,62 @@
     // Guards against an upstream that gets its limit once from each side.
     let sides = [(0.25, 6), (0.75, 19)];
     for (part, most) in sides {
-        let mut doors = doors();
-        doors.set_part(part, 0);
-        doors.set_limits([(engine(), 5_000)].into_iter().collect(), 0);
-        let granted_ms = granted_under_pressure(&mut doors, 0..50_000);
+        let mut admission = admission();
+        admission.set_part(part, 0);
+        admission.set_limits([(engine(), 5_000)].into_iter().collect(), 0);
+        let granted_ms = granted_under_pressure(&mut admission, 0..50_000);
         assert!(most_within(&granted_ms, 4_000) <= most);
     }
 }
 
 #[test]
 fn next_grant_after_a_limit_ends() {
-    let mut doors = doors();
-    doors.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
+    let mut admission = admission();
+    admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     for id in 0..3 {
-        doors.ask(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.ask(Asker::Own, ask(id, 1_000, 500), 0);
     }
-    assert!(granted(&mut doors, 10).is_empty());
-    doors.set_limits(indexmap::IndexMap::new(), 20);
-    assert_eq!(granted(&mut doors, 20).len(), 3);
+    assert!(granted(&mut admission, 10).is_empty());
+    admission.set_limits(indexmap::IndexMap::new(), 20);
+    assert_eq!(granted(&mut admission, 20).len(), 3);
 }
 
 #[test]
 fn set_upstreams_again_keeps_a_limit() {
     // Guards against a limit that a change of the list lifts for a moment.
-    let mut doors = doors();
-    doors.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
-    doors.set_upstreams([("i-1".into(), SLOTS), ("i-2".into(), SLOTS)]);
-    doors.ask(Asker::Own, ask(1, 1_000, 500), 10);
-    assert!(granted(&mut doors, 10).is_empty());
+    let mut admission = admission();
+    admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
+    admission.set_upstreams([("i-1".into(), SLOTS), ("i-2".into(), SLOTS)]);
+    admission.ask(Asker::Own, ask(1, 1_000, 500), 10);
+    assert!(granted(&mut admission, 10).is_empty());
 }
 
 #[test]
 fn wait_ms_at_a_limited_upstream() {
-    let mut doors = doors();
-    doors.set_limits([(engine(), 500)].into_iter().collect(), 0);
-    doors.ask(Asker::Own, ask(1, 1_000, 500), 0);
-    let wait_ms = doors.wait_ms(Asker::Own, engine(), AskId(1), 0);
+    let mut admission = admission();
+    admission.set_limits([(engine(), 500)].into_iter().collect(), 0);
+    admission.ask(Asker::Own, ask(1, 1_000, 500), 0);
+    let wait_ms = admission.wait_ms(Asker::Own, engine(), AskId(1), 0);
     assert_eq!(wait_ms, Some(2_000));
 }
 
 #[test]
 fn unused_grant_leaves_a_limit_whole() {
     // Guards against a limit that is half used, since grants cross the word that nobody needs them.
-    let mut doors = doors();
-    doors.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
+    let mut admission = admission();
+    admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     let mut used = 0;
     for now_ms in 0..60_000 {
-        doors.ask(Asker::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
-        if let Some(grant) = doors.next_grant(now_ms) {
+        admission.ask(Asker::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
+        if let Some(grant) = admission.next_grant(now_ms) {
             if grant.ask.0.is_multiple_of(2) {
-                doors.done(grant.to, engine(), Release::Unused);
+                admission.done(grant.to, engine(), Release::Unused);
             } else {
-                doors.done(grant.to, engine(), answered(10));
+                admission.done(grant.to, engine(), answered(10));
                 used += 1;
             }
         }
-        doors.cancel(Asker::Peer(peer(1)), engine(), AskId(now_ms));
+        admission.cancel(Asker::Peer(peer(1)), engine(), AskId(now_ms));
     }
     assert!(used >= 58, "{used} of 60");
 }
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -135,14 +135,14 @@
 fn part_says_nothing_of_other_engines() {
     // A peer runs the one slot of each of 400 engines and tells them in parts. A door must
     // not take an engine for free because this part leaves it out.
-    let mut doors = AdmissionController::default();
-    doors.set_upstreams((0..ENGINES).map(|number| (engine(number), 1)));
+    let mut admission = AdmissionController::default();
+    admission.set_upstreams((0..ENGINES).map(|number| (engine(number), 1)));
     let mut one_each = running();
     for running in &mut one_each {
         running.requests = 1;
     }
     for sequence in 0..40 {
-        doors.reconcile(peer(), &LoadChunk::of(one_each.clone(), sequence), sequence);
+        admission.reconcile(peer(), &LoadChunk::of(one_each.clone(), sequence), sequence);
     }
     for number in 0..ENGINES {
         let ask = Ask {
@@ -152,9 +152,9 @@
             in_time_for_ms: 9,
             waited_ms: 0,
         };
-        doors.ask(Asker::Own, ask, 50);
+        admission.ask(Asker::Own, ask, 50);
     }
-    assert_eq!(doors.next_grant(50), None);
+    assert_eq!(admission.next_grant(50), None);
 }
 
 #[test]
