--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -66,7 +66,7 @@
 
     pub(super) fn asked(&mut self, entry: usize, from: Asker, ask: Ask) {
         let now_ms = self.now_ms;
-        self.entries[entry].admission.ask(from, ask, now_ms);
+        self.entries[entry].admission.enqueue(from, ask, now_ms);
         self.grant(entry);
         let admission = &self.entries[entry].admission;
         let Some(wait_ms) = admission.wait_ms(from, ask.upstream, ask.id, now_ms) else {
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -325,7 +325,7 @@
                         waited_ms: 0,
                     };
                     let asker = Asker::Peer(address(from));
-                    self.entries[to].admission.ask(asker, ask, now_ms);
+                    self.entries[to].admission.enqueue(asker, ask, now_ms);
                 }
                 Sent::Grant(request) => self.granted(now_ms, to, from, request),
                 Sent::Unused => {
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -209,7 +209,7 @@
     /// Takes a question to a door of ours.
     pub fn asked(self: &Rc<Self>, from: Asker, ask: Ask) {
         let now_ms = self.now_ms();
-        self.admission.borrow_mut().ask(from, ask, now_ms);
+        self.admission.borrow_mut().enqueue(from, ask, now_ms);
         self.grant_rooms();
         let wait_ms = self
             .admission
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -245,8 +245,8 @@
 /// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
 /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-/// admission.ask(Asker::Own, ask(1), 0);
-/// admission.ask(Asker::Own, ask(2), 0);
+/// admission.enqueue(Asker::Own, ask(1), 0);
+/// admission.enqueue(Asker::Own, ask(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(1));
 /// assert_eq!(admission.next_grant(0), None);
 /// admission.done(Asker::Own, upstream, Release::Answered { held_ms: 40 });
@@ -313,7 +313,7 @@
     /// let upstream = short_name("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
     /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// admission.ask(Asker::Own, ask(1), 0);
+    /// admission.enqueue(Asker::Own, ask(1), 0);
     /// assert_eq!(admission.next_grant(0), None);
     /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
     /// assert!(admission.next_grant(1_000).is_some());
@@ -376,9 +376,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, AdmissionController};
     /// let ask = Ask { id: AskId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// AdmissionController::default().ask(Asker::Own, ask, 0);
+    /// AdmissionController::default().enqueue(Asker::Own, ask, 0);
     /// ```
-    pub fn ask(&mut self, from: Asker, ask: Ask, now_ms: u64) {
+    pub fn enqueue(&mut self, from: Asker, ask: Ask, now_ms: u64) {
         let Some(door) = self.by_upstream.get_mut(&ask.upstream) else {
             return;
         };
