--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -110,7 +110,7 @@
         match self.owner(entry, upstream) {
             Asker::Own => {
                 let admission = &mut self.entries[entry].admission;
-                admission.done(Asker::Own, upstream, release);
+                admission.release(Asker::Own, upstream, release);
                 self.grant(entry);
             }
             Asker::Peer(peer) => {
@@ -135,7 +135,7 @@
             PeerMessage::Queued { ask, wait_ms } => self.busy(entry, ask, wait_ms),
             PeerMessage::Released { upstream, release } => {
                 let admission = &mut self.entries[entry].admission;
-                admission.done(Asker::Peer(peer), upstream, release);
+                admission.release(Asker::Peer(peer), upstream, release);
                 self.grant(entry);
             }
             // Customers of the model have no limits, and its engines one version.
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -331,7 +331,7 @@
                 Sent::Unused => {
                     let asker = Asker::Peer(address(from));
                     let admission = &mut self.entries[to].admission;
-                    admission.done(asker, short_name(UPSTREAM), Release::Unused);
+                    admission.release(asker, short_name(UPSTREAM), Release::Unused);
                 }
             }
         }
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -109,7 +109,7 @@
                 traffic
                     .admission
                     .borrow_mut()
-                    .done(Asker::Peer(from), upstream, release);
+                    .release(Asker::Peer(from), upstream, release);
                 traffic.grant_rooms();
             }
             Some(PeerMessage::ChargeAsk(question)) => traffic.lend(from, &question),
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -283,7 +283,7 @@
             Asker::Own => {
                 self.admission
                     .borrow_mut()
-                    .done(Asker::Own, upstream, release);
+                    .release(Asker::Own, upstream, release);
                 self.grant_rooms();
             }
             Asker::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -249,7 +249,7 @@
 /// admission.enqueue(Asker::Own, ask(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(1));
 /// assert_eq!(admission.next_grant(0), None);
-/// admission.done(Asker::Own, upstream, Release::Answered { held_ms: 40 });
+/// admission.release(Asker::Own, upstream, Release::Answered { held_ms: 40 });
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -424,9 +424,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{Asker, AdmissionController, Release};
-    /// AdmissionController::default().done(Asker::Own, 7, Release::Unused);
+    /// AdmissionController::default().release(Asker::Own, 7, Release::Unused);
     /// ```
-    pub fn done(&mut self, from: Asker, upstream: u32, release: Release) {
+    pub fn release(&mut self, from: Asker, upstream: u32, release: Release) {
         let Some(door) = self.by_upstream.get_mut(&upstream) else {
             return;
         };
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -64,7 +64,7 @@
         admission.enqueue(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0), [0, 1, 2]);
-    admission.done(Asker::Peer(peer(1)), engine(), answered(40));
+    admission.release(Asker::Peer(peer(1)), engine(), answered(40));
     assert_eq!(granted(&mut admission, 0), [3]);
 }
 
@@ -78,7 +78,7 @@
     }
     assert_eq!(granted(&mut admission, 0).len(), 3);
     admission.enqueue(Asker::Peer(peer(1)), ask(9, 1_000, 500), 10);
-    admission.done(Asker::Own, engine(), answered(40));
+    admission.release(Asker::Own, engine(), answered(40));
     assert_eq!(granted(&mut admission, 10), [9]);
 }
 
@@ -93,7 +93,7 @@
     granted(&mut admission, 0);
     admission.enqueue(Asker::Own, ask(10, 1_000, 100), 0);
     admission.enqueue(Asker::Own, ask(11, 500, 900), 50);
-    admission.done(Asker::Own, engine(), answered(40));
+    admission.release(Asker::Own, engine(), answered(40));
     assert_eq!(granted(&mut admission, 200), [11]);
 }
 
@@ -105,7 +105,7 @@
     }
     granted(&mut admission, 0);
     admission.cancel(Asker::Own, engine(), AskId(3));
-    admission.done(Asker::Own, engine(), Release::Unanswered);
+    admission.release(Asker::Own, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -177,7 +177,7 @@
     }
     granted(&mut admission, 0);
     admission.set_upstreams([]);
-    admission.done(Asker::Own, engine(), Release::Unanswered);
+    admission.release(Asker::Own, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -248,7 +248,7 @@
                 }
                 Step::Done(from) if running[usize::from(from)] > 0 => {
                     running[usize::from(from)] -= 1;
-                    admission.done(Asker::Peer(peer(from)), engine(), answered(9));
+                    admission.release(Asker::Peer(peer(from)), engine(), answered(9));
                 }
                 Step::Done(_) => {}
                 Step::Heartbeat(from) => {
@@ -290,10 +290,10 @@
         6,
         "how long calls last is not known yet"
     );
-    admission.done(Asker::Peer(peer(1)), engine(), answered(60));
+    admission.release(Asker::Peer(peer(1)), engine(), answered(60));
     assert_eq!(granted(&mut admission, 0).len(), 3);
     admission.set_plain(&[].into_iter().collect());
-    admission.done(Asker::Peer(peer(1)), engine(), answered(60));
+    admission.release(Asker::Peer(peer(1)), engine(), answered(60));
     assert_eq!(
         granted(&mut admission, 0).len(),
         0,
@@ -313,7 +313,7 @@
     }
     for now_ms in times_ms {
         while admission.next_grant(now_ms).is_some() {
-            admission.done(Asker::Own, engine(), answered(10));
+            admission.release(Asker::Own, engine(), answered(10));
             granted_ms.push(now_ms);
             let id = (WAITING + granted_ms.len()) as u64;
             admission.enqueue(Asker::Own, ask(id, 1_000, 500), now_ms);
@@ -409,9 +409,9 @@
         admission.enqueue(Asker::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
         if let Some(grant) = admission.next_grant(now_ms) {
             if grant.ask.0.is_multiple_of(2) {
-                admission.done(grant.to, engine(), Release::Unused);
+                admission.release(grant.to, engine(), Release::Unused);
             } else {
-                admission.done(grant.to, engine(), answered(10));
+                admission.release(grant.to, engine(), answered(10));
                 used += 1;
             }
         }
