--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -69,7 +69,7 @@
         self.entries[entry].admission.enqueue(from, ask, now_ms);
         self.grant(entry);
         let admission = &self.entries[entry].admission;
-        let Some(wait_ms) = admission.wait_ms(from, ask.upstream, ask.id, now_ms) else {
+        let Some(wait_ms) = admission.expected_wait_ms(from, ask.upstream, ask.id, now_ms) else {
             return;
         };
         let ask = ask.id;
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -214,7 +214,7 @@
         let wait_ms = self
             .admission
             .borrow()
-            .wait_ms(from, ask.upstream, ask.id, now_ms);
+            .expected_wait_ms(from, ask.upstream, ask.id, now_ms);
         let Some(wait_ms) = wait_ms else {
             return;
         };
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -563,10 +563,16 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{AskId, Asker, AdmissionController};
-    /// assert_eq!(AdmissionController::default().wait_ms(Asker::Own, 7, AskId(1), 0), None);
+    /// assert_eq!(AdmissionController::default().expected_wait_ms(Asker::Own, 7, AskId(1), 0), None);
     /// ```
     #[must_use]
-    pub fn wait_ms(&self, from: Asker, upstream: u32, ask: AskId, now_ms: u64) -> Option<u32> {
+    pub fn expected_wait_ms(
+        &self,
+        from: Asker,
+        upstream: u32,
+        ask: AskId,
+        now_ms: u64,
+    ) -> Option<u32> {
         let door = self.by_upstream.get(&upstream)?;
         let own = door
             .queue
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -395,7 +395,7 @@
     let mut admission = admission();
     admission.set_limits([(engine(), 500)].into_iter().collect(), 0);
     admission.enqueue(Asker::Own, ask(1, 1_000, 500), 0);
-    let wait_ms = admission.wait_ms(Asker::Own, engine(), AskId(1), 0);
+    let wait_ms = admission.expected_wait_ms(Asker::Own, engine(), AskId(1), 0);
     assert_eq!(wait_ms, Some(2_000));
 }
 
