--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -171,7 +171,7 @@
             return;
         }
         state.peers.sweep(now_ms);
-        state.admission.sweep(None, now_ms);
+        state.admission.expire_peers(None, now_ms);
         state.sequence += 1;
         let heartbeat = Heartbeat {
             incarnation: (entry as u64) << 32 | state.incarnation,
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -137,7 +137,10 @@
             traffic.log(Level::Info, "peer has ended", |line| {
                 line.field("peer", from)
             });
-            traffic.admission.borrow_mut().sweep(Some(from), now_ms);
+            traffic
+                .admission
+                .borrow_mut()
+                .expire_peers(Some(from), now_ms);
         }
         if heard.is_ignored {
             return;
@@ -178,7 +181,7 @@
         let traffic = Rc::clone(&self.traffic);
         let now_ms = traffic.now_ms();
         traffic.peers.borrow_mut().sweep(now_ms);
-        traffic.admission.borrow_mut().sweep(None, now_ms);
+        traffic.admission.borrow_mut().expire_peers(None, now_ms);
         let peers = traffic.peers.borrow();
         let known = peers.known_entries();
         let unmet = peers.undiscovered(now_ms);
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -493,9 +493,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::AdmissionController;
-    /// AdmissionController::default().sweep(None, 0);
+    /// AdmissionController::default().expire_peers(None, 0);
     /// ```
-    pub fn sweep(&mut self, gone: Option<SocketAddr>, now_ms: u64) {
+    pub fn expire_peers(&mut self, gone: Option<SocketAddr>, now_ms: u64) {
         self.heard_ms
             .retain(|peer, heard_ms| Some(*peer) != gone && now_ms < *heard_ms + PEER_SILENCE_MS);
         for (name, door) in &mut self.by_upstream {
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -155,7 +155,7 @@
     admission.reconcile(peer(2), &runs(1), 0);
     admission.enqueue(Asker::Own, ask(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
-    admission.sweep(Some(peer(2)), 2);
+    admission.expire_peers(Some(peer(2)), 2);
     assert_eq!(granted(&mut admission, 2), [1]);
 }
 
@@ -165,7 +165,7 @@
     admission.reconcile(peer(1), &runs(3), 0);
     admission.enqueue(Asker::Own, ask(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
-    admission.sweep(None, 5_000);
+    admission.expire_peers(None, 5_000);
     assert_eq!(granted(&mut admission, 5_000), [1]);
 }
 
@@ -220,7 +220,7 @@
     let mut admission = admission();
     admission.enqueue(Asker::Peer(peer(1)), ask(1, 1, 500), 0);
     granted(&mut admission, 0);
-    admission.sweep(Some(peer(2)), 1);
+    admission.expire_peers(Some(peer(2)), 1);
     for id in 2..6 {
         admission.enqueue(Asker::Peer(peer(1)), ask(id, 1, 500), 2);
     }
@@ -256,7 +256,7 @@
                 }
                 Step::Gone(from) => {
                     running[usize::from(from)] = 0;
-                    admission.sweep(Some(peer(from)), now_ms);
+                    admission.expire_peers(Some(peer(from)), now_ms);
                 }
             }
             while let Some(grant) = admission.next_grant(now_ms) {
