--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -347,7 +347,7 @@
             .map(|upstream| (Arc::clone(&upstream.instance), upstream.slots));
         let mut admission = self.admission.borrow_mut();
         admission.set_upstreams(slots);
-        admission.set_plain(&plain_services(
+        admission.set_plain_services(&plain_services(
             &placement.upstreams,
             self.catalog.borrow().as_deref(),
         ));
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -292,9 +292,9 @@
     /// Takes which of the upstreams, by short name, are plain services; the others are engines.
     ///
     /// ```
-    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_plain(&[7].into_iter().collect());
+    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_plain_services(&[7].into_iter().collect());
     /// ```
-    pub fn set_plain(&mut self, plain: &IndexSet<u32>) {
+    pub fn set_plain_services(&mut self, plain: &IndexSet<u32>) {
         for (name, door) in &mut self.by_upstream {
             door.is_plain = plain.contains(name);
         }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -278,7 +278,7 @@
     // a quarter of a second old, and the service would queue until everybody is late.
     let mut admission = AdmissionController::default();
     admission.set_upstreams([("i-1".into(), 6)]);
-    admission.set_plain(&[engine()].into_iter().collect());
+    admission.set_plain_services(&[engine()].into_iter().collect());
     let press = |admission: &mut AdmissionController, first: u64| {
         for id in first..first + 20 {
             admission.enqueue(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
@@ -292,7 +292,7 @@
     );
     admission.release(Asker::Peer(peer(1)), engine(), answered(60));
     assert_eq!(granted(&mut admission, 0).len(), 3);
-    admission.set_plain(&[].into_iter().collect());
+    admission.set_plain_services(&[].into_iter().collect());
     admission.release(Asker::Peer(peer(1)), engine(), answered(60));
     assert_eq!(
         granted(&mut admission, 0).len(),
