--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -193,7 +193,7 @@
         drop(allotments);
         traffic.budget.borrow_mut().set_entries(known + unmet);
         let part = numbers::ratio(heard, known + unmet);
-        traffic.admission.borrow_mut().set_part(part, now_ms);
+        traffic.admission.borrow_mut().set_limit_share(part, now_ms);
         set(&self.links.watches_store, peers.watches_store(now_ms));
         drop(peers);
         self.sequence += 1;
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -329,9 +329,9 @@
     /// the whole limit, the upstream would get it twice.
     ///
     /// ```
-    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_part(0.5, 0);
+    /// sardinewood::direct::sharing::admission::AdmissionController::default().set_limit_share(0.5, 0);
     /// ```
-    pub fn set_part(&mut self, part: f64, now_ms: u64) {
+    pub fn set_limit_share(&mut self, part: f64, now_ms: u64) {
         if self.part != Some(part) {
             self.part = Some(part);
             self.set_rates(now_ms);
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -361,7 +361,7 @@
     let sides = [(0.25, 6), (0.75, 19)];
     for (part, most) in sides {
         let mut admission = admission();
-        admission.set_part(part, 0);
+        admission.set_limit_share(part, 0);
         admission.set_limits([(engine(), 5_000)].into_iter().collect(), 0);
         let granted_ms = granted_under_pressure(&mut admission, 0..50_000);
         assert!(most_within(&granted_ms, 4_000) <= most);
