--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -7,9 +7,9 @@
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
-use crate::direct::sharing::admission::ASKS_PER_REQUEST;
 use crate::direct::sharing::admission::Ask;
 use crate::direct::sharing::admission::AskId;
+use crate::direct::sharing::admission::MAX_QUEUES_PER_REQUEST;
 use crate::numbers::signed;
 
 /// Silence of a door after which another one is asked, and at last the engine itself. Doors
@@ -241,7 +241,7 @@
         now_ms: u64,
         mut random: impl FnMut() -> u64,
     ) -> Option<Next> {
-        if self.asks.len() >= usize::from(ASKS_PER_REQUEST) {
+        if self.asks.len() >= usize::from(MAX_QUEUES_PER_REQUEST) {
             return None;
         }
         let asked: Vec<Arc<str>> = self
@@ -300,7 +300,7 @@
     fn is_hopeless(&self, now_ms: u64) -> bool {
         let left_ms = self.job.waits_until_ms().saturating_sub(now_ms);
         let is_too_long = |wait_ms: u32| u64::from(wait_ms) > left_ms;
-        self.asks.len() == usize::from(ASKS_PER_REQUEST)
+        self.asks.len() == usize::from(MAX_QUEUES_PER_REQUEST)
             && self
                 .asks
                 .iter()
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -37,7 +37,7 @@
 /// Doors at which one request waits at a time, so that its place in one queue counts a part.
 /// With one, it waits behind the wrong engine while another has room; each further one costs
 /// two messages.
-pub const ASKS_PER_REQUEST: u8 = 3;
+pub const MAX_QUEUES_PER_REQUEST: u8 = 3;
 
 /// Names one question to a peer: for room, or to charge a request. The entry that asks gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -589,7 +589,7 @@
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX));
         let hold_ms = door.hold.value().unwrap_or(FIRST_HOLD_MS);
         // Of those ahead, most start elsewhere.
-        let ahead = ahead / f64::from(ASKS_PER_REQUEST);
+        let ahead = ahead / f64::from(MAX_QUEUES_PER_REQUEST);
         let wait_ms = numbers::whole_u32(ahead * hold_ms / f64::from(door.slots.max(1)));
         let rate_ms = door
             .rate
