--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
-use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::Release;
 
 use super::Event;
@@ -23,11 +23,11 @@
 const EQUAL_WORTH: u32 = 1_000;
 
 impl Fleet {
-    pub(super) fn owner(&self, entry: usize, upstream: u32) -> Asker {
+    pub(super) fn owner(&self, entry: usize, upstream: u32) -> EntryRef {
         let peers = &self.entries[entry].peers;
         match admission::owner(upstream, peers.owner_candidates(false, self.now_ms)) {
-            Some(owner) if owner != peers.own_address() => Asker::Peer(owner),
-            Some(_) | None => Asker::Own,
+            Some(owner) if owner != peers.own_address() => EntryRef::Peer(owner),
+            Some(_) | None => EntryRef::Own,
         }
     }
 
@@ -46,8 +46,8 @@
             .asks
             .insert(id, (request, Arc::clone(instance), owner));
         match owner {
-            Asker::Own => self.asked(entry, Asker::Own, ask),
-            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Ask(ask)),
+            EntryRef::Own => self.asked(entry, EntryRef::Own, ask),
+            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Ask(ask)),
         }
     }
 
@@ -57,14 +57,16 @@
         };
         let upstream = short_name(instance);
         match owner {
-            Asker::Own => self.entries[entry]
+            EntryRef::Own => self.entries[entry]
                 .admission
-                .cancel(Asker::Own, upstream, id),
-            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Cancel { upstream, ask: id }),
+                .cancel(EntryRef::Own, upstream, id),
+            EntryRef::Peer(peer) => {
+                self.tell(entry, peer, PeerMessage::Cancel { upstream, ask: id })
+            }
         }
     }
 
-    pub(super) fn asked(&mut self, entry: usize, from: Asker, ask: Ask) {
+    pub(super) fn asked(&mut self, entry: usize, from: EntryRef, ask: Ask) {
         let now_ms = self.now_ms;
         self.entries[entry].admission.enqueue(from, ask, now_ms);
         self.grant(entry);
@@ -74,8 +76,8 @@
         };
         let ask = ask.id;
         match from {
-            Asker::Own => self.busy(entry, ask, wait_ms),
-            Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Queued { ask, wait_ms }),
+            EntryRef::Own => self.busy(entry, ask, wait_ms),
+            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Queued { ask, wait_ms }),
         }
     }
 
@@ -83,8 +85,10 @@
         while let Some(grant) = self.entries[entry].admission.next_grant(self.now_ms) {
             let (ask, upstream) = (grant.ask, grant.upstream);
             match grant.to {
-                Asker::Own => self.granted(entry, ask, upstream),
-                Asker::Peer(peer) => self.tell(entry, peer, PeerMessage::Grant { ask, upstream }),
+                EntryRef::Own => self.granted(entry, ask, upstream),
+                EntryRef::Peer(peer) => {
+                    self.tell(entry, peer, PeerMessage::Grant { ask, upstream })
+                }
             }
         }
         self.grant_by_rate(entry);
@@ -108,12 +112,12 @@
 
     pub(super) fn give_back(&mut self, entry: usize, upstream: u32, release: Release) {
         match self.owner(entry, upstream) {
-            Asker::Own => {
+            EntryRef::Own => {
                 let admission = &mut self.entries[entry].admission;
-                admission.release(Asker::Own, upstream, release);
+                admission.release(EntryRef::Own, upstream, release);
                 self.grant(entry);
             }
-            Asker::Peer(peer) => {
+            EntryRef::Peer(peer) => {
                 self.tell(entry, peer, PeerMessage::Released { upstream, release })
             }
         }
@@ -126,16 +130,16 @@
         let peer = address(from);
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
-            PeerMessage::Ask(ask) => self.asked(entry, Asker::Peer(peer), ask),
+            PeerMessage::Ask(ask) => self.asked(entry, EntryRef::Peer(peer), ask),
             PeerMessage::Cancel { upstream, ask } => {
                 let admission = &mut self.entries[entry].admission;
-                admission.cancel(Asker::Peer(peer), upstream, ask);
+                admission.cancel(EntryRef::Peer(peer), upstream, ask);
             }
             PeerMessage::Grant { ask, upstream } => self.granted(entry, ask, upstream),
             PeerMessage::Queued { ask, wait_ms } => self.busy(entry, ask, wait_ms),
             PeerMessage::Released { upstream, release } => {
                 let admission = &mut self.entries[entry].admission;
-                admission.release(Asker::Peer(peer), upstream, release);
+                admission.release(EntryRef::Peer(peer), upstream, release);
                 self.grant(entry);
             }
             // Customers of the model have no limits, and its engines one version.
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
-use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::rate::Rate;
 use sardinewood::numbers;
@@ -116,10 +116,10 @@
     entry_address::address(entry, PORT)
 }
 
-fn number(asker: Asker, own: usize) -> usize {
+fn number(asker: EntryRef, own: usize) -> usize {
     match asker {
-        Asker::Own => own,
-        Asker::Peer(peer) => entry_address::number(peer),
+        EntryRef::Own => own,
+        EntryRef::Peer(peer) => entry_address::number(peer),
     }
 }
 
@@ -324,12 +324,12 @@
                         in_time_for_ms: 500,
                         waited_ms: 0,
                     };
-                    let asker = Asker::Peer(address(from));
+                    let asker = EntryRef::Peer(address(from));
                     self.entries[to].admission.enqueue(asker, ask, now_ms);
                 }
                 Sent::Grant(request) => self.granted(now_ms, to, from, request),
                 Sent::Unused => {
-                    let asker = Asker::Peer(address(from));
+                    let asker = EntryRef::Peer(address(from));
                     let admission = &mut self.entries[to].admission;
                     admission.release(asker, short_name(UPSTREAM), Release::Unused);
                 }
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -19,7 +19,7 @@
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::request::call::Call;
 use crate::direct::request::caller::AnswerHeaders;
-use crate::direct::sharing::admission::Asker;
+use crate::direct::sharing::admission::EntryRef;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
@@ -178,7 +178,7 @@
     fn tell_keeper(&self, instance: &str) {
         let told = self.notices_of(instance);
         if !told.is_empty()
-            && let Asker::Peer(keeper) = self.owner(short_name(instance))
+            && let EntryRef::Peer(keeper) = self.owner(short_name(instance))
         {
             self.tell(keeper, &PeerMessage::Notices(told));
         }
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -15,7 +15,7 @@
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::replication::store_follower::LastStoreResponse;
-use crate::direct::sharing::admission::Asker;
+use crate::direct::sharing::admission::EntryRef;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
 use crate::numbers;
@@ -96,12 +96,12 @@
         let traffic = &self.traffic;
         match PeerMessage::decode(bytes) {
             Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
-            Some(PeerMessage::Ask(ask)) => traffic.asked(Asker::Peer(from), ask),
+            Some(PeerMessage::Ask(ask)) => traffic.asked(EntryRef::Peer(from), ask),
             Some(PeerMessage::Cancel { upstream, ask }) => {
                 traffic
                     .admission
                     .borrow_mut()
-                    .cancel(Asker::Peer(from), upstream, ask);
+                    .cancel(EntryRef::Peer(from), upstream, ask);
             }
             Some(PeerMessage::Grant { ask, upstream }) => traffic.granted(ask, upstream),
             Some(PeerMessage::Queued { ask, wait_ms }) => traffic.busy(ask, wait_ms),
@@ -109,7 +109,7 @@
                 traffic
                     .admission
                     .borrow_mut()
-                    .release(Asker::Peer(from), upstream, release);
+                    .release(EntryRef::Peer(from), upstream, release);
                 traffic.grant_rooms();
             }
             Some(PeerMessage::ChargeAsk(question)) => traffic.lend(from, &question),
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -19,7 +19,7 @@
 use crate::direct::placement::job::Job;
 use crate::direct::sharing::admission::Ask;
 use crate::direct::sharing::admission::AskId;
-use crate::direct::sharing::admission::Asker;
+use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::Release;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
@@ -49,7 +49,7 @@
     instance: Arc<str>,
     /// Tokens of the prompt that the upstream is likely to keep.
     kept_tokens: u32,
-    owner: Asker,
+    owner: EntryRef,
 }
 
 /// A waiting request; dropping it takes its questions back.
@@ -102,8 +102,8 @@
         };
         traffic.asks.borrow_mut().insert(id, open);
         match owner {
-            Asker::Own => traffic.asked(Asker::Own, ask),
-            Asker::Peer(address) => traffic.tell(address, &PeerMessage::Ask(ask)),
+            EntryRef::Own => traffic.asked(EntryRef::Own, ask),
+            EntryRef::Peer(address) => traffic.tell(address, &PeerMessage::Ask(ask)),
         }
     }
 
@@ -114,11 +114,11 @@
         };
         let upstream = short_name(instance);
         match open.owner {
-            Asker::Own => traffic
+            EntryRef::Own => traffic
                 .admission
                 .borrow_mut()
-                .cancel(Asker::Own, upstream, id),
-            Asker::Peer(address) => {
+                .cancel(EntryRef::Own, upstream, id),
+            EntryRef::Peer(address) => {
                 traffic.tell(address, &PeerMessage::Cancel { upstream, ask: id });
             }
         }
@@ -207,7 +207,7 @@
     }
 
     /// Takes a question to a door of ours.
-    pub fn asked(self: &Rc<Self>, from: Asker, ask: Ask) {
+    pub fn asked(self: &Rc<Self>, from: EntryRef, ask: Ask) {
         let now_ms = self.now_ms();
         self.admission.borrow_mut().enqueue(from, ask, now_ms);
         self.grant_rooms();
@@ -219,8 +219,8 @@
             return;
         };
         match from {
-            Asker::Own => self.busy(ask.id, wait_ms),
-            Asker::Peer(peer) => self.tell(
+            EntryRef::Own => self.busy(ask.id, wait_ms),
+            EntryRef::Peer(peer) => self.tell(
                 peer,
                 &PeerMessage::Queued {
                     ask: ask.id,
@@ -239,8 +239,8 @@
                 return;
             };
             match grant.to {
-                Asker::Own => self.granted(grant.ask, grant.upstream),
-                Asker::Peer(peer) => self.tell(
+                EntryRef::Own => self.granted(grant.ask, grant.upstream),
+                EntryRef::Peer(peer) => self.tell(
                     peer,
                     &PeerMessage::Grant {
                         ask: grant.ask,
@@ -280,13 +280,13 @@
     /// Gives room back to its door.
     pub fn give_back(self: &Rc<Self>, upstream: u32, release: Release) {
         match self.owner(upstream) {
-            Asker::Own => {
+            EntryRef::Own => {
                 self.admission
                     .borrow_mut()
-                    .release(Asker::Own, upstream, release);
+                    .release(EntryRef::Own, upstream, release);
                 self.grant_rooms();
             }
-            Asker::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
+            EntryRef::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
         }
     }
 }
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -79,7 +79,7 @@
 
 /// Whoever asks: this entry or another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Asker {
+pub enum EntryRef {
     /// The entry that keeps the door.
     Own,
     /// Another entry, by the address of its heartbeats.
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Who asked.
-    pub to: Asker,
+    pub to: EntryRef,
     /// The question.
     pub ask: AskId,
     /// Short name of the engine.
@@ -113,7 +113,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Queued {
-    from: Asker,
+    from: EntryRef,
     ask: Ask,
     arrived_ms: u64,
     in_time_until_ms: i64,
@@ -239,17 +239,17 @@
 /// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
 ///
 /// ```
-/// use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, AdmissionController, Release};
+/// use sardinewood::direct::sharing::admission::{Ask, AskId, EntryRef, AdmissionController, Release};
 ///
 /// let mut admission = AdmissionController::default();
 /// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
 /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-/// admission.enqueue(Asker::Own, ask(1), 0);
-/// admission.enqueue(Asker::Own, ask(2), 0);
+/// admission.enqueue(EntryRef::Own, ask(1), 0);
+/// admission.enqueue(EntryRef::Own, ask(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(1));
 /// assert_eq!(admission.next_grant(0), None);
-/// admission.release(Asker::Own, upstream, Release::Answered { held_ms: 40 });
+/// admission.release(EntryRef::Own, upstream, Release::Answered { held_ms: 40 });
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -307,13 +307,13 @@
     /// knows what the others send. Its door does: every start goes through it.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, Asker, AdmissionController}};
+    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, EntryRef, AdmissionController}};
     /// let mut admission = AdmissionController::default();
     /// admission.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
     /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// admission.enqueue(Asker::Own, ask(1), 0);
+    /// admission.enqueue(EntryRef::Own, ask(1), 0);
     /// assert_eq!(admission.next_grant(0), None);
     /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
     /// assert!(admission.next_grant(1_000).is_some());
@@ -374,11 +374,11 @@
     /// Takes a question.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{Ask, AskId, Asker, AdmissionController};
+    /// # use sardinewood::direct::sharing::admission::{Ask, AskId, EntryRef, AdmissionController};
     /// let ask = Ask { id: AskId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// AdmissionController::default().enqueue(Asker::Own, ask, 0);
+    /// AdmissionController::default().enqueue(EntryRef::Own, ask, 0);
     /// ```
-    pub fn enqueue(&mut self, from: Asker, ask: Ask, now_ms: u64) {
+    pub fn enqueue(&mut self, from: EntryRef, ask: Ask, now_ms: u64) {
         let Some(door) = self.by_upstream.get_mut(&ask.upstream) else {
             return;
         };
@@ -389,7 +389,7 @@
         if is_known {
             return;
         }
-        if let Asker::Peer(peer) = from {
+        if let EntryRef::Peer(peer) = from {
             // A peer's first question may come before its first heartbeat. Without this the next
             // sweep would forget what it was granted, and the engine would get too much.
             self.heard_ms.insert(peer, now_ms);
@@ -407,10 +407,10 @@
     /// Takes a question back.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, AdmissionController};
-    /// AdmissionController::default().cancel(Asker::Own, 7, AskId(1));
+    /// # use sardinewood::direct::sharing::admission::{AskId, EntryRef, AdmissionController};
+    /// AdmissionController::default().cancel(EntryRef::Own, 7, AskId(1));
     /// ```
-    pub fn cancel(&mut self, from: Asker, upstream: u32, ask: AskId) {
+    pub fn cancel(&mut self, from: EntryRef, upstream: u32, ask: AskId) {
         if let Some(door) = self.by_upstream.get_mut(&upstream) {
             door.queue
                 .retain(|queued| queued.from != from || queued.ask.id != ask);
@@ -423,16 +423,16 @@
     /// counted, an upstream would get a good part less than its limit.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{Asker, AdmissionController, Release};
-    /// AdmissionController::default().release(Asker::Own, 7, Release::Unused);
+    /// # use sardinewood::direct::sharing::admission::{EntryRef, AdmissionController, Release};
+    /// AdmissionController::default().release(EntryRef::Own, 7, Release::Unused);
     /// ```
-    pub fn release(&mut self, from: Asker, upstream: u32, release: Release) {
+    pub fn release(&mut self, from: EntryRef, upstream: u32, release: Release) {
         let Some(door) = self.by_upstream.get_mut(&upstream) else {
             return;
         };
         match from {
-            Asker::Own => door.own = door.own.saturating_sub(1),
-            Asker::Peer(peer) => {
+            EntryRef::Own => door.own = door.own.saturating_sub(1),
+            EntryRef::Peer(peer) => {
                 let tracked = door.peers.entry(peer).or_default();
                 tracked.count = tracked.count.saturating_sub(1);
                 tracked.is_touched = true;
@@ -503,8 +503,8 @@
             door.peers
                 .retain(|peer, _| self.heard_ms.contains_key(peer));
             door.queue.retain(|queued| match queued.from {
-                Asker::Own => true,
-                Asker::Peer(peer) => self.heard_ms.contains_key(&peer),
+                EntryRef::Own => true,
+                EntryRef::Peer(peer) => self.heard_ms.contains_key(&peer),
             });
             if door.used() != before {
                 self.changed.push(*name);
@@ -545,8 +545,8 @@
         }
         let queued = door.queue.remove(best);
         match queued.from {
-            Asker::Own => door.own += 1,
-            Asker::Peer(peer) => {
+            EntryRef::Own => door.own += 1,
+            EntryRef::Peer(peer) => {
                 let tracked = door.peers.entry(peer).or_default();
                 tracked.count += 1;
                 tracked.is_touched = true;
@@ -562,13 +562,13 @@
     /// Expected wait of a question that is queued; none if it is not.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{AskId, Asker, AdmissionController};
-    /// assert_eq!(AdmissionController::default().expected_wait_ms(Asker::Own, 7, AskId(1), 0), None);
+    /// # use sardinewood::direct::sharing::admission::{AskId, EntryRef, AdmissionController};
+    /// assert_eq!(AdmissionController::default().expected_wait_ms(EntryRef::Own, 7, AskId(1), 0), None);
     /// ```
     #[must_use]
     pub fn expected_wait_ms(
         &self,
-        from: Asker,
+        from: EntryRef,
         upstream: u32,
         ask: AskId,
         now_ms: u64,
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -41,7 +41,7 @@
 use crate::direct::sharing::admission;
 use crate::direct::sharing::admission::AdmissionController;
 use crate::direct::sharing::admission::AskId;
-use crate::direct::sharing::admission::Asker;
+use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::Release;
 use crate::direct::sharing::allotment::Allotments;
 use crate::direct::sharing::allotment::Demand;
@@ -435,12 +435,12 @@
 
     /// Who keeps the door of an engine.
     #[must_use]
-    pub fn owner(&self, upstream: u32) -> Asker {
+    pub fn owner(&self, upstream: u32) -> EntryRef {
         let peers = self.peers.borrow();
         let owners = peers.owner_candidates(self.is_stopping.get(), self.now_ms());
         match admission::owner(upstream, owners) {
-            Some(address) if address != peers.own_address() => Asker::Peer(address),
-            Some(_) | None => Asker::Own,
+            Some(address) if address != peers.own_address() => EntryRef::Peer(address),
+            Some(_) | None => EntryRef::Own,
         }
     }
 
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
-use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::admission::owner;
 
@@ -61,10 +61,10 @@
 fn grants_within_slots() {
     let mut admission = admission();
     for id in 0..5 {
-        admission.enqueue(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0), [0, 1, 2]);
-    admission.release(Asker::Peer(peer(1)), engine(), answered(40));
+    admission.release(EntryRef::Peer(peer(1)), engine(), answered(40));
     assert_eq!(granted(&mut admission, 0), [3]);
 }
 
@@ -74,11 +74,11 @@
     // request is worth more and gets the next room.
     let mut admission = admission();
     for id in 0..5 {
-        admission.enqueue(Asker::Own, ask(id, 50, 500), 0);
+        admission.enqueue(EntryRef::Own, ask(id, 50, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0).len(), 3);
-    admission.enqueue(Asker::Peer(peer(1)), ask(9, 1_000, 500), 10);
-    admission.release(Asker::Own, engine(), answered(40));
+    admission.enqueue(EntryRef::Peer(peer(1)), ask(9, 1_000, 500), 10);
+    admission.release(EntryRef::Own, engine(), answered(40));
     assert_eq!(granted(&mut admission, 10), [9]);
 }
 
@@ -88,12 +88,12 @@
     // now waits for what can still be in time, of its own tier and of the next.
     let mut admission = admission();
     for id in 0..3 {
-        admission.enqueue(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
-    admission.enqueue(Asker::Own, ask(10, 1_000, 100), 0);
-    admission.enqueue(Asker::Own, ask(11, 500, 900), 50);
-    admission.release(Asker::Own, engine(), answered(40));
+    admission.enqueue(EntryRef::Own, ask(10, 1_000, 100), 0);
+    admission.enqueue(EntryRef::Own, ask(11, 500, 900), 50);
+    admission.release(EntryRef::Own, engine(), answered(40));
     assert_eq!(granted(&mut admission, 200), [11]);
 }
 
@@ -101,11 +101,11 @@
 fn cancelled_question_not_granted() {
     let mut admission = admission();
     for id in 0..4 {
-        admission.enqueue(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
-    admission.cancel(Asker::Own, engine(), AskId(3));
-    admission.release(Asker::Own, engine(), Release::Unanswered);
+    admission.cancel(EntryRef::Own, engine(), AskId(3));
+    admission.release(EntryRef::Own, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -113,7 +113,7 @@
 fn repeated_question_counts_once() {
     let mut admission = admission();
     for _ in 0..4 {
-        admission.enqueue(Asker::Peer(peer(1)), ask(1, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Peer(peer(1)), ask(1, 1_000, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0), [1]);
 }
@@ -124,7 +124,7 @@
     // twice that it runs nothing, and the room is free again.
     let mut admission = admission();
     for id in 0..4 {
-        admission.enqueue(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0).len(), 3);
     for heartbeat in 0..3 {
@@ -139,7 +139,7 @@
     let mut admission = admission();
     admission.reconcile(peer(1), &LoadChunk::default(), 0);
     for id in 0..4 {
-        admission.enqueue(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Peer(peer(1)), ask(id, 1_000, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0).len(), 3);
     admission.reconcile(peer(1), &LoadChunk::default(), 1);
@@ -153,7 +153,7 @@
     let mut admission = admission();
     admission.reconcile(peer(1), &runs(2), 0);
     admission.reconcile(peer(2), &runs(1), 0);
-    admission.enqueue(Asker::Own, ask(1, 1_000, 500), 1);
+    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
     admission.expire_peers(Some(peer(2)), 2);
     assert_eq!(granted(&mut admission, 2), [1]);
@@ -163,7 +163,7 @@
 fn silent_peers_room_freed() {
     let mut admission = admission();
     admission.reconcile(peer(1), &runs(3), 0);
-    admission.enqueue(Asker::Own, ask(1, 1_000, 500), 1);
+    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
     admission.expire_peers(None, 5_000);
     assert_eq!(granted(&mut admission, 5_000), [1]);
@@ -173,11 +173,11 @@
 fn leaving_engine_grants_nothing() {
     let mut admission = admission();
     for id in 0..4 {
-        admission.enqueue(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
     admission.set_upstreams([]);
-    admission.release(Asker::Own, engine(), Release::Unanswered);
+    admission.release(EntryRef::Own, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -218,11 +218,11 @@
     // A peer asks before its first heartbeat has come. Another peer ends, and what the first one
     // was granted still counts.
     let mut admission = admission();
-    admission.enqueue(Asker::Peer(peer(1)), ask(1, 1, 500), 0);
+    admission.enqueue(EntryRef::Peer(peer(1)), ask(1, 1, 500), 0);
     granted(&mut admission, 0);
     admission.expire_peers(Some(peer(2)), 1);
     for id in 2..6 {
-        admission.enqueue(Asker::Peer(peer(1)), ask(id, 1, 500), 2);
+        admission.enqueue(EntryRef::Peer(peer(1)), ask(id, 1, 500), 2);
     }
     assert_eq!(granted(&mut admission, 2), [2, 3]);
 }
@@ -244,11 +244,11 @@
             match step {
                 Step::Ask(from, worth) => {
                     id += 1;
-                    admission.enqueue(Asker::Peer(peer(from)), ask(id, worth, 500), now_ms);
+                    admission.enqueue(EntryRef::Peer(peer(from)), ask(id, worth, 500), now_ms);
                 }
                 Step::Done(from) if running[usize::from(from)] > 0 => {
                     running[usize::from(from)] -= 1;
-                    admission.release(Asker::Peer(peer(from)), engine(), answered(9));
+                    admission.release(EntryRef::Peer(peer(from)), engine(), answered(9));
                 }
                 Step::Done(_) => {}
                 Step::Heartbeat(from) => {
@@ -260,7 +260,7 @@
                 }
             }
             while let Some(grant) = admission.next_grant(now_ms) {
-                let Asker::Peer(to) = grant.to else { unreachable!() };
+                let EntryRef::Peer(to) = grant.to else { unreachable!() };
                 let SocketAddr::V4(to) = to else { unreachable!() };
                 running[usize::from(to.ip().octets()[3])] += 1;
             }
@@ -281,7 +281,7 @@
     admission.set_plain_services(&[engine()].into_iter().collect());
     let press = |admission: &mut AdmissionController, first: u64| {
         for id in first..first + 20 {
-            admission.enqueue(Asker::Peer(peer(1)), ask(id, 1_000, 500), 0);
+            admission.enqueue(EntryRef::Peer(peer(1)), ask(id, 1_000, 500), 0);
         }
         granted(admission, 0).len()
     };
@@ -290,10 +290,10 @@
         6,
         "how long calls last is not known yet"
     );
-    admission.release(Asker::Peer(peer(1)), engine(), answered(60));
+    admission.release(EntryRef::Peer(peer(1)), engine(), answered(60));
     assert_eq!(granted(&mut admission, 0).len(), 3);
     admission.set_plain_services(&[].into_iter().collect());
-    admission.release(Asker::Peer(peer(1)), engine(), answered(60));
+    admission.release(EntryRef::Peer(peer(1)), engine(), answered(60));
     assert_eq!(
         granted(&mut admission, 0).len(),
         0,
@@ -309,14 +309,14 @@
     const WAITING: usize = 3;
     let mut granted_ms = Vec::new();
     for id in 0..WAITING as u64 {
-        admission.enqueue(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
     }
     for now_ms in times_ms {
         while admission.next_grant(now_ms).is_some() {
-            admission.release(Asker::Own, engine(), answered(10));
+            admission.release(EntryRef::Own, engine(), answered(10));
             granted_ms.push(now_ms);
             let id = (WAITING + granted_ms.len()) as u64;
-            admission.enqueue(Asker::Own, ask(id, 1_000, 500), now_ms);
+            admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), now_ms);
         }
     }
     granted_ms
@@ -373,7 +373,7 @@
     let mut admission = admission();
     admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     for id in 0..3 {
-        admission.enqueue(Asker::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
     }
     assert!(granted(&mut admission, 10).is_empty());
     admission.set_limits(indexmap::IndexMap::new(), 20);
@@ -386,7 +386,7 @@
     let mut admission = admission();
     admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     admission.set_upstreams([("i-1".into(), SLOTS), ("i-2".into(), SLOTS)]);
-    admission.enqueue(Asker::Own, ask(1, 1_000, 500), 10);
+    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 10);
     assert!(granted(&mut admission, 10).is_empty());
 }
 
@@ -394,8 +394,8 @@
 fn wait_ms_at_a_limited_upstream() {
     let mut admission = admission();
     admission.set_limits([(engine(), 500)].into_iter().collect(), 0);
-    admission.enqueue(Asker::Own, ask(1, 1_000, 500), 0);
-    let wait_ms = admission.expected_wait_ms(Asker::Own, engine(), AskId(1), 0);
+    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 0);
+    let wait_ms = admission.expected_wait_ms(EntryRef::Own, engine(), AskId(1), 0);
     assert_eq!(wait_ms, Some(2_000));
 }
 
@@ -406,7 +406,7 @@
     admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     let mut used = 0;
     for now_ms in 0..60_000 {
-        admission.enqueue(Asker::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
+        admission.enqueue(EntryRef::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
         if let Some(grant) = admission.next_grant(now_ms) {
             if grant.ask.0.is_multiple_of(2) {
                 admission.release(grant.to, engine(), Release::Unused);
@@ -415,7 +415,7 @@
                 used += 1;
             }
         }
-        admission.cancel(Asker::Peer(peer(1)), engine(), AskId(now_ms));
+        admission.cancel(EntryRef::Peer(peer(1)), engine(), AskId(now_ms));
     }
     assert!(used >= 58, "{used} of 60");
 }
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -16,7 +16,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::AskId;
-use sardinewood::direct::sharing::admission::Asker;
+use sardinewood::direct::sharing::admission::EntryRef;
 
 const ENGINES: u32 = 400;
 const CUSTOMERS: u64 = 1_700;
@@ -152,7 +152,7 @@
             in_time_for_ms: 9,
             waited_ms: 0,
         };
-        admission.enqueue(Asker::Own, ask, 50);
+        admission.enqueue(EntryRef::Own, ask, 50);
     }
     assert_eq!(admission.next_grant(50), None);
 }
