--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -27,7 +27,7 @@
         let peers = &self.entries[entry].peers;
         match admission::owner(upstream, peers.owner_candidates(false, self.now_ms)) {
             Some(owner) if owner != peers.own_address() => EntryRef::Peer(owner),
-            Some(_) | None => EntryRef::Own,
+            Some(_) | None => EntryRef::Local,
         }
     }
 
@@ -46,7 +46,7 @@
             .asks
             .insert(id, (request, Arc::clone(instance), owner));
         match owner {
-            EntryRef::Own => self.asked(entry, EntryRef::Own, ask),
+            EntryRef::Local => self.asked(entry, EntryRef::Local, ask),
             EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Ask(ask)),
         }
     }
@@ -57,9 +57,9 @@
         };
         let upstream = short_name(instance);
         match owner {
-            EntryRef::Own => self.entries[entry]
+            EntryRef::Local => self.entries[entry]
                 .admission
-                .cancel(EntryRef::Own, upstream, id),
+                .cancel(EntryRef::Local, upstream, id),
             EntryRef::Peer(peer) => {
                 self.tell(entry, peer, PeerMessage::Cancel { upstream, ask: id })
             }
@@ -76,7 +76,7 @@
         };
         let ask = ask.id;
         match from {
-            EntryRef::Own => self.busy(entry, ask, wait_ms),
+            EntryRef::Local => self.busy(entry, ask, wait_ms),
             EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Queued { ask, wait_ms }),
         }
     }
@@ -85,7 +85,7 @@
         while let Some(grant) = self.entries[entry].admission.next_grant(self.now_ms) {
             let (ask, upstream) = (grant.ask, grant.upstream);
             match grant.to {
-                EntryRef::Own => self.granted(entry, ask, upstream),
+                EntryRef::Local => self.granted(entry, ask, upstream),
                 EntryRef::Peer(peer) => {
                     self.tell(entry, peer, PeerMessage::Grant { ask, upstream })
                 }
@@ -112,9 +112,9 @@
 
     pub(super) fn give_back(&mut self, entry: usize, upstream: u32, release: Release) {
         match self.owner(entry, upstream) {
-            EntryRef::Own => {
+            EntryRef::Local => {
                 let admission = &mut self.entries[entry].admission;
-                admission.release(EntryRef::Own, upstream, release);
+                admission.release(EntryRef::Local, upstream, release);
                 self.grant(entry);
             }
             EntryRef::Peer(peer) => {
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -118,7 +118,7 @@
 
 fn number(asker: EntryRef, own: usize) -> usize {
     match asker {
-        EntryRef::Own => own,
+        EntryRef::Local => own,
         EntryRef::Peer(peer) => entry_address::number(peer),
     }
 }
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -102,7 +102,7 @@
         };
         traffic.asks.borrow_mut().insert(id, open);
         match owner {
-            EntryRef::Own => traffic.asked(EntryRef::Own, ask),
+            EntryRef::Local => traffic.asked(EntryRef::Local, ask),
             EntryRef::Peer(address) => traffic.tell(address, &PeerMessage::Ask(ask)),
         }
     }
@@ -114,10 +114,10 @@
         };
         let upstream = short_name(instance);
         match open.owner {
-            EntryRef::Own => traffic
+            EntryRef::Local => traffic
                 .admission
                 .borrow_mut()
-                .cancel(EntryRef::Own, upstream, id),
+                .cancel(EntryRef::Local, upstream, id),
             EntryRef::Peer(address) => {
                 traffic.tell(address, &PeerMessage::Cancel { upstream, ask: id });
             }
@@ -219,7 +219,7 @@
             return;
         };
         match from {
-            EntryRef::Own => self.busy(ask.id, wait_ms),
+            EntryRef::Local => self.busy(ask.id, wait_ms),
             EntryRef::Peer(peer) => self.tell(
                 peer,
                 &PeerMessage::Queued {
@@ -239,7 +239,7 @@
                 return;
             };
             match grant.to {
-                EntryRef::Own => self.granted(grant.ask, grant.upstream),
+                EntryRef::Local => self.granted(grant.ask, grant.upstream),
                 EntryRef::Peer(peer) => self.tell(
                     peer,
                     &PeerMessage::Grant {
@@ -280,10 +280,10 @@
     /// Gives room back to its door.
     pub fn give_back(self: &Rc<Self>, upstream: u32, release: Release) {
         match self.owner(upstream) {
-            EntryRef::Own => {
+            EntryRef::Local => {
                 self.admission
                     .borrow_mut()
-                    .release(EntryRef::Own, upstream, release);
+                    .release(EntryRef::Local, upstream, release);
                 self.grant_rooms();
             }
             EntryRef::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EntryRef {
     /// The entry that keeps the door.
-    Own,
+    Local,
     /// Another entry, by the address of its heartbeats.
     Peer(SocketAddr),
 }
@@ -245,11 +245,11 @@
 /// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
 /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-/// admission.enqueue(EntryRef::Own, ask(1), 0);
-/// admission.enqueue(EntryRef::Own, ask(2), 0);
+/// admission.enqueue(EntryRef::Local, ask(1), 0);
+/// admission.enqueue(EntryRef::Local, ask(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(1));
 /// assert_eq!(admission.next_grant(0), None);
-/// admission.release(EntryRef::Own, upstream, Release::Answered { held_ms: 40 });
+/// admission.release(EntryRef::Local, upstream, Release::Answered { held_ms: 40 });
 /// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -313,7 +313,7 @@
     /// let upstream = short_name("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
     /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// admission.enqueue(EntryRef::Own, ask(1), 0);
+    /// admission.enqueue(EntryRef::Local, ask(1), 0);
     /// assert_eq!(admission.next_grant(0), None);
     /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
     /// assert!(admission.next_grant(1_000).is_some());
@@ -376,7 +376,7 @@
     /// ```
     /// # use sardinewood::direct::sharing::admission::{Ask, AskId, EntryRef, AdmissionController};
     /// let ask = Ask { id: AskId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// AdmissionController::default().enqueue(EntryRef::Own, ask, 0);
+    /// AdmissionController::default().enqueue(EntryRef::Local, ask, 0);
     /// ```
     pub fn enqueue(&mut self, from: EntryRef, ask: Ask, now_ms: u64) {
         let Some(door) = self.by_upstream.get_mut(&ask.upstream) else {
@@ -408,7 +408,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{AskId, EntryRef, AdmissionController};
-    /// AdmissionController::default().cancel(EntryRef::Own, 7, AskId(1));
+    /// AdmissionController::default().cancel(EntryRef::Local, 7, AskId(1));
     /// ```
     pub fn cancel(&mut self, from: EntryRef, upstream: u32, ask: AskId) {
         if let Some(door) = self.by_upstream.get_mut(&upstream) {
@@ -424,14 +424,14 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{EntryRef, AdmissionController, Release};
-    /// AdmissionController::default().release(EntryRef::Own, 7, Release::Unused);
+    /// AdmissionController::default().release(EntryRef::Local, 7, Release::Unused);
     /// ```
     pub fn release(&mut self, from: EntryRef, upstream: u32, release: Release) {
         let Some(door) = self.by_upstream.get_mut(&upstream) else {
             return;
         };
         match from {
-            EntryRef::Own => door.own = door.own.saturating_sub(1),
+            EntryRef::Local => door.own = door.own.saturating_sub(1),
             EntryRef::Peer(peer) => {
                 let tracked = door.peers.entry(peer).or_default();
                 tracked.count = tracked.count.saturating_sub(1);
@@ -503,7 +503,7 @@
             door.peers
                 .retain(|peer, _| self.heard_ms.contains_key(peer));
             door.queue.retain(|queued| match queued.from {
-                EntryRef::Own => true,
+                EntryRef::Local => true,
                 EntryRef::Peer(peer) => self.heard_ms.contains_key(&peer),
             });
             if door.used() != before {
@@ -545,7 +545,7 @@
         }
         let queued = door.queue.remove(best);
         match queued.from {
-            EntryRef::Own => door.own += 1,
+            EntryRef::Local => door.own += 1,
             EntryRef::Peer(peer) => {
                 let tracked = door.peers.entry(peer).or_default();
                 tracked.count += 1;
@@ -563,7 +563,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{AskId, EntryRef, AdmissionController};
-    /// assert_eq!(AdmissionController::default().expected_wait_ms(EntryRef::Own, 7, AskId(1), 0), None);
+    /// assert_eq!(AdmissionController::default().expected_wait_ms(EntryRef::Local, 7, AskId(1), 0), None);
     /// ```
     #[must_use]
     pub fn expected_wait_ms(
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -440,7 +440,7 @@
         let owners = peers.owner_candidates(self.is_stopping.get(), self.now_ms());
         match admission::owner(upstream, owners) {
             Some(address) if address != peers.own_address() => EntryRef::Peer(address),
-            Some(_) | None => EntryRef::Own,
+            Some(_) | None => EntryRef::Local,
         }
     }
 
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -74,11 +74,11 @@
     // request is worth more and gets the next room.
     let mut admission = admission();
     for id in 0..5 {
-        admission.enqueue(EntryRef::Own, ask(id, 50, 500), 0);
+        admission.enqueue(EntryRef::Local, ask(id, 50, 500), 0);
     }
     assert_eq!(granted(&mut admission, 0).len(), 3);
     admission.enqueue(EntryRef::Peer(peer(1)), ask(9, 1_000, 500), 10);
-    admission.release(EntryRef::Own, engine(), answered(40));
+    admission.release(EntryRef::Local, engine(), answered(40));
     assert_eq!(granted(&mut admission, 10), [9]);
 }
 
@@ -88,12 +88,12 @@
     // now waits for what can still be in time, of its own tier and of the next.
     let mut admission = admission();
     for id in 0..3 {
-        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
-    admission.enqueue(EntryRef::Own, ask(10, 1_000, 100), 0);
-    admission.enqueue(EntryRef::Own, ask(11, 500, 900), 50);
-    admission.release(EntryRef::Own, engine(), answered(40));
+    admission.enqueue(EntryRef::Local, ask(10, 1_000, 100), 0);
+    admission.enqueue(EntryRef::Local, ask(11, 500, 900), 50);
+    admission.release(EntryRef::Local, engine(), answered(40));
     assert_eq!(granted(&mut admission, 200), [11]);
 }
 
@@ -101,11 +101,11 @@
 fn cancelled_question_not_granted() {
     let mut admission = admission();
     for id in 0..4 {
-        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
-    admission.cancel(EntryRef::Own, engine(), AskId(3));
-    admission.release(EntryRef::Own, engine(), Release::Unanswered);
+    admission.cancel(EntryRef::Local, engine(), AskId(3));
+    admission.release(EntryRef::Local, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -153,7 +153,7 @@
     let mut admission = admission();
     admission.reconcile(peer(1), &runs(2), 0);
     admission.reconcile(peer(2), &runs(1), 0);
-    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 1);
+    admission.enqueue(EntryRef::Local, ask(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
     admission.expire_peers(Some(peer(2)), 2);
     assert_eq!(granted(&mut admission, 2), [1]);
@@ -163,7 +163,7 @@
 fn silent_peers_room_freed() {
     let mut admission = admission();
     admission.reconcile(peer(1), &runs(3), 0);
-    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 1);
+    admission.enqueue(EntryRef::Local, ask(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
     admission.expire_peers(None, 5_000);
     assert_eq!(granted(&mut admission, 5_000), [1]);
@@ -173,11 +173,11 @@
 fn leaving_engine_grants_nothing() {
     let mut admission = admission();
     for id in 0..4 {
-        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
     admission.set_upstreams([]);
-    admission.release(EntryRef::Own, engine(), Release::Unanswered);
+    admission.release(EntryRef::Local, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -309,14 +309,14 @@
     const WAITING: usize = 3;
     let mut granted_ms = Vec::new();
     for id in 0..WAITING as u64 {
-        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), 0);
     }
     for now_ms in times_ms {
         while admission.next_grant(now_ms).is_some() {
-            admission.release(EntryRef::Own, engine(), answered(10));
+            admission.release(EntryRef::Local, engine(), answered(10));
             granted_ms.push(now_ms);
             let id = (WAITING + granted_ms.len()) as u64;
-            admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), now_ms);
+            admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), now_ms);
         }
     }
     granted_ms
@@ -373,7 +373,7 @@
     let mut admission = admission();
     admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     for id in 0..3 {
-        admission.enqueue(EntryRef::Own, ask(id, 1_000, 500), 0);
+        admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), 0);
     }
     assert!(granted(&mut admission, 10).is_empty());
     admission.set_limits(indexmap::IndexMap::new(), 20);
@@ -386,7 +386,7 @@
     let mut admission = admission();
     admission.set_limits([(engine(), 1_000)].into_iter().collect(), 0);
     admission.set_upstreams([("i-1".into(), SLOTS), ("i-2".into(), SLOTS)]);
-    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 10);
+    admission.enqueue(EntryRef::Local, ask(1, 1_000, 500), 10);
     assert!(granted(&mut admission, 10).is_empty());
 }
 
@@ -394,8 +394,8 @@
 fn wait_ms_at_a_limited_upstream() {
     let mut admission = admission();
     admission.set_limits([(engine(), 500)].into_iter().collect(), 0);
-    admission.enqueue(EntryRef::Own, ask(1, 1_000, 500), 0);
-    let wait_ms = admission.expected_wait_ms(EntryRef::Own, engine(), AskId(1), 0);
+    admission.enqueue(EntryRef::Local, ask(1, 1_000, 500), 0);
+    let wait_ms = admission.expected_wait_ms(EntryRef::Local, engine(), AskId(1), 0);
     assert_eq!(wait_ms, Some(2_000));
 }
 
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -152,7 +152,7 @@
             in_time_for_ms: 9,
             waited_ms: 0,
         };
-        admission.enqueue(EntryRef::Own, ask, 50);
+        admission.enqueue(EntryRef::Local, ask, 50);
     }
     assert_eq!(admission.next_grant(50), None);
 }
