--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -26,8 +26,8 @@
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::suspects::Suspects;
 use sardinewood::direct::sharing::admission::AdmissionController;
-use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::EntryRef;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_floor::SizeFloor;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 use sardinewood::direct::sharing::size_shares::SizeShares;
@@ -241,7 +241,7 @@
     dispatcher: Dispatcher,
     admission: AdmissionController,
     peers: PeerTable,
-    asks: IndexMap<AskId, (usize, Arc<str>, EntryRef)>,
+    asks: IndexMap<PeerRequestId, (usize, Arc<str>, EntryRef)>,
     waiting: IndexMap<usize, Asking>,
     sizes: SizeShares,
     floor: SizeFloor,
--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -10,8 +10,8 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::Ask;
-use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::EntryRef;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::Release;
 
 use super::Event;
@@ -31,7 +31,13 @@
         }
     }
 
-    pub(super) fn ask(&mut self, entry: usize, request: usize, id: AskId, instance: &Arc<str>) {
+    pub(super) fn ask(
+        &mut self,
+        entry: usize,
+        request: usize,
+        id: PeerRequestId,
+        instance: &Arc<str>,
+    ) {
         let owner = self.owner(entry, short_name(instance));
         let state = &mut self.entries[entry];
         let Some(asking) = state.waiting.get(&request) else {
@@ -51,7 +57,7 @@
         }
     }
 
-    pub(super) fn take_back(&mut self, entry: usize, id: AskId, instance: &str) {
+    pub(super) fn take_back(&mut self, entry: usize, id: PeerRequestId, instance: &str) {
         let Some((_, _, owner)) = self.entries[entry].asks.swap_remove(&id) else {
             return;
         };
@@ -94,14 +100,14 @@
         self.grant_by_rate(entry);
     }
 
-    pub(super) fn granted(&mut self, entry: usize, ask: AskId, upstream: u32) {
+    pub(super) fn granted(&mut self, entry: usize, ask: PeerRequestId, upstream: u32) {
         match self.entries[entry].asks.swap_remove(&ask) {
             Some((request, instance, _)) => self.start(entry, request, &instance, true),
             None => self.give_back(entry, upstream, Release::Unused),
         }
     }
 
-    pub(super) fn busy(&mut self, entry: usize, ask: AskId, wait_ms: u32) {
+    pub(super) fn busy(&mut self, entry: usize, ask: PeerRequestId, wait_ms: u32) {
         let Some((request, _, _)) = self.entries[entry].asks.get(&ask) else {
             return;
         };
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -10,8 +10,8 @@
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
-use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::EntryRef;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::rate::Rate;
 use sardinewood::numbers;
@@ -318,7 +318,7 @@
             match sent {
                 Sent::Ask(request) => {
                     let ask = Ask {
-                        id: AskId(request),
+                        id: PeerRequestId(request),
                         upstream: short_name(UPSTREAM),
                         worth_micros: 1,
                         in_time_for_ms: 500,
--- a/lib/src/direct/charging.rs
+++ b/lib/src/direct/charging.rs
@@ -13,7 +13,7 @@
 use crate::direct::membership::peer_message::ChargeAsk;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::asking::ANSWER_WITHIN_MS;
-use crate::direct::sharing::admission::AskId;
+use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::allotment::Begun;
 use crate::direct::sharing::allotment::Charge;
 use crate::direct::sharing::allotment::Demand;
@@ -24,11 +24,11 @@
 
 /// Questions to keepers that have no answer yet.
 #[derive(Debug, Default)]
-pub struct OpenCharges(RefCell<IndexMap<AskId, oneshot::Sender<Charge>>>);
+pub struct OpenCharges(RefCell<IndexMap<PeerRequestId, oneshot::Sender<Charge>>>);
 
 /// A question; dropping it forgets it, also when its caller has left.
 struct OpenCharge<'a> {
-    id: AskId,
+    id: PeerRequestId,
     open: &'a OpenCharges,
 }
 
@@ -76,7 +76,7 @@
     demand: Demand,
 ) -> Option<Charge> {
     let open = OpenCharge {
-        id: AskId::drawn(rand::random()),
+        id: PeerRequestId::from_random(rand::random()),
         open: &traffic.charges,
     };
     let (sender, answer) = oneshot::channel();
@@ -124,7 +124,7 @@
 
     /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
     /// here meanwhile, and the keeper takes the units for told when this entry tells of them.
-    pub fn charged(&self, ask: AskId, charge: Charge) {
+    pub fn charged(&self, ask: PeerRequestId, charge: Charge) {
         let asked = self.charges.0.borrow_mut().swap_remove(&ask);
         if let Some(asked) = asked {
             // Whoever asked may have just left.
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -11,7 +11,7 @@
 use crate::direct::quarantine::record::Told;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::admission::Ask;
-use crate::direct::sharing::admission::AskId;
+use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::Release;
 use crate::direct::sharing::allotment::Charge;
 use crate::direct::sharing::allotment::Demand;
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargeAsk {
     /// Names the question.
-    pub id: AskId,
+    pub id: PeerRequestId,
     /// The customer's name.
     pub customer: Arc<str>,
     /// What the request asks of the allotment.
@@ -117,19 +117,19 @@
         /// Short name of the engine.
         upstream: u32,
         /// The question that is taken back.
-        ask: AskId,
+        ask: PeerRequestId,
     },
     /// The receiver has room at the engine that it asked for.
     Grant {
         /// The question that is answered.
-        ask: AskId,
+        ask: PeerRequestId,
         /// Short name of the engine.
         upstream: u32,
     },
     /// The receiver's question waits.
     Queued {
         /// The question that is answered.
-        ask: AskId,
+        ask: PeerRequestId,
         /// How long it is expected to wait.
         wait_ms: u32,
     },
@@ -145,7 +145,7 @@
     /// The receiver's request was charged or not.
     ChargeReply {
         /// The question that is answered.
-        ask: AskId,
+        ask: PeerRequestId,
         /// The answer.
         charge: Charge,
     },
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -8,8 +8,8 @@
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
 use crate::direct::sharing::admission::Ask;
-use crate::direct::sharing::admission::AskId;
 use crate::direct::sharing::admission::MAX_QUEUES_PER_REQUEST;
+use crate::direct::sharing::admission::PeerRequestId;
 use crate::numbers::signed;
 
 /// Silence of a door after which another one is asked, and at last the engine itself. Doors
@@ -30,14 +30,14 @@
     /// Asks the door of an engine, perhaps not for the first time.
     Ask {
         /// Names the question.
-        id: AskId,
+        id: PeerRequestId,
         /// The engine.
         instance: Arc<str>,
     },
     /// Takes a question back.
     TakeBack {
         /// The question.
-        id: AskId,
+        id: PeerRequestId,
         /// The engine.
         instance: Arc<str>,
     },
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug)]
 struct Asked {
-    id: AskId,
+    id: PeerRequestId,
     instance: Arc<str>,
     at_ms: u64,
     wait_ms: Option<u32>,
@@ -93,7 +93,7 @@
     /// Asks a first door. `random` gives a new number at each call.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::AskId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -116,17 +116,17 @@
     /// expect too long a wait.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::AskId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
-    /// let next = Asking::new(job).busy(AskId(7), 20, &Dispatcher::default(), 0, || 1);
+    /// let next = Asking::new(job).busy(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
     /// assert!(next.is_empty());
     /// ```
     pub fn busy(
         &mut self,
-        ask: AskId,
+        ask: PeerRequestId,
         wait_ms: u32,
         dispatcher: &Dispatcher,
         now_ms: u64,
@@ -148,7 +148,7 @@
     /// What the time that has passed asks for: other doors, the same again, or no door at all.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::AskId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -194,17 +194,23 @@
     /// The question to an upstream's door.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::Asking, placement::dispatch::Dispatcher, sharing::admission::AskId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::asking::Asking, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
-    /// let ask = Asking::new(job).question(AskId(7), "i-1", &Dispatcher::default(), 60);
+    /// let ask = Asking::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(ask.waited_ms, 60);
     /// assert!(ask.in_time_for_ms < 40);
     /// ```
     #[must_use]
-    pub fn question(&self, id: AskId, instance: &str, dispatcher: &Dispatcher, now_ms: u64) -> Ask {
+    pub fn question(
+        &self,
+        id: PeerRequestId,
+        instance: &str,
+        dispatcher: &Dispatcher,
+        now_ms: u64,
+    ) -> Ask {
         // What is owed to a size is not put off again for the time that this size takes to be read.
         let lead_ms = if self.job.is_owed {
             0
@@ -223,7 +229,7 @@
     /// Takes all questions back, when the request has room or waits no more.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::AskId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -252,7 +258,7 @@
         let draw = || usize::try_from(random() & DRAW_BITS).unwrap_or_default();
         let upstream = dispatcher.choose(&self.job, &asked, now_ms, draw)?;
         let asked = Asked {
-            id: AskId::drawn(random()),
+            id: PeerRequestId::from_random(random()),
             instance: Arc::clone(&upstream.instance),
             at_ms: now_ms,
             wait_ms: None,
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -18,8 +18,8 @@
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
 use crate::direct::sharing::admission::Ask;
-use crate::direct::sharing::admission::AskId;
 use crate::direct::sharing::admission::EntryRef;
+use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::Release;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
@@ -34,7 +34,7 @@
     /// The question waits.
     Busy {
         /// The question.
-        ask: AskId,
+        ask: PeerRequestId,
         /// How long it is expected to wait.
         wait_ms: u32,
     },
@@ -85,7 +85,7 @@
         None
     }
 
-    fn ask(&self, id: AskId, instance: &Arc<str>) {
+    fn ask(&self, id: PeerRequestId, instance: &Arc<str>) {
         let traffic = &self.traffic;
         let dispatcher = traffic.dispatcher.borrow();
         let ask = self
@@ -107,7 +107,7 @@
         }
     }
 
-    fn take_back(&self, id: AskId, instance: &str) {
+    fn take_back(&self, id: PeerRequestId, instance: &str) {
         let traffic = &self.traffic;
         let Some(open) = traffic.asks.borrow_mut().swap_remove(&id) else {
             return;
@@ -252,7 +252,7 @@
     }
 
     /// Takes a grant in, or gives it back if nobody waits for it any more.
-    pub fn granted(self: &Rc<Self>, ask: AskId, upstream: u32) {
+    pub fn granted(self: &Rc<Self>, ask: PeerRequestId, upstream: u32) {
         let asked = self.asks.borrow_mut().swap_remove(&ask);
         let started = asked.and_then(|asked| {
             let mut dispatcher = self.dispatcher.borrow_mut();
@@ -270,7 +270,7 @@
     }
 
     /// Takes a door's reply that a question waits.
-    pub fn busy(&self, ask: AskId, wait_ms: u32) {
+    pub fn busy(&self, ask: PeerRequestId, wait_ms: u32) {
         if let Some(asked) = self.asks.borrow().get(&ask) {
             // The receiver lives as long as the question is open.
             let _ = asked.replies.send(Reply::Busy { ask, wait_ms });
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -41,22 +41,22 @@
 
 /// Names one question to a peer: for room, or to charge a request. The entry that asks gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct AskId(pub u64);
+pub struct PeerRequestId(pub u64);
 
 /// Bits of a question's name. Names are random, so that a process that starts again does not use
 /// those that peers still hold of it; more bits would only make messages longer.
 const ID_BITS: u64 = 0xffff_ffff;
 
-impl AskId {
+impl PeerRequestId {
     /// The name that a random number gives.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::admission::AskId;
+    /// use sardinewood::direct::sharing::admission::PeerRequestId;
     ///
-    /// assert_eq!(AskId::drawn(7), AskId(7));
+    /// assert_eq!(PeerRequestId::from_random(7), PeerRequestId(7));
     /// ```
     #[must_use]
-    pub fn drawn(random: u64) -> Self {
+    pub fn from_random(random: u64) -> Self {
         Self(random & ID_BITS)
     }
 }
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
     /// Names the question.
-    pub id: AskId,
+    pub id: PeerRequestId,
     /// Short name of the engine.
     pub upstream: u32,
     /// What the request is worth if it is in time, in millionths of one of the first tier
@@ -106,7 +106,7 @@
     /// Who asked.
     pub to: EntryRef,
     /// The question.
-    pub ask: AskId,
+    pub ask: PeerRequestId,
     /// Short name of the engine.
     pub upstream: u32,
 }
@@ -239,18 +239,18 @@
 /// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
 ///
 /// ```
-/// use sardinewood::direct::sharing::admission::{Ask, AskId, EntryRef, AdmissionController, Release};
+/// use sardinewood::direct::sharing::admission::{Ask, PeerRequestId, EntryRef, AdmissionController, Release};
 ///
 /// let mut admission = AdmissionController::default();
 /// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
-/// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+/// let ask = |id| Ask { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
 /// admission.enqueue(EntryRef::Local, ask(1), 0);
 /// admission.enqueue(EntryRef::Local, ask(2), 0);
-/// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(1));
+/// assert_eq!(admission.next_grant(0).unwrap().ask, PeerRequestId(1));
 /// assert_eq!(admission.next_grant(0), None);
 /// admission.release(EntryRef::Local, upstream, Release::Answered { held_ms: 40 });
-/// assert_eq!(admission.next_grant(0).unwrap().ask, AskId(2));
+/// assert_eq!(admission.next_grant(0).unwrap().ask, PeerRequestId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
@@ -307,12 +307,12 @@
     /// knows what the others send. Its door does: every start goes through it.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, AskId, EntryRef, AdmissionController}};
+    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, PeerRequestId, EntryRef, AdmissionController}};
     /// let mut admission = AdmissionController::default();
     /// admission.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
-    /// let ask = |id| Ask { id: AskId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+    /// let ask = |id| Ask { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
     /// admission.enqueue(EntryRef::Local, ask(1), 0);
     /// assert_eq!(admission.next_grant(0), None);
     /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
@@ -374,8 +374,8 @@
     /// Takes a question.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{Ask, AskId, EntryRef, AdmissionController};
-    /// let ask = Ask { id: AskId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+    /// # use sardinewood::direct::sharing::admission::{Ask, PeerRequestId, EntryRef, AdmissionController};
+    /// let ask = Ask { id: PeerRequestId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
     /// AdmissionController::default().enqueue(EntryRef::Local, ask, 0);
     /// ```
     pub fn enqueue(&mut self, from: EntryRef, ask: Ask, now_ms: u64) {
@@ -407,10 +407,10 @@
     /// Takes a question back.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{AskId, EntryRef, AdmissionController};
-    /// AdmissionController::default().cancel(EntryRef::Local, 7, AskId(1));
+    /// # use sardinewood::direct::sharing::admission::{PeerRequestId, EntryRef, AdmissionController};
+    /// AdmissionController::default().cancel(EntryRef::Local, 7, PeerRequestId(1));
     /// ```
-    pub fn cancel(&mut self, from: EntryRef, upstream: u32, ask: AskId) {
+    pub fn cancel(&mut self, from: EntryRef, upstream: u32, ask: PeerRequestId) {
         if let Some(door) = self.by_upstream.get_mut(&upstream) {
             door.queue
                 .retain(|queued| queued.from != from || queued.ask.id != ask);
@@ -562,15 +562,15 @@
     /// Expected wait of a question that is queued; none if it is not.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{AskId, EntryRef, AdmissionController};
-    /// assert_eq!(AdmissionController::default().expected_wait_ms(EntryRef::Local, 7, AskId(1), 0), None);
+    /// # use sardinewood::direct::sharing::admission::{PeerRequestId, EntryRef, AdmissionController};
+    /// assert_eq!(AdmissionController::default().expected_wait_ms(EntryRef::Local, 7, PeerRequestId(1), 0), None);
     /// ```
     #[must_use]
     pub fn expected_wait_ms(
         &self,
         from: EntryRef,
         upstream: u32,
-        ask: AskId,
+        ask: PeerRequestId,
         now_ms: u64,
     ) -> Option<u32> {
         let door = self.by_upstream.get(&upstream)?;
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -40,8 +40,8 @@
 use crate::direct::rooms::AskedDoor;
 use crate::direct::sharing::admission;
 use crate::direct::sharing::admission::AdmissionController;
-use crate::direct::sharing::admission::AskId;
 use crate::direct::sharing::admission::EntryRef;
+use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::Release;
 use crate::direct::sharing::allotment::Allotments;
 use crate::direct::sharing::allotment::Demand;
@@ -72,7 +72,7 @@
     /// The other entries.
     pub peers: RefCell<PeerTable>,
     /// What this entry has asked at doors.
-    pub asks: RefCell<IndexMap<AskId, AskedDoor>>,
+    pub asks: RefCell<IndexMap<PeerRequestId, AskedDoor>>,
     /// Where messages to peers leave.
     pub socket: UdpSocket,
     /// What customers may spend.
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -8,8 +8,8 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
-use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::EntryRef;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::Release;
 use sardinewood::direct::sharing::admission::owner;
 
@@ -31,7 +31,7 @@
 
 fn ask(id: u64, worth_micros: u32, in_time_for_ms: i64) -> Ask {
     Ask {
-        id: AskId(id),
+        id: PeerRequestId(id),
         upstream: engine(),
         worth_micros,
         in_time_for_ms,
@@ -104,7 +104,7 @@
         admission.enqueue(EntryRef::Local, ask(id, 1_000, 500), 0);
     }
     granted(&mut admission, 0);
-    admission.cancel(EntryRef::Local, engine(), AskId(3));
+    admission.cancel(EntryRef::Local, engine(), PeerRequestId(3));
     admission.release(EntryRef::Local, engine(), Release::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
@@ -395,7 +395,7 @@
     let mut admission = admission();
     admission.set_limits([(engine(), 500)].into_iter().collect(), 0);
     admission.enqueue(EntryRef::Local, ask(1, 1_000, 500), 0);
-    let wait_ms = admission.expected_wait_ms(EntryRef::Local, engine(), AskId(1), 0);
+    let wait_ms = admission.expected_wait_ms(EntryRef::Local, engine(), PeerRequestId(1), 0);
     assert_eq!(wait_ms, Some(2_000));
 }
 
@@ -415,7 +415,7 @@
                 used += 1;
             }
         }
-        admission.cancel(EntryRef::Peer(peer(1)), engine(), AskId(now_ms));
+        admission.cancel(EntryRef::Peer(peer(1)), engine(), PeerRequestId(now_ms));
     }
     assert!(used >= 58, "{used} of 60");
 }
--- a/lib/tests/test_direct_asking.rs
+++ b/lib/tests/test_direct_asking.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::sharing::admission::AskId;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::view::directory::Upstream;
 
 use crate::direct_fixture::job;
@@ -35,7 +35,7 @@
     }
 }
 
-fn asked(next: &[Next]) -> Vec<(AskId, Arc<str>)> {
+fn asked(next: &[Next]) -> Vec<(PeerRequestId, Arc<str>)> {
     next.iter()
         .filter_map(|next| match next {
             Next::Ask { id, instance } => Some((*id, Arc::clone(instance))),
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -15,8 +15,8 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::Ask;
-use sardinewood::direct::sharing::admission::AskId;
 use sardinewood::direct::sharing::admission::EntryRef;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 
 const ENGINES: u32 = 400;
 const CUSTOMERS: u64 = 1_700;
@@ -146,7 +146,7 @@
     }
     for number in 0..ENGINES {
         let ask = Ask {
-            id: AskId(number.into()),
+            id: PeerRequestId(number.into()),
             upstream: short_name(&engine(number)),
             worth_micros: 1,
             in_time_for_ms: 9,
--- a/lib/tests/test_direct_size_floor.rs
+++ b/lib/tests/test_direct_size_floor.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::placement::asking::Asking;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::sharing::admission::AskId;
+use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_floor::SizeFloor;
 use sardinewood::direct::sharing::size_shares::CallEnd;
 use sardinewood::direct::sharing::size_shares::SizeClass;
@@ -150,7 +150,7 @@
     let in_time_for_ms = |job: Job| {
         let asking = Asking::new(job);
         asking
-            .question(AskId(1), "i-1", &dispatcher, 0)
+            .question(PeerRequestId(1), "i-1", &dispatcher, 0)
             .in_time_for_ms
     };
     assert!(in_time_for_ms(long.clone()) < 0);
