--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -53,7 +53,7 @@
             .insert(id, (request, Arc::clone(instance), owner));
         match owner {
             EntryRef::Local => self.asked(entry, EntryRef::Local, ask),
-            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Ask(ask)),
+            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::RequestSlot(ask)),
         }
     }
 
@@ -136,7 +136,7 @@
         let peer = address(from);
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
-            PeerMessage::Ask(ask) => self.asked(entry, EntryRef::Peer(peer), ask),
+            PeerMessage::RequestSlot(ask) => self.asked(entry, EntryRef::Peer(peer), ask),
             PeerMessage::Cancel { upstream, ask } => {
                 let admission = &mut self.entries[entry].admission;
                 admission.cancel(EntryRef::Peer(peer), upstream, ask);
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -111,7 +111,7 @@
     /// The state of the sender.
     Heartbeat(Heartbeat),
     /// The sender wants room at an engine whose door the receiver keeps.
-    Ask(Ask),
+    RequestSlot(Ask),
     /// The sender no longer wants it.
     Cancel {
         /// Short name of the engine.
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Asks the door of an engine, perhaps not for the first time.
-    Ask {
+    RequestSlot {
         /// Names the question.
         id: PeerRequestId,
         /// The engine.
@@ -175,7 +175,7 @@
         for asked in &mut self.asks {
             if now_ms >= asked.at_ms + ASK_AGAIN_MS {
                 asked.at_ms = now_ms;
-                next.push(Next::Ask {
+                next.push(Next::RequestSlot {
                     id: asked.id,
                     instance: Arc::clone(&asked.instance),
                 });
@@ -263,7 +263,7 @@
             at_ms: now_ms,
             wait_ms: None,
         };
-        let next = Next::Ask {
+        let next = Next::RequestSlot {
             id: asked.id,
             instance: Arc::clone(&asked.instance),
         };
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -96,7 +96,7 @@
         let traffic = &self.traffic;
         match PeerMessage::decode(bytes) {
             Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
-            Some(PeerMessage::Ask(ask)) => traffic.asked(EntryRef::Peer(from), ask),
+            Some(PeerMessage::RequestSlot(ask)) => traffic.asked(EntryRef::Peer(from), ask),
             Some(PeerMessage::Cancel { upstream, ask }) => {
                 traffic
                     .admission
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -77,7 +77,7 @@
     /// Carries out what was decided, and whether that ends the wait.
     fn carry_out(&self, next: Next) -> Option<End> {
         match next {
-            Next::Ask { id, instance } => self.ask(id, &instance),
+            Next::RequestSlot { id, instance } => self.ask(id, &instance),
             Next::TakeBack { id, instance } => self.take_back(id, &instance),
             Next::GoUnasked { instance } => return self.go_unasked(&instance).map(End::Started),
             Next::Refuse => return Some(End::Refused),
@@ -103,7 +103,7 @@
         traffic.asks.borrow_mut().insert(id, open);
         match owner {
             EntryRef::Local => traffic.asked(EntryRef::Local, ask),
-            EntryRef::Peer(address) => traffic.tell(address, &PeerMessage::Ask(ask)),
+            EntryRef::Peer(address) => traffic.tell(address, &PeerMessage::RequestSlot(ask)),
         }
     }
 
--- a/lib/tests/test_direct_asking.rs
+++ b/lib/tests/test_direct_asking.rs
@@ -38,7 +38,7 @@
 fn asked(next: &[Next]) -> Vec<(PeerRequestId, Arc<str>)> {
     next.iter()
         .filter_map(|next| match next {
-            Next::Ask { id, instance } => Some((*id, Arc::clone(instance))),
+            Next::RequestSlot { id, instance } => Some((*id, Arc::clone(instance))),
             _ => None,
         })
         .collect()
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_start.rs
@@ -62,7 +62,7 @@
 fn asked(next: &[Next]) -> Vec<String> {
     next.iter()
         .filter_map(|next| match next {
-            Next::Ask { instance, .. } => Some(instance.to_string()),
+            Next::RequestSlot { instance, .. } => Some(instance.to_string()),
             _ => None,
         })
         .collect()
@@ -127,7 +127,7 @@
     for (wait_ms, others) in [(100, 0), (2_000, 1)] {
         let mut asking = Asking::new(request(7, LONG));
         let next = asking.begin(&entry, 0, draws(1));
-        let Some(Next::Ask { id, .. }) = next.first() else {
+        let Some(Next::RequestSlot { id, .. }) = next.first() else {
             panic!("nobody is asked");
         };
         let next = asking.busy(*id, wait_ms, &entry, 2, draws(2));
