--- a/lib/src/direct/charging.rs
+++ b/lib/src/direct/charging.rs
@@ -14,8 +14,8 @@
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::asking::ANSWER_WITHIN_MS;
 use crate::direct::sharing::admission::PeerRequestId;
-use crate::direct::sharing::allotment::Begun;
 use crate::direct::sharing::allotment::Charge;
+use crate::direct::sharing::allotment::ChargeStep;
 use crate::direct::sharing::allotment::Demand;
 use crate::direct::sharing::allotment::Due;
 use crate::direct::traffic::Traffic;
@@ -50,8 +50,8 @@
         .borrow_mut()
         .begin(customer, due, demand, traffic.now_ms());
     let keeper = match begun {
-        Begun::Settled(charge) => return charge,
-        Begun::Ask(keeper) => keeper,
+        ChargeStep::Decided(charge) => return charge,
+        ChargeStep::AskOwner(keeper) => keeper,
     };
     let answer = ask(traffic, keeper, customer, due, demand).await;
     let now_ms = traffic.now_ms();
--- a/lib/src/direct/sharing/allotment.rs
+++ b/lib/src/direct/sharing/allotment.rs
@@ -109,11 +109,11 @@
 
 /// How charging a request begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begun {
+pub enum ChargeStep {
     /// It is settled.
-    Settled(Charge),
+    Decided(Charge),
     /// A peer keeps the customer and is to be asked.
-    Ask(SocketAddr),
+    AskOwner(SocketAddr),
 }
 
 /// The buckets of all customers.
@@ -177,7 +177,7 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_table::Keepers;
-    /// use sardinewood::direct::sharing::allotment::{Allotments, Begun, Demand, Due};
+    /// use sardinewood::direct::sharing::allotment::{Allotments, ChargeStep, Demand, Due};
     /// use sardinewood::direct::view::catalog::{Allotment, Customer};
     ///
     /// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
@@ -188,7 +188,7 @@
     /// allotments.set_keepers(own, keepers, 0, 0);
     /// let due = Due { tokens: None, tier: 0 };
     /// let begun = allotments.begin(&customer, due, Demand::Pressing, 0);
-    /// assert_eq!(begun, Begun::Ask(other));
+    /// assert_eq!(begun, ChargeStep::AskOwner(other));
     /// ```
     pub fn set_keepers(&mut self, own: SocketAddr, keepers: Keepers, unmet: usize, now_ms: u64) {
         self.fleet.unmet = unmet;
@@ -208,16 +208,22 @@
     /// Begins to charge a request of this entry to a customer.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, Begun, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::allotment::{Allotments, ChargeStep, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let due = Due { tokens: None, tier: 0 };
     /// let begun = Allotments::default().begin(&unlimited, due, Demand::Slack, 0);
-    /// assert_eq!(begun, Begun::Settled(Charge::Granted));
+    /// assert_eq!(begun, ChargeStep::Decided(Charge::Granted));
     /// ```
-    pub fn begin(&mut self, customer: &Customer, due: Due, demand: Demand, now_ms: u64) -> Begun {
+    pub fn begin(
+        &mut self,
+        customer: &Customer,
+        due: Due,
+        demand: Demand,
+        now_ms: u64,
+    ) -> ChargeStep {
         let Some(allotment) = customer.allotment else {
-            return Begun::Settled(Charge::Granted);
+            return ChargeStep::Decided(Charge::Granted);
         };
         let wanted = due.wanted(allotment, demand);
         let keeper = self.fleet.keeper(&customer.name);
@@ -228,19 +234,19 @@
         let bucket = self.bucket(&customer.name, allotment, now_ms);
         let Some(keeper) = keeper else {
             bucket.keep(standing);
-            return Begun::Settled(bucket.charge_own(wanted, now_ms));
+            return ChargeStep::Decided(bucket.charge_own(wanted, now_ms));
         };
         bucket.release();
         if is_unanswered {
-            return Begun::Settled(bucket.charge_alone(wanted, now_ms));
+            return ChargeStep::Decided(bucket.charge_alone(wanted, now_ms));
         }
         if let Some(retry_after_ms) = bucket.refused_for_ms(wanted, now_ms) {
-            return Begun::Settled(Charge::Exceeded { retry_after_ms });
+            return ChargeStep::Decided(Charge::Exceeded { retry_after_ms });
         }
         if bucket.charge_unasked(wanted, now_ms) {
-            return Begun::Settled(Charge::Granted);
+            return ChargeStep::Decided(Charge::Granted);
         }
-        Begun::Ask(keeper)
+        ChargeStep::AskOwner(keeper)
     }
 
     /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -7,8 +7,8 @@
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::sharing::allotment::Allotments;
-use sardinewood::direct::sharing::allotment::Begun;
 use sardinewood::direct::sharing::allotment::Charge;
+use sardinewood::direct::sharing::allotment::ChargeStep;
 use sardinewood::direct::sharing::allotment::Demand;
 use sardinewood::direct::sharing::allotment::Due;
 use sardinewood::direct::sharing::allotment::Tolerance;
@@ -126,8 +126,8 @@
                 .clone()
                 .begin(&self.customer, due, self.demand, own_ms);
             return match begun {
-                Begun::Ask(keeper) => index_of(keeper),
-                Begun::Settled(_) => index,
+                ChargeStep::AskOwner(keeper) => index_of(keeper),
+                ChargeStep::Decided(_) => index,
             };
         }
         unreachable!("an entry is up")
@@ -206,8 +206,8 @@
             .allotments
             .begin(&customer, due, demand, now_ms);
         let charge = match begun {
-            Begun::Settled(charge) => charge,
-            Begun::Ask(keeper) => {
+            ChargeStep::Decided(charge) => charge,
+            ChargeStep::AskOwner(keeper) => {
                 let keeper = index_of(keeper);
                 let is_lost = (self.is_cut)(at, keeper, self.now_ms)
                     || (self.is_cut)(keeper, at, self.now_ms);
