--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -9,10 +9,10 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission;
-use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRequest;
 
 use super::Event;
 use super::Fleet;
@@ -43,17 +43,17 @@
         let Some(asking) = state.waiting.get(&request) else {
             return;
         };
-        let mut ask = asking.question(id, instance, &state.dispatcher, self.now_ms);
+        let mut slot_request = asking.question(id, instance, &state.dispatcher, self.now_ms);
         if self.setup.variant == Variant::WithoutOrder {
-            ask.worth_micros = EQUAL_WORTH;
-            ask.in_time_for_ms = i64::MAX / 2;
+            slot_request.worth_micros = EQUAL_WORTH;
+            slot_request.in_time_for_ms = i64::MAX / 2;
         }
         state
             .asks
             .insert(id, (request, Arc::clone(instance), owner));
         match owner {
-            EntryRef::Local => self.asked(entry, EntryRef::Local, ask),
-            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::RequestSlot(ask)),
+            EntryRef::Local => self.asked(entry, EntryRef::Local, slot_request),
+            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::RequestSlot(slot_request)),
         }
     }
 
@@ -72,15 +72,19 @@
         }
     }
 
-    pub(super) fn asked(&mut self, entry: usize, from: EntryRef, ask: Ask) {
+    pub(super) fn asked(&mut self, entry: usize, from: EntryRef, slot_request: SlotRequest) {
         let now_ms = self.now_ms;
-        self.entries[entry].admission.enqueue(from, ask, now_ms);
+        self.entries[entry]
+            .admission
+            .enqueue(from, slot_request, now_ms);
         self.grant(entry);
         let admission = &self.entries[entry].admission;
-        let Some(wait_ms) = admission.expected_wait_ms(from, ask.upstream, ask.id, now_ms) else {
+        let Some(wait_ms) =
+            admission.expected_wait_ms(from, slot_request.upstream, slot_request.id, now_ms)
+        else {
             return;
         };
-        let ask = ask.id;
+        let request_id = slot_request.id;
         match from {
             EntryRef::Local => self.busy(entry, ask, wait_ms),
             EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Queued { ask, wait_ms }),
@@ -136,7 +140,9 @@
         let peer = address(from);
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
-            PeerMessage::RequestSlot(ask) => self.asked(entry, EntryRef::Peer(peer), ask),
+            PeerMessage::RequestSlot(slot_request) => {
+                self.asked(entry, EntryRef::Peer(peer), slot_request)
+            }
             PeerMessage::Cancel { upstream, ask } => {
                 let admission = &mut self.entries[entry].admission;
                 admission.cancel(EntryRef::Peer(peer), upstream, ask);
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -9,10 +9,10 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::AdmissionController;
-use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRequest;
 use sardinewood::direct::sharing::rate::Rate;
 use sardinewood::numbers;
 
@@ -96,7 +96,7 @@
 
 /// A message between two entries.
 enum Sent {
-    Ask(u64),
+    SlotRequest(u64),
     Grant(u64),
     Unused,
 }
@@ -296,7 +296,7 @@
         if self.setup.way == Way::Keeper
             && let Some(keeper) = self.keeper(now_ms)
         {
-            self.send(now_ms, keeper, entry, Sent::Ask(request));
+            self.send(now_ms, keeper, entry, Sent::SlotRequest(request));
         }
     }
 
@@ -316,8 +316,8 @@
                 continue;
             }
             match sent {
-                Sent::Ask(request) => {
-                    let ask = Ask {
+                Sent::SlotRequest(request) => {
+                    let slot_request = SlotRequest {
                         id: PeerRequestId(request),
                         upstream: short_name(UPSTREAM),
                         worth_micros: 1,
@@ -325,7 +325,9 @@
                         waited_ms: 0,
                     };
                     let asker = EntryRef::Peer(address(from));
-                    self.entries[to].admission.enqueue(asker, ask, now_ms);
+                    self.entries[to]
+                        .admission
+                        .enqueue(asker, slot_request, now_ms);
                 }
                 Sent::Grant(request) => self.granted(now_ms, to, from, request),
                 Sent::Unused => {
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -10,9 +10,9 @@
 use crate::direct::notices::record::Told as ToldNotice;
 use crate::direct::quarantine::record::Told;
 use crate::direct::rollout::message::RolloutMessage;
-use crate::direct::sharing::admission::Ask;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::Release;
+use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::sharing::allotment::Charge;
 use crate::direct::sharing::allotment::Demand;
 use crate::direct::sharing::allotment::Due;
@@ -111,7 +111,7 @@
     /// The state of the sender.
     Heartbeat(Heartbeat),
     /// The sender wants room at an engine whose door the receiver keeps.
-    RequestSlot(Ask),
+    RequestSlot(SlotRequest),
     /// The sender no longer wants it.
     Cancel {
         /// Short name of the engine.
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -7,9 +7,9 @@
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
-use crate::direct::sharing::admission::Ask;
 use crate::direct::sharing::admission::MAX_QUEUES_PER_REQUEST;
 use crate::direct::sharing::admission::PeerRequestId;
+use crate::direct::sharing::admission::SlotRequest;
 use crate::numbers::signed;
 
 /// Silence of a door after which another one is asked, and at last the engine itself. Doors
@@ -199,9 +199,9 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
-    /// let ask = Asking::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
-    /// assert_eq!(ask.waited_ms, 60);
-    /// assert!(ask.in_time_for_ms < 40);
+    /// let slot_request = Asking::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
+    /// assert_eq!(slot_request.waited_ms, 60);
+    /// assert!(slot_request.in_time_for_ms < 40);
     /// ```
     #[must_use]
     pub fn question(
@@ -210,14 +210,14 @@
         instance: &str,
         dispatcher: &Dispatcher,
         now_ms: u64,
-    ) -> Ask {
+    ) -> SlotRequest {
         // What is owed to a size is not put off again for the time that this size takes to be read.
         let lead_ms = if self.job.is_owed {
             0
         } else {
             dispatcher.lead_ms(instance, &self.job)
         };
-        Ask {
+        SlotRequest {
             id,
             upstream: short_name(instance),
             worth_micros: self.job.worth_micros(),
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -96,7 +96,9 @@
         let traffic = &self.traffic;
         match PeerMessage::decode(bytes) {
             Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
-            Some(PeerMessage::RequestSlot(ask)) => traffic.asked(EntryRef::Peer(from), ask),
+            Some(PeerMessage::RequestSlot(slot_request)) => {
+                traffic.asked(EntryRef::Peer(from), slot_request)
+            }
             Some(PeerMessage::Cancel { upstream, ask }) => {
                 traffic
                     .admission
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -17,10 +17,10 @@
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
-use crate::direct::sharing::admission::Ask;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::Release;
+use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
@@ -88,11 +88,11 @@
     fn ask(&self, id: PeerRequestId, instance: &Arc<str>) {
         let traffic = &self.traffic;
         let dispatcher = traffic.dispatcher.borrow();
-        let ask = self
+        let slot_request = self
             .asking
             .question(id, instance, &dispatcher, traffic.now_ms());
         drop(dispatcher);
-        let owner = traffic.owner(ask.upstream);
+        let owner = traffic.owner(slot_request.upstream);
         let open = AskedDoor {
             replies: self.replies.clone(),
             service: Arc::clone(&self.asking.job.service),
@@ -102,8 +102,10 @@
         };
         traffic.asks.borrow_mut().insert(id, open);
         match owner {
-            EntryRef::Local => traffic.asked(EntryRef::Local, ask),
-            EntryRef::Peer(address) => traffic.tell(address, &PeerMessage::RequestSlot(ask)),
+            EntryRef::Local => traffic.asked(EntryRef::Local, slot_request),
+            EntryRef::Peer(address) => {
+                traffic.tell(address, &PeerMessage::RequestSlot(slot_request))
+            }
         }
     }
 
@@ -207,23 +209,27 @@
     }
 
     /// Takes a question to a door of ours.
-    pub fn asked(self: &Rc<Self>, from: EntryRef, ask: Ask) {
+    pub fn asked(self: &Rc<Self>, from: EntryRef, slot_request: SlotRequest) {
         let now_ms = self.now_ms();
-        self.admission.borrow_mut().enqueue(from, ask, now_ms);
+        self.admission
+            .borrow_mut()
+            .enqueue(from, slot_request, now_ms);
         self.grant_rooms();
-        let wait_ms = self
-            .admission
-            .borrow()
-            .expected_wait_ms(from, ask.upstream, ask.id, now_ms);
+        let wait_ms = self.admission.borrow().expected_wait_ms(
+            from,
+            slot_request.upstream,
+            slot_request.id,
+            now_ms,
+        );
         let Some(wait_ms) = wait_ms else {
             return;
         };
         match from {
-            EntryRef::Local => self.busy(ask.id, wait_ms),
+            EntryRef::Local => self.busy(slot_request.id, wait_ms),
             EntryRef::Peer(peer) => self.tell(
                 peer,
                 &PeerMessage::Queued {
-                    ask: ask.id,
+                    ask: slot_request.id,
                     wait_ms,
                 },
             ),
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -63,7 +63,7 @@
 
 /// A request that wants room, as a door needs to know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Names the question.
     pub id: PeerRequestId,
     /// Short name of the engine.
@@ -114,7 +114,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Queued {
     from: EntryRef,
-    ask: Ask,
+    slot_request: SlotRequest,
     arrived_ms: u64,
     in_time_until_ms: i64,
 }
@@ -173,7 +173,7 @@
     fn best(&self, now_ms: u64) -> Option<usize> {
         let key = |queued: &Queued| {
             let is_in_time = i64::try_from(now_ms).unwrap_or(i64::MAX) < queued.in_time_until_ms;
-            worth(queued.ask.worth_micros, is_in_time)
+            worth(queued.slot_request.worth_micros, is_in_time)
         };
         (0..self.queue.len()).reduce(|best, index| {
             let order = key(&self.queue[index]).total_cmp(&key(&self.queue[best]));
@@ -239,14 +239,14 @@
 /// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
 ///
 /// ```
-/// use sardinewood::direct::sharing::admission::{Ask, PeerRequestId, EntryRef, AdmissionController, Release};
+/// use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController, Release};
 ///
 /// let mut admission = AdmissionController::default();
 /// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
-/// let ask = |id| Ask { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-/// admission.enqueue(EntryRef::Local, ask(1), 0);
-/// admission.enqueue(EntryRef::Local, ask(2), 0);
+/// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+/// admission.enqueue(EntryRef::Local, slot_request(1), 0);
+/// admission.enqueue(EntryRef::Local, slot_request(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().ask, PeerRequestId(1));
 /// assert_eq!(admission.next_grant(0), None);
 /// admission.release(EntryRef::Local, upstream, Release::Answered { held_ms: 40 });
@@ -307,13 +307,13 @@
     /// knows what the others send. Its door does: every start goes through it.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{Ask, PeerRequestId, EntryRef, AdmissionController}};
+    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController}};
     /// let mut admission = AdmissionController::default();
     /// admission.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
-    /// let ask = |id| Ask { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// admission.enqueue(EntryRef::Local, ask(1), 0);
+    /// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+    /// admission.enqueue(EntryRef::Local, slot_request(1), 0);
     /// assert_eq!(admission.next_grant(0), None);
     /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
     /// assert!(admission.next_grant(1_000).is_some());
@@ -374,18 +374,18 @@
     /// Takes a question.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{Ask, PeerRequestId, EntryRef, AdmissionController};
-    /// let ask = Ask { id: PeerRequestId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
-    /// AdmissionController::default().enqueue(EntryRef::Local, ask, 0);
+    /// # use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController};
+    /// let slot_request = SlotRequest { id: PeerRequestId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+    /// AdmissionController::default().enqueue(EntryRef::Local, slot_request, 0);
     /// ```
-    pub fn enqueue(&mut self, from: EntryRef, ask: Ask, now_ms: u64) {
-        let Some(door) = self.by_upstream.get_mut(&ask.upstream) else {
+    pub fn enqueue(&mut self, from: EntryRef, slot_request: SlotRequest, now_ms: u64) {
+        let Some(door) = self.by_upstream.get_mut(&slot_request.upstream) else {
             return;
         };
         let is_known = door
             .queue
             .iter()
-            .any(|queued| queued.from == from && queued.ask.id == ask.id);
+            .any(|queued| queued.from == from && queued.slot_request.id == slot_request.id);
         if is_known {
             return;
         }
@@ -397,11 +397,11 @@
         let now = i64::try_from(now_ms).unwrap_or(i64::MAX);
         door.queue.push(Queued {
             from,
-            ask,
-            arrived_ms: now_ms.saturating_sub(ask.waited_ms),
-            in_time_until_ms: now.saturating_add(ask.in_time_for_ms),
+            slot_request,
+            arrived_ms: now_ms.saturating_sub(slot_request.waited_ms),
+            in_time_until_ms: now.saturating_add(slot_request.in_time_for_ms),
         });
-        self.changed.push(ask.upstream);
+        self.changed.push(slot_request.upstream);
     }
 
     /// Takes a question back.
@@ -413,7 +413,7 @@
     pub fn cancel(&mut self, from: EntryRef, upstream: u32, ask: PeerRequestId) {
         if let Some(door) = self.by_upstream.get_mut(&upstream) {
             door.queue
-                .retain(|queued| queued.from != from || queued.ask.id != ask);
+                .retain(|queued| queued.from != from || queued.slot_request.id != ask);
         }
     }
 
@@ -554,7 +554,7 @@
         }
         Some(Grant {
             to: queued.from,
-            ask: queued.ask.id,
+            ask: queued.slot_request.id,
             upstream: name,
         })
     }
@@ -577,10 +577,14 @@
         let own = door
             .queue
             .iter()
-            .find(|queued| queued.from == from && queued.ask.id == ask)?;
+            .find(|queued| queued.from == from && queued.slot_request.id == ask)?;
         let now = i64::try_from(now_ms).unwrap_or(i64::MAX);
-        let worth_of =
-            |queued: &Queued| worth(queued.ask.worth_micros, now < queued.in_time_until_ms);
+        let worth_of = |queued: &Queued| {
+            worth(
+                queued.slot_request.worth_micros,
+                now < queued.in_time_until_ms,
+            )
+        };
         let ahead = door
             .queue
             .iter()
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -7,10 +7,10 @@
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission::AdmissionController;
-use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRequest;
 use sardinewood::direct::sharing::admission::owner;
 
 const SLOTS: u32 = 3;
@@ -29,8 +29,8 @@
     SocketAddr::from(([10, 0, 0, number], 7))
 }
 
-fn ask(id: u64, worth_micros: u32, in_time_for_ms: i64) -> Ask {
-    Ask {
+fn ask(id: u64, worth_micros: u32, in_time_for_ms: i64) -> SlotRequest {
+    SlotRequest {
         id: PeerRequestId(id),
         upstream: engine(),
         worth_micros,
@@ -197,7 +197,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u8, u32),
+    SlotRequest(u8, u32),
     Done(u8),
     Heartbeat(u8),
     Gone(u8),
@@ -205,7 +205,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        4 => (0..4u8, 1..2_000u32).prop_map(|(from, worth)| Step::Ask(from, worth)),
+        4 => (0..4u8, 1..2_000u32).prop_map(|(from, worth)| Step::SlotRequest(from, worth)),
         4 => (0..4u8).prop_map(Step::Done),
         1 => (0..4u8).prop_map(Step::Heartbeat),
         1 => (0..4u8).prop_map(Step::Gone),
@@ -242,7 +242,7 @@
         let mut id = 0;
         for (now_ms, step) in (0u64..).zip(steps) {
             match step {
-                Step::Ask(from, worth) => {
+                Step::SlotRequest(from, worth) => {
                     id += 1;
                     admission.enqueue(EntryRef::Peer(peer(from)), ask(id, worth, 500), now_ms);
                 }
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -14,9 +14,9 @@
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::sharing::admission::AdmissionController;
-use sardinewood::direct::sharing::admission::Ask;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
+use sardinewood::direct::sharing::admission::SlotRequest;
 
 const ENGINES: u32 = 400;
 const CUSTOMERS: u64 = 1_700;
@@ -145,7 +145,7 @@
         admission.reconcile(peer(), &LoadChunk::of(one_each.clone(), sequence), sequence);
     }
     for number in 0..ENGINES {
-        let ask = Ask {
+        let ask = SlotRequest {
             id: PeerRequestId(number.into()),
             upstream: short_name(&engine(number)),
             worth_micros: 1,
