--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn request_slot(
         &mut self,
         entry: usize,
         request: usize,
--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -224,7 +224,9 @@
     pub(super) fn carry_out(&mut self, entry: usize, request: usize, all: Vec<Next>) {
         for next in all {
             match next {
-                Next::RequestSlot { id, instance } => self.ask(entry, request, id, &instance),
+                Next::RequestSlot { id, instance } => {
+                    self.request_slot(entry, request, id, &instance)
+                }
                 Next::TakeBack { id, instance } => self.take_back(entry, id, &instance),
                 Next::GoUnasked { instance } => {
                     return self.start(entry, request, &instance, false);
--- a/lib/src/direct/charging.rs
+++ b/lib/src/direct/charging.rs
@@ -53,7 +53,7 @@
         ChargeStep::Decided(charge) => return charge,
         ChargeStep::AskOwner(keeper) => keeper,
     };
-    let answer = ask(traffic, keeper, customer, due, demand).await;
+    let answer = request_charge(traffic, keeper, customer, due, demand).await;
     let now_ms = traffic.now_ms();
     let mut allotments = traffic.allotments.borrow_mut();
     if let Some(charge) = answer {
@@ -68,7 +68,7 @@
     allotments.unanswered(keeper, customer, due, demand, now_ms)
 }
 
-async fn ask(
+async fn request_charge(
     traffic: &Traffic,
     keeper: SocketAddr,
     customer: &Customer,
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -77,7 +77,7 @@
     /// Carries out what was decided, and whether that ends the wait.
     fn carry_out(&self, next: Next) -> Option<End> {
         match next {
-            Next::RequestSlot { id, instance } => self.ask(id, &instance),
+            Next::RequestSlot { id, instance } => self.request_slot(id, &instance),
             Next::TakeBack { id, instance } => self.take_back(id, &instance),
             Next::GoUnasked { instance } => return self.go_unasked(&instance).map(End::Started),
             Next::Refuse => return Some(End::Refused),
@@ -85,7 +85,7 @@
         None
     }
 
-    fn ask(&self, id: PeerRequestId, instance: &Arc<str>) {
+    fn request_slot(&self, id: PeerRequestId, instance: &Arc<str>) {
         let traffic = &self.traffic;
         let dispatcher = traffic.dispatcher.borrow();
         let slot_request = self
