--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -66,9 +66,14 @@
             EntryRef::Local => self.entries[entry]
                 .admission
                 .cancel(EntryRef::Local, upstream, id),
-            EntryRef::Peer(peer) => {
-                self.tell(entry, peer, PeerMessage::Cancel { upstream, ask: id })
-            }
+            EntryRef::Peer(peer) => self.tell(
+                entry,
+                peer,
+                PeerMessage::Cancel {
+                    upstream,
+                    request_id: id,
+                },
+            ),
         }
     }
 
@@ -86,37 +91,49 @@
         };
         let request_id = slot_request.id;
         match from {
-            EntryRef::Local => self.busy(entry, ask, wait_ms),
-            EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::Queued { ask, wait_ms }),
+            EntryRef::Local => self.busy(entry, request_id, wait_ms),
+            EntryRef::Peer(peer) => self.tell(
+                entry,
+                peer,
+                PeerMessage::Queued {
+                    request_id,
+                    wait_ms,
+                },
+            ),
         }
     }
 
     pub(super) fn grant(&mut self, entry: usize) {
         while let Some(grant) = self.entries[entry].admission.next_grant(self.now_ms) {
-            let (ask, upstream) = (grant.ask, grant.upstream);
+            let (request_id, upstream) = (grant.request_id, grant.upstream);
             match grant.to {
-                EntryRef::Local => self.granted(entry, ask, upstream),
-                EntryRef::Peer(peer) => {
-                    self.tell(entry, peer, PeerMessage::Grant { ask, upstream })
-                }
+                EntryRef::Local => self.granted(entry, request_id, upstream),
+                EntryRef::Peer(peer) => self.tell(
+                    entry,
+                    peer,
+                    PeerMessage::Grant {
+                        request_id,
+                        upstream,
+                    },
+                ),
             }
         }
         self.grant_by_rate(entry);
     }
 
-    pub(super) fn granted(&mut self, entry: usize, ask: PeerRequestId, upstream: u32) {
-        match self.entries[entry].asks.swap_remove(&ask) {
+    pub(super) fn granted(&mut self, entry: usize, request_id: PeerRequestId, upstream: u32) {
+        match self.entries[entry].asks.swap_remove(&request_id) {
             Some((request, instance, _)) => self.start(entry, request, &instance, true),
             None => self.give_back(entry, upstream, Release::Unused),
         }
     }
 
-    pub(super) fn busy(&mut self, entry: usize, ask: PeerRequestId, wait_ms: u32) {
-        let Some((request, _, _)) = self.entries[entry].asks.get(&ask) else {
+    pub(super) fn busy(&mut self, entry: usize, request_id: PeerRequestId, wait_ms: u32) {
+        let Some((request, _, _)) = self.entries[entry].asks.get(&request_id) else {
             return;
         };
         self.decide(entry, *request, |asking, dispatcher, now_ms, random| {
-            asking.busy(ask, wait_ms, dispatcher, now_ms, || random.random())
+            asking.busy(request_id, wait_ms, dispatcher, now_ms, || random.random())
         });
     }
 
@@ -143,12 +160,21 @@
             PeerMessage::RequestSlot(slot_request) => {
                 self.asked(entry, EntryRef::Peer(peer), slot_request)
             }
-            PeerMessage::Cancel { upstream, ask } => {
+            PeerMessage::Cancel {
+                upstream,
+                request_id,
+            } => {
                 let admission = &mut self.entries[entry].admission;
-                admission.cancel(EntryRef::Peer(peer), upstream, ask);
+                admission.cancel(EntryRef::Peer(peer), upstream, request_id);
             }
-            PeerMessage::Grant { ask, upstream } => self.granted(entry, ask, upstream),
-            PeerMessage::Queued { ask, wait_ms } => self.busy(entry, ask, wait_ms),
+            PeerMessage::Grant {
+                request_id,
+                upstream,
+            } => self.granted(entry, request_id, upstream),
+            PeerMessage::Queued {
+                request_id,
+                wait_ms,
+            } => self.busy(entry, request_id, wait_ms),
             PeerMessage::Released { upstream, release } => {
                 let admission = &mut self.entries[entry].admission;
                 admission.release(EntryRef::Peer(peer), upstream, release);
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -368,7 +368,7 @@
                 }
             }
             while let Some(grant) = entry.admission.next_grant(now_ms) {
-                grants.push((number(grant.to, number_of), number_of, grant.ask.0));
+                grants.push((number(grant.to, number_of), number_of, grant.request_id.0));
             }
         }
         self.starts_ms.extend((0..starts).map(|_| now_ms));
--- a/lib/src/direct/charging.rs
+++ b/lib/src/direct/charging.rs
@@ -116,7 +116,7 @@
             self.now_ms(),
         );
         let answer = PeerMessage::ChargeReply {
-            ask: question.id,
+            request_id: question.id,
             charge,
         };
         self.tell(to, &answer);
@@ -124,8 +124,8 @@
 
     /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
     /// here meanwhile, and the keeper takes the units for told when this entry tells of them.
-    pub fn charged(&self, ask: PeerRequestId, charge: Charge) {
-        let asked = self.charges.0.borrow_mut().swap_remove(&ask);
+    pub fn charged(&self, request_id: PeerRequestId, charge: Charge) {
+        let asked = self.charges.0.borrow_mut().swap_remove(&request_id);
         if let Some(asked) = asked {
             // Whoever asked may have just left.
             let _ = asked.send(charge);
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -117,19 +117,19 @@
         /// Short name of the engine.
         upstream: u32,
         /// The question that is taken back.
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
     },
     /// The receiver has room at the engine that it asked for.
     Grant {
         /// The question that is answered.
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
         /// Short name of the engine.
         upstream: u32,
     },
     /// The receiver's question waits.
     Queued {
         /// The question that is answered.
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
         /// How long it is expected to wait.
         wait_ms: u32,
     },
@@ -145,7 +145,7 @@
     /// The receiver's request was charged or not.
     ChargeReply {
         /// The question that is answered.
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
         /// The answer.
         charge: Charge,
     },
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -126,13 +126,13 @@
     /// ```
     pub fn busy(
         &mut self,
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
         wait_ms: u32,
         dispatcher: &Dispatcher,
         now_ms: u64,
         random: impl FnMut() -> u64,
     ) -> Vec<Next> {
-        if let Some(asked) = self.asks.iter_mut().find(|asked| asked.id == ask) {
+        if let Some(asked) = self.asks.iter_mut().find(|asked| asked.id == request_id) {
             asked.wait_ms = Some(wait_ms);
         }
         if self.is_hopeless(now_ms) {
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -99,14 +99,23 @@
             Some(PeerMessage::RequestSlot(slot_request)) => {
                 traffic.asked(EntryRef::Peer(from), slot_request)
             }
-            Some(PeerMessage::Cancel { upstream, ask }) => {
+            Some(PeerMessage::Cancel {
+                upstream,
+                request_id,
+            }) => {
                 traffic
                     .admission
                     .borrow_mut()
-                    .cancel(EntryRef::Peer(from), upstream, ask);
+                    .cancel(EntryRef::Peer(from), upstream, request_id);
             }
-            Some(PeerMessage::Grant { ask, upstream }) => traffic.granted(ask, upstream),
-            Some(PeerMessage::Queued { ask, wait_ms }) => traffic.busy(ask, wait_ms),
+            Some(PeerMessage::Grant {
+                request_id,
+                upstream,
+            }) => traffic.granted(request_id, upstream),
+            Some(PeerMessage::Queued {
+                request_id,
+                wait_ms,
+            }) => traffic.busy(request_id, wait_ms),
             Some(PeerMessage::Released { upstream, release }) => {
                 traffic
                     .admission
@@ -115,7 +124,9 @@
                 traffic.grant_rooms();
             }
             Some(PeerMessage::ChargeAsk(question)) => traffic.lend(from, &question),
-            Some(PeerMessage::ChargeReply { ask, charge }) => traffic.charged(ask, charge),
+            Some(PeerMessage::ChargeReply { request_id, charge }) => {
+                traffic.charged(request_id, charge)
+            }
             Some(PeerMessage::Suspects(told)) => traffic.hear_suspects(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
             Some(PeerMessage::Notices(told)) => traffic.hear_notices(from, &told),
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -34,7 +34,7 @@
     /// The question waits.
     Busy {
         /// The question.
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
         /// How long it is expected to wait.
         wait_ms: u32,
     },
@@ -121,7 +121,13 @@
                 .borrow_mut()
                 .cancel(EntryRef::Local, upstream, id),
             EntryRef::Peer(address) => {
-                traffic.tell(address, &PeerMessage::Cancel { upstream, ask: id });
+                traffic.tell(
+                    address,
+                    &PeerMessage::Cancel {
+                        upstream,
+                        request_id: id,
+                    },
+                );
             }
         }
     }
@@ -163,11 +169,12 @@
             let pause = (Instant::now() + Duration::from_millis(ANSWER_WITHIN_MS)).min(until);
             let end = match timeout_at(pause, replies.recv()).await {
                 Ok(Some(Reply::Granted(lease))) => Some(End::Started(lease)),
-                Ok(Some(Reply::Busy { ask, wait_ms })) => {
-                    self.decide(|asking, dispatcher, now_ms| {
-                        asking.busy(ask, wait_ms, dispatcher, now_ms, rand::random)
-                    })
-                }
+                Ok(Some(Reply::Busy {
+                    request_id,
+                    wait_ms,
+                })) => self.decide(|asking, dispatcher, now_ms| {
+                    asking.busy(request_id, wait_ms, dispatcher, now_ms, rand::random)
+                }),
                 Ok(None) => Some(End::Refused),
                 Err(_) => self.decide(|asking, dispatcher, now_ms| {
                     asking.silence(dispatcher, now_ms, rand::random)
@@ -229,7 +236,7 @@
             EntryRef::Peer(peer) => self.tell(
                 peer,
                 &PeerMessage::Queued {
-                    ask: slot_request.id,
+                    request_id: slot_request.id,
                     wait_ms,
                 },
             ),
@@ -245,11 +252,11 @@
                 return;
             };
             match grant.to {
-                EntryRef::Local => self.granted(grant.ask, grant.upstream),
+                EntryRef::Local => self.granted(grant.request_id, grant.upstream),
                 EntryRef::Peer(peer) => self.tell(
                     peer,
                     &PeerMessage::Grant {
-                        ask: grant.ask,
+                        request_id: grant.request_id,
                         upstream: grant.upstream,
                     },
                 ),
@@ -258,8 +265,8 @@
     }
 
     /// Takes a grant in, or gives it back if nobody waits for it any more.
-    pub fn granted(self: &Rc<Self>, ask: PeerRequestId, upstream: u32) {
-        let asked = self.asks.borrow_mut().swap_remove(&ask);
+    pub fn granted(self: &Rc<Self>, request_id: PeerRequestId, upstream: u32) {
+        let asked = self.asks.borrow_mut().swap_remove(&request_id);
         let started = asked.and_then(|asked| {
             let mut dispatcher = self.dispatcher.borrow_mut();
             let upstream = dispatcher.began(&asked.instance, self.now_ms())?;
@@ -276,10 +283,13 @@
     }
 
     /// Takes a door's reply that a question waits.
-    pub fn busy(&self, ask: PeerRequestId, wait_ms: u32) {
-        if let Some(asked) = self.asks.borrow().get(&ask) {
+    pub fn busy(&self, request_id: PeerRequestId, wait_ms: u32) {
+        if let Some(asked) = self.asks.borrow().get(&request_id) {
             // The receiver lives as long as the question is open.
-            let _ = asked.replies.send(Reply::Busy { ask, wait_ms });
+            let _ = asked.replies.send(Reply::Busy {
+                request_id,
+                wait_ms,
+            });
         }
     }
 
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -106,7 +106,7 @@
     /// Who asked.
     pub to: EntryRef,
     /// The question.
-    pub ask: PeerRequestId,
+    pub request_id: PeerRequestId,
     /// Short name of the engine.
     pub upstream: u32,
 }
@@ -247,10 +247,10 @@
 /// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
 /// admission.enqueue(EntryRef::Local, slot_request(1), 0);
 /// admission.enqueue(EntryRef::Local, slot_request(2), 0);
-/// assert_eq!(admission.next_grant(0).unwrap().ask, PeerRequestId(1));
+/// assert_eq!(admission.next_grant(0).unwrap().request_id, PeerRequestId(1));
 /// assert_eq!(admission.next_grant(0), None);
 /// admission.release(EntryRef::Local, upstream, Release::Answered { held_ms: 40 });
-/// assert_eq!(admission.next_grant(0).unwrap().ask, PeerRequestId(2));
+/// assert_eq!(admission.next_grant(0).unwrap().request_id, PeerRequestId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
@@ -410,10 +410,10 @@
     /// # use sardinewood::direct::sharing::admission::{PeerRequestId, EntryRef, AdmissionController};
     /// AdmissionController::default().cancel(EntryRef::Local, 7, PeerRequestId(1));
     /// ```
-    pub fn cancel(&mut self, from: EntryRef, upstream: u32, ask: PeerRequestId) {
+    pub fn cancel(&mut self, from: EntryRef, upstream: u32, request_id: PeerRequestId) {
         if let Some(door) = self.by_upstream.get_mut(&upstream) {
             door.queue
-                .retain(|queued| queued.from != from || queued.slot_request.id != ask);
+                .retain(|queued| queued.from != from || queued.slot_request.id != request_id);
         }
     }
 
@@ -554,7 +554,7 @@
         }
         Some(Grant {
             to: queued.from,
-            ask: queued.slot_request.id,
+            request_id: queued.slot_request.id,
             upstream: name,
         })
     }
@@ -570,14 +570,14 @@
         &self,
         from: EntryRef,
         upstream: u32,
-        ask: PeerRequestId,
+        request_id: PeerRequestId,
         now_ms: u64,
     ) -> Option<u32> {
         let door = self.by_upstream.get(&upstream)?;
         let own = door
             .queue
             .iter()
-            .find(|queued| queued.from == from && queued.slot_request.id == ask)?;
+            .find(|queued| queued.from == from && queued.slot_request.id == request_id)?;
         let now = i64::try_from(now_ms).unwrap_or(i64::MAX);
         let worth_of = |queued: &Queued| {
             worth(
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -45,7 +45,7 @@
 
 fn granted(admission: &mut AdmissionController, now_ms: u64) -> Vec<u64> {
     std::iter::from_fn(|| admission.next_grant(now_ms))
-        .map(|grant| grant.ask.0)
+        .map(|grant| grant.request_id.0)
         .collect()
 }
 
@@ -408,7 +408,7 @@
     for now_ms in 0..60_000 {
         admission.enqueue(EntryRef::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
         if let Some(grant) = admission.next_grant(now_ms) {
-            if grant.ask.0.is_multiple_of(2) {
+            if grant.request_id.0.is_multiple_of(2) {
                 admission.release(grant.to, engine(), Release::Unused);
             } else {
                 admission.release(grant.to, engine(), answered(10));
