--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -102,7 +102,7 @@
 
 /// What a door says to a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct SlotGrant {
     /// Who asked.
     pub to: EntryRef,
     /// The question.
@@ -517,7 +517,7 @@
     /// ```
     /// assert_eq!(sardinewood::direct::sharing::admission::AdmissionController::default().next_grant(0), None);
     /// ```
-    pub fn next_grant(&mut self, now_ms: u64) -> Option<Grant> {
+    pub fn next_grant(&mut self, now_ms: u64) -> Option<SlotGrant> {
         let allowed: Vec<u32> = self
             .limited()
             .filter(|(_, door)| door.rate_allows_in_ms(now_ms) == Some(0))
@@ -533,7 +533,7 @@
         None
     }
 
-    fn grant_at(&mut self, name: u32, now_ms: u64) -> Option<Grant> {
+    fn grant_at(&mut self, name: u32, now_ms: u64) -> Option<SlotGrant> {
         let door = self.by_upstream.get_mut(&name)?;
         if door.used() >= door.room() {
             return None;
@@ -552,7 +552,7 @@
                 tracked.is_touched = true;
             }
         }
-        Some(Grant {
+        Some(SlotGrant {
             to: queued.from,
             request_id: queued.slot_request.id,
             upstream: name,
