--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::admission::SlotRequest;
 
 use super::Event;
@@ -124,7 +124,7 @@
     pub(super) fn granted(&mut self, entry: usize, request_id: PeerRequestId, upstream: u32) {
         match self.entries[entry].asks.swap_remove(&request_id) {
             Some((request, instance, _)) => self.start(entry, request, &instance, true),
-            None => self.give_back(entry, upstream, Release::Unused),
+            None => self.give_back(entry, upstream, SlotRelease::Unused),
         }
     }
 
@@ -137,7 +137,7 @@
         });
     }
 
-    pub(super) fn give_back(&mut self, entry: usize, upstream: u32, release: Release) {
+    pub(super) fn give_back(&mut self, entry: usize, upstream: u32, release: SlotRelease) {
         match self.owner(entry, upstream) {
             EntryRef::Local => {
                 let admission = &mut self.entries[entry].admission;
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
-use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::size_floor::SizeFloor;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::numbers;
@@ -36,7 +36,7 @@
             || state.dispatcher.began(instance, self.now_ms).is_none()
         {
             if is_granted {
-                self.give_back(entry, short_name(instance), Release::Unused);
+                self.give_back(entry, short_name(instance), SlotRelease::Unused);
             }
             return;
         }
@@ -160,10 +160,10 @@
             .finished(&instance, run as u64, ended, held_ms, self.now_ms);
         if is_granted {
             let release = match ended {
-                Ended::Answered => Release::Answered {
+                Ended::Answered => SlotRelease::Answered {
                     held_ms: u32::try_from(held_ms).unwrap_or(u32::MAX),
                 },
-                _ => Release::Unanswered,
+                _ => SlotRelease::Unanswered,
             };
             self.give_back(entry, short_name(&instance), release);
         }
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::admission::SlotRequest;
 use sardinewood::direct::sharing::rate::Rate;
 use sardinewood::numbers;
@@ -333,7 +333,7 @@
                 Sent::Unused => {
                     let asker = EntryRef::Peer(address(from));
                     let admission = &mut self.entries[to].admission;
-                    admission.release(asker, short_name(UPSTREAM), Release::Unused);
+                    admission.release(asker, short_name(UPSTREAM), SlotRelease::Unused);
                 }
             }
         }
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -11,7 +11,7 @@
 use crate::direct::quarantine::record::Told;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::admission::PeerRequestId;
-use crate::direct::sharing::admission::Release;
+use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::sharing::allotment::Charge;
 use crate::direct::sharing::allotment::Demand;
@@ -138,7 +138,7 @@
         /// Short name of the engine.
         upstream: u32,
         /// How it was used.
-        release: Release,
+        release: SlotRelease,
     },
     /// The sender wants to charge a request.
     ChargeAsk(ChargeAsk),
--- a/lib/src/direct/rooms.rs
+++ b/lib/src/direct/rooms.rs
@@ -19,7 +19,7 @@
 use crate::direct::placement::job::Job;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::PeerRequestId;
-use crate::direct::sharing::admission::Release;
+use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
@@ -278,7 +278,7 @@
                 let lease = Lease::new(self, upstream, kept_tokens, true);
                 let _ = replies.send(Reply::Granted(lease));
             }
-            None => self.give_back(upstream, Release::Unused),
+            None => self.give_back(upstream, SlotRelease::Unused),
         }
     }
 
@@ -294,7 +294,7 @@
     }
 
     /// Gives room back to its door.
-    pub fn give_back(self: &Rc<Self>, upstream: u32, release: Release) {
+    pub fn give_back(self: &Rc<Self>, upstream: u32, release: SlotRelease) {
         match self.owner(upstream) {
             EntryRef::Local => {
                 self.admission
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -88,7 +88,7 @@
 
 /// How granted room was used that is free again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Release {
+pub enum SlotRelease {
     /// A request was sent to the upstream, which did not answer it whole.
     Unanswered,
     /// A request was answered whole.
@@ -239,7 +239,7 @@
 /// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
 ///
 /// ```
-/// use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController, Release};
+/// use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController, SlotRelease};
 ///
 /// let mut admission = AdmissionController::default();
 /// admission.set_upstreams([("i-1".into(), 1)]);
@@ -249,7 +249,7 @@
 /// admission.enqueue(EntryRef::Local, slot_request(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().request_id, PeerRequestId(1));
 /// assert_eq!(admission.next_grant(0), None);
-/// admission.release(EntryRef::Local, upstream, Release::Answered { held_ms: 40 });
+/// admission.release(EntryRef::Local, upstream, SlotRelease::Answered { held_ms: 40 });
 /// assert_eq!(admission.next_grant(0).unwrap().request_id, PeerRequestId(2));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -423,10 +423,10 @@
     /// counted, an upstream would get a good part less than its limit.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::admission::{EntryRef, AdmissionController, Release};
-    /// AdmissionController::default().release(EntryRef::Local, 7, Release::Unused);
+    /// # use sardinewood::direct::sharing::admission::{EntryRef, AdmissionController, SlotRelease};
+    /// AdmissionController::default().release(EntryRef::Local, 7, SlotRelease::Unused);
     /// ```
-    pub fn release(&mut self, from: EntryRef, upstream: u32, release: Release) {
+    pub fn release(&mut self, from: EntryRef, upstream: u32, release: SlotRelease) {
         let Some(door) = self.by_upstream.get_mut(&upstream) else {
             return;
         };
@@ -439,9 +439,9 @@
             }
         }
         match release {
-            Release::Unanswered => {}
-            Release::Answered { held_ms } => door.hold.observe(f64::from(held_ms)),
-            Release::Unused => door.rate.iter_mut().for_each(Rate::put_back),
+            SlotRelease::Unanswered => {}
+            SlotRelease::Answered { held_ms } => door.hold.observe(f64::from(held_ms)),
+            SlotRelease::Unused => door.rate.iter_mut().for_each(Rate::put_back),
         }
         self.changed.push(upstream);
     }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -42,7 +42,7 @@
 use crate::direct::sharing::admission::AdmissionController;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::PeerRequestId;
-use crate::direct::sharing::admission::Release;
+use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::allotment::Allotments;
 use crate::direct::sharing::allotment::Demand;
 use crate::direct::sharing::attempt_budget::AttemptBudget;
@@ -226,11 +226,11 @@
         }
         if self.is_granted {
             let release = match self.ended {
-                _ if !self.is_sent.get() => Release::Unused,
-                Ended::Answered => Release::Answered {
+                _ if !self.is_sent.get() => SlotRelease::Unused,
+                Ended::Answered => SlotRelease::Answered {
                     held_ms: u32::try_from(held_ms).unwrap_or(u32::MAX),
                 },
-                _ => Release::Unanswered,
+                _ => SlotRelease::Unanswered,
             };
             let name = short_name(&self.upstream.instance);
             self.traffic.give_back(name, release);
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::admission::Release;
+use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::admission::SlotRequest;
 use sardinewood::direct::sharing::admission::owner;
 
@@ -39,8 +39,8 @@
     }
 }
 
-fn answered(held_ms: u32) -> Release {
-    Release::Answered { held_ms }
+fn answered(held_ms: u32) -> SlotRelease {
+    SlotRelease::Answered { held_ms }
 }
 
 fn granted(admission: &mut AdmissionController, now_ms: u64) -> Vec<u64> {
@@ -105,7 +105,7 @@
     }
     granted(&mut admission, 0);
     admission.cancel(EntryRef::Local, engine(), PeerRequestId(3));
-    admission.release(EntryRef::Local, engine(), Release::Unanswered);
+    admission.release(EntryRef::Local, engine(), SlotRelease::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -177,7 +177,7 @@
     }
     granted(&mut admission, 0);
     admission.set_upstreams([]);
-    admission.release(EntryRef::Local, engine(), Release::Unanswered);
+    admission.release(EntryRef::Local, engine(), SlotRelease::Unanswered);
     assert!(granted(&mut admission, 0).is_empty());
 }
 
@@ -409,7 +409,7 @@
         admission.enqueue(EntryRef::Peer(peer(1)), ask(now_ms, 1_000, 500), now_ms);
         if let Some(grant) = admission.next_grant(now_ms) {
             if grant.request_id.0.is_multiple_of(2) {
-                admission.release(grant.to, engine(), Release::Unused);
+                admission.release(grant.to, engine(), SlotRelease::Unused);
             } else {
                 admission.release(grant.to, engine(), answered(10));
                 used += 1;
