--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -46,7 +46,7 @@
         let mut slot_request = asking.question(id, instance, &state.dispatcher, self.now_ms);
         if self.setup.variant == Variant::WithoutOrder {
             slot_request.worth_micros = EQUAL_WORTH;
-            slot_request.in_time_for_ms = i64::MAX / 2;
+            slot_request.objective_in_ms = i64::MAX / 2;
         }
         state
             .asks
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -321,7 +321,7 @@
                         id: PeerRequestId(request),
                         upstream: short_name(UPSTREAM),
                         worth_micros: 1,
-                        in_time_for_ms: 500,
+                        objective_in_ms: 500,
                         waited_ms: 0,
                     };
                     let asker = EntryRef::Peer(address(from));
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -201,7 +201,7 @@
     /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
     /// let slot_request = Asking::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(slot_request.waited_ms, 60);
-    /// assert!(slot_request.in_time_for_ms < 40);
+    /// assert!(slot_request.objective_in_ms < 40);
     /// ```
     #[must_use]
     pub fn question(
@@ -221,7 +221,7 @@
             id,
             upstream: short_name(instance),
             worth_micros: self.job.worth_micros(),
-            in_time_for_ms: signed(self.job.objective_at_ms) - signed(now_ms) - signed(lead_ms),
+            objective_in_ms: signed(self.job.objective_at_ms) - signed(now_ms) - signed(lead_ms),
             waited_ms: now_ms.saturating_sub(self.job.arrived_ms),
         }
     }
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -72,7 +72,7 @@
     /// and of usual size.
     pub worth_micros: u32,
     /// How long its answer is still worth most; negative if that time is over.
-    pub in_time_for_ms: i64,
+    pub objective_in_ms: i64,
     /// How long it has waited.
     pub waited_ms: u64,
 }
@@ -244,7 +244,7 @@
 /// let mut admission = AdmissionController::default();
 /// admission.set_upstreams([("i-1".into(), 1)]);
 /// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
-/// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+/// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, objective_in_ms: 9, waited_ms: 0 };
 /// admission.enqueue(EntryRef::Local, slot_request(1), 0);
 /// admission.enqueue(EntryRef::Local, slot_request(2), 0);
 /// assert_eq!(admission.next_grant(0).unwrap().request_id, PeerRequestId(1));
@@ -312,7 +312,7 @@
     /// admission.set_upstreams([("i-1".into(), 9)]);
     /// let upstream = short_name("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
-    /// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+    /// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, objective_in_ms: 9, waited_ms: 0 };
     /// admission.enqueue(EntryRef::Local, slot_request(1), 0);
     /// assert_eq!(admission.next_grant(0), None);
     /// assert_eq!(admission.next_grant_in_ms(0), Some(1_000));
@@ -375,7 +375,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController};
-    /// let slot_request = SlotRequest { id: PeerRequestId(1), upstream: 7, worth_micros: 1_000, in_time_for_ms: 9, waited_ms: 0 };
+    /// let slot_request = SlotRequest { id: PeerRequestId(1), upstream: 7, worth_micros: 1_000, objective_in_ms: 9, waited_ms: 0 };
     /// AdmissionController::default().enqueue(EntryRef::Local, slot_request, 0);
     /// ```
     pub fn enqueue(&mut self, from: EntryRef, slot_request: SlotRequest, now_ms: u64) {
@@ -399,7 +399,7 @@
             from,
             slot_request,
             arrived_ms: now_ms.saturating_sub(slot_request.waited_ms),
-            in_time_until_ms: now.saturating_add(slot_request.in_time_for_ms),
+            in_time_until_ms: now.saturating_add(slot_request.objective_in_ms),
         });
         self.changed.push(slot_request.upstream);
     }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -29,12 +29,12 @@
     SocketAddr::from(([10, 0, 0, number], 7))
 }
 
-fn ask(id: u64, worth_micros: u32, in_time_for_ms: i64) -> SlotRequest {
+fn ask(id: u64, worth_micros: u32, objective_in_ms: i64) -> SlotRequest {
     SlotRequest {
         id: PeerRequestId(id),
         upstream: engine(),
         worth_micros,
-        in_time_for_ms,
+        objective_in_ms,
         waited_ms: 0,
     }
 }
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -149,7 +149,7 @@
             id: PeerRequestId(number.into()),
             upstream: short_name(&engine(number)),
             worth_micros: 1,
-            in_time_for_ms: 9,
+            objective_in_ms: 9,
             waited_ms: 0,
         };
         admission.enqueue(EntryRef::Local, ask, 50);
--- a/lib/tests/test_direct_size_floor.rs
+++ b/lib/tests/test_direct_size_floor.rs
@@ -147,18 +147,18 @@
         prompt_tokens: 10_000,
         ..job(1, 0)
     };
-    let in_time_for_ms = |job: Job| {
+    let objective_in_ms = |job: Job| {
         let asking = Asking::new(job);
         asking
             .question(PeerRequestId(1), "i-1", &dispatcher, 0)
-            .in_time_for_ms
+            .objective_in_ms
     };
-    assert!(in_time_for_ms(long.clone()) < 0);
+    assert!(objective_in_ms(long.clone()) < 0);
     let owed = Job {
         is_owed: true,
         ..long
     };
-    assert!(in_time_for_ms(owed) > 0);
+    assert!(objective_in_ms(owed) > 0);
 }
 
 #[test]
