--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -13,9 +13,9 @@
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
-use crate::direct::sharing::allotment::Charge;
-use crate::direct::sharing::allotment::Demand;
-use crate::direct::sharing::allotment::Due;
+use crate::direct::sharing::quota::Charge;
+use crate::direct::sharing::quota::Demand;
+use crate::direct::sharing::quota::Due;
 
 /// First byte of every datagram; another form of the message gets another number.
 const FORM: u8 = 5;
--- a/lib/src/direct/sharing.rs
+++ b/lib/src/direct/sharing.rs
@@ -2,8 +2,8 @@
 //! allotments, second attempts. All of it decides and knows no socket.
 
 pub mod admission;
-pub mod allotment;
 pub mod attempt_budget;
+pub mod quota;
 pub mod rate;
 pub mod size_floor;
 pub mod size_shares;
--- a/lib/src/direct/sharing/allotment.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -30,12 +30,12 @@
 
 use crate::direct::membership::peer_message::CustomerSpending;
 use crate::direct::membership::peer_table::Keepers;
-use crate::direct::sharing::allotment::bucket::Bucket;
-use crate::direct::sharing::allotment::bucket::Spending;
-use crate::direct::sharing::allotment::bucket::Wanted;
-use crate::direct::sharing::allotment::fleet::Changed;
-use crate::direct::sharing::allotment::fleet::Fleet;
-use crate::direct::sharing::allotment::fleet::Standing;
+use crate::direct::sharing::quota::bucket::Bucket;
+use crate::direct::sharing::quota::bucket::Spending;
+use crate::direct::sharing::quota::bucket::Wanted;
+use crate::direct::sharing::quota::fleet::Changed;
+use crate::direct::sharing::quota::fleet::Fleet;
+use crate::direct::sharing::quota::fleet::Standing;
 use crate::direct::view::catalog::Allotment;
 use crate::direct::view::catalog::Customer;
 use crate::numbers;
@@ -43,7 +43,7 @@
 mod bucket;
 mod fleet;
 
-pub use crate::direct::sharing::allotment::bucket::Tolerance;
+pub use crate::direct::sharing::quota::bucket::Tolerance;
 
 /// How long a keeper that has not answered is not asked again. Each question to it costs a caller
 /// the wait for an answer; a keeper that is back is asked soon enough.
@@ -119,7 +119,7 @@
 /// The buckets of all customers.
 ///
 /// ```
-/// use sardinewood::direct::sharing::allotment::{Allotments, Charge, Demand, Due};
+/// use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
 /// use sardinewood::direct::view::catalog::{Allotment, Customer};
 ///
 /// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
@@ -146,7 +146,7 @@
     /// Takes what the platform tolerates.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, Tolerance};
+    /// # use sardinewood::direct::sharing::quota::{Allotments, Tolerance};
     /// Allotments::default().set_tolerance(Tolerance::default());
     /// ```
     pub fn set_tolerance(&mut self, tolerance: Tolerance) {
@@ -156,7 +156,7 @@
     /// Takes how many entries have been heard, this one included, and which of them are not now.
     ///
     /// ```
-    /// let mut allotments = sardinewood::direct::sharing::allotment::Allotments::default();
+    /// let mut allotments = sardinewood::direct::sharing::quota::Allotments::default();
     /// allotments.set_fleet(4, vec!["10.0.0.1:7".parse().unwrap()], 0);
     /// ```
     pub fn set_fleet(&mut self, known: usize, silent: Vec<SocketAddr>, now_ms: u64) {
@@ -177,7 +177,7 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_table::Keepers;
-    /// use sardinewood::direct::sharing::allotment::{Allotments, ChargeStep, Demand, Due};
+    /// use sardinewood::direct::sharing::quota::{Allotments, ChargeStep, Demand, Due};
     /// use sardinewood::direct::view::catalog::{Allotment, Customer};
     ///
     /// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
@@ -208,7 +208,7 @@
     /// Begins to charge a request of this entry to a customer.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, ChargeStep, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{Allotments, ChargeStep, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let due = Due { tokens: None, tier: 0 };
@@ -252,7 +252,7 @@
     /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::{Allotment, Customer};
     /// # let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
@@ -274,7 +274,7 @@
     /// Charges a request whose keeper has not answered, and leaves that keeper alone for a moment.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
@@ -302,7 +302,7 @@
     /// Charges a request of a peer to a customer that is kept here.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
@@ -345,7 +345,7 @@
     /// refused for what another entry has not told yet.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::allotment::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let due = Due { tokens: None, tier: 0 };
@@ -365,7 +365,7 @@
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
-    /// sardinewood::direct::sharing::allotment::Allotments::default().spent_elsewhere(peer, &"c".into(), 5, 0);
+    /// sardinewood::direct::sharing::quota::Allotments::default().spent_elsewhere(peer, &"c".into(), 5, 0);
     /// ```
     pub fn spent_elsewhere(
         &mut self,
@@ -386,7 +386,7 @@
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
-    /// sardinewood::direct::sharing::allotment::Allotments::default().peer_started(peer);
+    /// sardinewood::direct::sharing::quota::Allotments::default().peer_started(peer);
     /// ```
     pub fn peer_started(&mut self, peer: SocketAddr) {
         for bucket in self.buckets.values_mut() {
@@ -397,7 +397,7 @@
     /// What this entry has spent of each customer's allotment since its start.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::allotment::Allotments::default().own_spent().count(), 0);
+    /// assert_eq!(sardinewood::direct::sharing::quota::Allotments::default().own_spent().count(), 0);
     /// ```
     pub fn own_spent(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
         self.buckets
@@ -408,7 +408,7 @@
     /// Notes that peers have been told of customers' spending here.
     ///
     /// ```
-    /// sardinewood::direct::sharing::allotment::Allotments::default().told(&[]);
+    /// sardinewood::direct::sharing::quota::Allotments::default().told(&[]);
     /// ```
     pub fn told(&mut self, told: &[CustomerSpending]) {
         for spent in told {
--- a/lib/src/direct/sharing/allotment/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -4,10 +4,10 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::sharing::allotment::Charge;
-use crate::direct::sharing::allotment::Demand;
-use crate::direct::sharing::allotment::fleet::Fleet;
-use crate::direct::sharing::allotment::fleet::Standing;
+use crate::direct::sharing::quota::Charge;
+use crate::direct::sharing::quota::Demand;
+use crate::direct::sharing::quota::fleet::Fleet;
+use crate::direct::sharing::quota::fleet::Standing;
 use crate::direct::view::catalog::Allotment;
 use crate::numbers;
 
--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/keeper_fleet.rs
@@ -6,12 +6,12 @@
 use sardinewood::direct::membership::peer_message::CustomerSpending;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::sharing::allotment::Allotments;
-use sardinewood::direct::sharing::allotment::Charge;
-use sardinewood::direct::sharing::allotment::ChargeStep;
-use sardinewood::direct::sharing::allotment::Demand;
-use sardinewood::direct::sharing::allotment::Due;
-use sardinewood::direct::sharing::allotment::Tolerance;
+use sardinewood::direct::sharing::quota::Allotments;
+use sardinewood::direct::sharing::quota::Charge;
+use sardinewood::direct::sharing::quota::ChargeStep;
+use sardinewood::direct::sharing::quota::Demand;
+use sardinewood::direct::sharing::quota::Due;
+use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::view::catalog::Allotment;
 use sardinewood::direct::view::catalog::Customer;
 
--- a/lib/tests/test_direct_keepers.rs
+++ b/lib/tests/test_direct_keepers.rs
@@ -1,6 +1,6 @@
 //! One customer's allotment in a fleet of a hundred entries whose heartbeats are a second apart.
 
-use sardinewood::direct::sharing::allotment::Demand;
+use sardinewood::direct::sharing::quota::Demand;
 
 use crate::keeper_fleet::ALLOWED;
 use crate::keeper_fleet::KeeperFleet;
--- a/lib/tests/test_direct_shares.rs
+++ b/lib/tests/test_direct_shares.rs
@@ -7,13 +7,13 @@
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::Revisions;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::sharing::allotment::Allotments;
-use sardinewood::direct::sharing::allotment::Charge;
-use sardinewood::direct::sharing::allotment::Demand;
-use sardinewood::direct::sharing::allotment::Due;
-use sardinewood::direct::sharing::allotment::Tolerance;
 use sardinewood::direct::sharing::attempt_budget::AttemptBudget;
 use sardinewood::direct::sharing::attempt_budget::AttemptLimits;
+use sardinewood::direct::sharing::quota::Allotments;
+use sardinewood::direct::sharing::quota::Charge;
+use sardinewood::direct::sharing::quota::Demand;
+use sardinewood::direct::sharing::quota::Due;
+use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::view::catalog::Allotment;
 use sardinewood::direct::view::catalog::Customer;
 
