--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -11,7 +11,6 @@
 //! The direct mode uses the library's store client, headers and logs, and no claims, agents or
 //! operators.
 
-pub mod charging;
 pub mod figures;
 pub mod log_budget;
 pub mod membership;
@@ -20,6 +19,7 @@
 pub mod placement;
 pub mod quarantine;
 pub mod quarantining;
+pub mod quota_driver;
 pub mod replication;
 pub mod request;
 pub mod rollout;
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -21,12 +21,12 @@
 
 use crate::caller::headers::HOP_BY_HOP;
 use crate::caller::headers::connection_names;
-use crate::direct::charging;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::shared_start::SharedStart;
 use crate::direct::quarantine::fingerprint::Asked;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantining::HeldRequest;
+use crate::direct::quota_driver;
 use crate::direct::request::caller::CallerHeaders;
 use crate::direct::request::ending::Counted;
 use crate::direct::request::ending::Ending;
@@ -328,7 +328,7 @@
         tokens: headers.charged_tokens(),
         tier: route.tier,
     };
-    let charged = charging::charge(traffic, customer, due, traffic.demand(service)).await;
+    let charged = quota_driver::charge(traffic, customer, due, traffic.demand(service)).await;
     let Charge::Exceeded { retry_after_ms } = charged else {
         return Ok(());
     };
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -15,7 +15,6 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::direct::charging::OpenCharges;
 use crate::direct::figures::Figures;
 use crate::direct::log_budget::LogBudget;
 use crate::direct::log_budget::Outcome;
@@ -33,6 +32,7 @@
 use crate::direct::quarantine::ends::Breaks;
 use crate::direct::quarantine::recent::RecentSuccesses;
 use crate::direct::quarantine::suspects::Suspects;
+use crate::direct::quota_driver::OpenCharges;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
 use crate::direct::rollout::table::RolloutTable;
