--- a/lib/tests/keeper_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -43,7 +43,7 @@
     missed: Vec<(usize, Heartbeat)>,
 }
 
-pub struct KeeperFleet {
+pub struct QuotaFleet {
     pub members: Vec<Member>,
     pub now_ms: u64,
     customer: Customer,
@@ -85,7 +85,7 @@
     }
 }
 
-impl KeeperFleet {
+impl QuotaFleet {
     pub fn new(count: usize, demand: Demand) -> Self {
         Self {
             members: (0..count).map(|index| member(index, 0, 1)).collect(),
--- a/lib/tests/test_direct_keepers.rs
+++ b/lib/tests/test_direct_quota_owners.rs
@@ -2,22 +2,22 @@
 
 use sardinewood::direct::sharing::quota::Demand;
 
-use crate::keeper_fleet::ALLOWED;
-use crate::keeper_fleet::KeeperFleet;
-use crate::keeper_fleet::RATE_PER_S;
+use crate::quota_fleet::ALLOWED;
+use crate::quota_fleet::QuotaFleet;
+use crate::quota_fleet::RATE_PER_S;
 
 const ENTRIES: usize = 103;
 /// Times its rate that the customer asks for.
 const HOT: f64 = 4.0;
 
 /// A fleet in which all know each other and the customer has asked for half of its rate so far.
-fn calm_fleet(entries: usize, demand: Demand) -> KeeperFleet {
-    let mut fleet = KeeperFleet::new(entries, demand);
+fn calm_fleet(entries: usize, demand: Demand) -> QuotaFleet {
+    let mut fleet = QuotaFleet::new(entries, demand);
     fleet.press(12_000, 0.5);
     fleet
 }
 
-fn assert_within(fleet: &KeeperFleet) {
+fn assert_within(fleet: &QuotaFleet) {
     let most = fleet.most_in_a_window();
     assert!(most <= ALLOWED, "{most} of {ALLOWED}");
 }
