--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -31,7 +31,7 @@
 mod test_direct_replica;
 mod test_direct_rollout;
 mod test_direct_shared_start;
-mod test_direct_shares;
+mod test_direct_sharing;
 mod test_direct_size_floor;
 mod test_direct_store_follower;
 mod test_direct_suspects;
