--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -46,7 +46,7 @@
     demand: Demand,
 ) -> Charge {
     let begun = traffic
-        .allotments
+        .quotas
         .borrow_mut()
         .begin(customer, due, demand, traffic.now_ms());
     let keeper = match begun {
@@ -55,9 +55,9 @@
     };
     let answer = request_charge(traffic, keeper, customer, due, demand).await;
     let now_ms = traffic.now_ms();
-    let mut allotments = traffic.allotments.borrow_mut();
+    let mut quotas = traffic.quotas.borrow_mut();
     if let Some(charge) = answer {
-        allotments.answered(customer, due, charge, now_ms);
+        quotas.answered(customer, due, charge, now_ms);
         return charge;
     }
     let message = "keeper of an allotment is silent";
@@ -65,7 +65,7 @@
         line.field("keeper", keeper)
             .field("customer", &customer.name)
     });
-    allotments.unanswered(keeper, customer, due, demand, now_ms)
+    quotas.unanswered(keeper, customer, due, demand, now_ms)
 }
 
 async fn request_charge(
@@ -108,7 +108,7 @@
             );
             return;
         };
-        let charge = self.allotments.borrow_mut().lend(
+        let charge = self.quotas.borrow_mut().lend(
             to,
             customer,
             question.due,
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -163,14 +163,14 @@
             traffic.sync_rollouts_to(from);
             traffic.greet_with_notices(from);
         }
-        let mut allotments = traffic.allotments.borrow_mut();
+        let mut quotas = traffic.quotas.borrow_mut();
         if heard.is_new {
-            allotments.peer_started(from);
+            quotas.peer_started(from);
         }
         for spent in heard.newly_spent {
-            allotments.spent_elsewhere(from, &spent.customer, spent.units, now_ms);
+            quotas.spent_elsewhere(from, &spent.customer, spent.units, now_ms);
         }
-        drop(allotments);
+        drop(quotas);
         traffic
             .admission
             .borrow_mut()
@@ -200,10 +200,10 @@
         let unmet = peers.undiscovered(now_ms);
         let heard = peers.live_peers(now_ms).len() + 1;
         let keepers = peers.keepers(traffic.is_stopping.get(), now_ms);
-        let mut allotments = traffic.allotments.borrow_mut();
-        allotments.set_keepers(peers.own_address(), keepers, unmet, now_ms);
-        allotments.set_fleet(known, peers.overdue(now_ms), now_ms);
-        drop(allotments);
+        let mut quotas = traffic.quotas.borrow_mut();
+        quotas.set_keepers(peers.own_address(), keepers, unmet, now_ms);
+        quotas.set_fleet(known, peers.overdue(now_ms), now_ms);
+        drop(quotas);
         traffic.budget.borrow_mut().set_entries(known + unmet);
         let part = numbers::ratio(heard, known + unmet);
         traffic.admission.borrow_mut().set_limit_share(part, now_ms);
@@ -231,9 +231,9 @@
     fn own_heartbeat(&mut self) -> Heartbeat {
         let traffic = &self.traffic;
         let dispatcher = traffic.dispatcher.borrow();
-        let mut allotments = traffic.allotments.borrow_mut();
-        let spent = self.spent.next(allotments.own_spent());
-        allotments.told(&spent);
+        let mut quotas = traffic.quotas.borrow_mut();
+        let spent = self.spent.next(quotas.own_spent());
+        quotas.told(&spent);
         let watches_store = *self.links.watches_store.borrow();
         let peers = traffic.peers.borrow();
         Heartbeat {
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -244,7 +244,7 @@
         table,
     );
     traffic
-        .allotments
+        .quotas
         .borrow_mut()
         .set_tolerance(settings.tolerance);
     traffic.set_longest_rest(settings.longest_rest);
@@ -310,7 +310,7 @@
 /// Takes what can change without a new start, and says what can't.
 fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &Traffic) {
     traffic.budget.borrow_mut().set_limits(new.attempts);
-    traffic.allotments.borrow_mut().set_tolerance(new.tolerance);
+    traffic.quotas.borrow_mut().set_tolerance(new.tolerance);
     traffic.set_longest_rest(new.longest_rest);
     traffic.peers.borrow_mut().add_seeds(&new.seeds);
     let moved =
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -119,20 +119,20 @@
 /// The buckets of all customers.
 ///
 /// ```
-/// use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
+/// use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
 /// use sardinewood::direct::view::catalog::{Allotment, Customer};
 ///
 /// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
 /// let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
-/// let mut allotments = Allotments::default();
+/// let mut quotas = CustomerQuotas::default();
 /// let pressing = Demand::Pressing;
 /// let due = |tokens| Due { tokens, tier: 0 };
-/// assert_eq!(allotments.charge(&customer, due(Some(20)), pressing, 0), Charge::Granted);
-/// let refused = allotments.charge(&customer, due(None), pressing, 0);
+/// assert_eq!(quotas.charge(&customer, due(Some(20)), pressing, 0), Charge::Granted);
+/// let refused = quotas.charge(&customer, due(None), pressing, 0);
 /// assert_eq!(refused, Charge::Exceeded { retry_after_ms: 400 });
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Allotments {
+pub struct CustomerQuotas {
     buckets: IndexMap<Arc<str>, Bucket>,
     /// What customers spend elsewhere that this entry has not served yet.
     elsewhere: IndexMap<Arc<str>, Spending>,
@@ -142,12 +142,12 @@
     unanswered: IndexMap<SocketAddr, u64>,
 }
 
-impl Allotments {
+impl CustomerQuotas {
     /// Takes what the platform tolerates.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{Allotments, Tolerance};
-    /// Allotments::default().set_tolerance(Tolerance::default());
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Tolerance};
+    /// CustomerQuotas::default().set_tolerance(Tolerance::default());
     /// ```
     pub fn set_tolerance(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
@@ -156,8 +156,8 @@
     /// Takes how many entries have been heard, this one included, and which of them are not now.
     ///
     /// ```
-    /// let mut allotments = sardinewood::direct::sharing::quota::Allotments::default();
-    /// allotments.set_fleet(4, vec!["10.0.0.1:7".parse().unwrap()], 0);
+    /// let mut quotas = sardinewood::direct::sharing::quota::CustomerQuotas::default();
+    /// quotas.set_fleet(4, vec!["10.0.0.1:7".parse().unwrap()], 0);
     /// ```
     pub fn set_fleet(&mut self, known: usize, silent: Vec<SocketAddr>, now_ms: u64) {
         let is_whole = |fleet: &Fleet| fleet.silent.is_empty() && fleet.unmet == 0;
@@ -177,17 +177,17 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_table::Keepers;
-    /// use sardinewood::direct::sharing::quota::{Allotments, ChargeStep, Demand, Due};
+    /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Demand, Due};
     /// use sardinewood::direct::view::catalog::{Allotment, Customer};
     ///
     /// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
     /// let (own, other) = ("10.0.0.1:7".parse().unwrap(), "10.0.0.2:7".parse().unwrap());
-    /// let mut allotments = Allotments::default();
+    /// let mut quotas = CustomerQuotas::default();
     /// let keepers = Keepers { addresses: vec![other], have_started_together: false };
-    /// allotments.set_keepers(own, keepers, 0, 0);
+    /// quotas.set_keepers(own, keepers, 0, 0);
     /// let due = Due { tokens: None, tier: 0 };
-    /// let begun = allotments.begin(&customer, due, Demand::Pressing, 0);
+    /// let begun = quotas.begin(&customer, due, Demand::Pressing, 0);
     /// assert_eq!(begun, ChargeStep::AskOwner(other));
     /// ```
     pub fn set_keepers(&mut self, own: SocketAddr, keepers: Keepers, unmet: usize, now_ms: u64) {
@@ -208,11 +208,11 @@
     /// Begins to charge a request of this entry to a customer.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{Allotments, ChargeStep, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let due = Due { tokens: None, tier: 0 };
-    /// let begun = Allotments::default().begin(&unlimited, due, Demand::Slack, 0);
+    /// let begun = CustomerQuotas::default().begin(&unlimited, due, Demand::Slack, 0);
     /// assert_eq!(begun, ChargeStep::Decided(Charge::Granted));
     /// ```
     pub fn begin(
@@ -252,14 +252,14 @@
     /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::{Allotment, Customer};
     /// # let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
-    /// let mut allotments = Allotments::default();
+    /// let mut quotas = CustomerQuotas::default();
     /// let due = Due { tokens: None, tier: 0 };
-    /// allotments.answered(&customer, due, Charge::Granted, 0);
-    /// assert_eq!(allotments.own_spent().next().unwrap().1, 5);
+    /// quotas.answered(&customer, due, Charge::Granted, 0);
+    /// assert_eq!(quotas.own_spent().next().unwrap().1, 5);
     /// ```
     pub fn answered(&mut self, customer: &Customer, due: Due, charge: Charge, now_ms: u64) {
         let Some(allotment) = customer.allotment else {
@@ -274,12 +274,12 @@
     /// Charges a request whose keeper has not answered, and leaves that keeper alone for a moment.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
     /// let due = Due { tokens: None, tier: 0 };
-    /// let charge = Allotments::default().unanswered(keeper, &unlimited, due, Demand::Slack, 0);
+    /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, due, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
     pub fn unanswered(
@@ -302,12 +302,12 @@
     /// Charges a request of a peer to a customer that is kept here.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
     /// let due = Due { tokens: None, tier: 0 };
-    /// let charge = Allotments::default().lend(peer, &unlimited, due, Demand::Slack, 0);
+    /// let charge = CustomerQuotas::default().lend(peer, &unlimited, due, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
     pub fn lend(
@@ -345,11 +345,11 @@
     /// refused for what another entry has not told yet.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{Allotments, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
     /// let due = Due { tokens: None, tier: 0 };
-    /// let charge = Allotments::default().charge(&unlimited, due, Demand::Slack, 0);
+    /// let charge = CustomerQuotas::default().charge(&unlimited, due, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
     pub fn charge(&mut self, customer: &Customer, due: Due, demand: Demand, now_ms: u64) -> Charge {
@@ -365,7 +365,7 @@
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
-    /// sardinewood::direct::sharing::quota::Allotments::default().spent_elsewhere(peer, &"c".into(), 5, 0);
+    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().spent_elsewhere(peer, &"c".into(), 5, 0);
     /// ```
     pub fn spent_elsewhere(
         &mut self,
@@ -386,7 +386,7 @@
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
-    /// sardinewood::direct::sharing::quota::Allotments::default().peer_started(peer);
+    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().peer_started(peer);
     /// ```
     pub fn peer_started(&mut self, peer: SocketAddr) {
         for bucket in self.buckets.values_mut() {
@@ -397,7 +397,7 @@
     /// What this entry has spent of each customer's allotment since its start.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::quota::Allotments::default().own_spent().count(), 0);
+    /// assert_eq!(sardinewood::direct::sharing::quota::CustomerQuotas::default().own_spent().count(), 0);
     /// ```
     pub fn own_spent(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
         self.buckets
@@ -408,7 +408,7 @@
     /// Notes that peers have been told of customers' spending here.
     ///
     /// ```
-    /// sardinewood::direct::sharing::quota::Allotments::default().told(&[]);
+    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().told(&[]);
     /// ```
     pub fn told(&mut self, told: &[CustomerSpending]) {
         for spent in told {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -45,7 +45,7 @@
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::attempt_budget::AttemptBudget;
 use crate::direct::sharing::attempt_budget::AttemptLimits;
-use crate::direct::sharing::quota::Allotments;
+use crate::direct::sharing::quota::CustomerQuotas;
 use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::size_floor::SizeFloor;
 use crate::direct::sharing::size_shares::SizeShares;
@@ -76,7 +76,7 @@
     /// Where messages to peers leave.
     pub socket: UdpSocket,
     /// What customers may spend.
-    pub allotments: RefCell<Allotments>,
+    pub quotas: RefCell<CustomerQuotas>,
     /// What keepers of allotments have been asked.
     pub charges: OpenCharges,
     /// Second attempts that are left.
@@ -269,7 +269,7 @@
             peers: RefCell::new(peers),
             asks: RefCell::default(),
             socket,
-            allotments: RefCell::default(),
+            quotas: RefCell::default(),
             charges: OpenCharges::default(),
             budget: RefCell::new(AttemptBudget::new(limits)),
             catalog: RefCell::default(),
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -6,9 +6,9 @@
 use sardinewood::direct::membership::peer_message::CustomerSpending;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::sharing::quota::Allotments;
 use sardinewood::direct::sharing::quota::Charge;
 use sardinewood::direct::sharing::quota::ChargeStep;
+use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::Due;
 use sardinewood::direct::sharing::quota::Tolerance;
@@ -31,7 +31,7 @@
 
 pub struct Member {
     table: PeerTable,
-    allotments: Allotments,
+    quotas: CustomerQuotas,
     began_ms: u64,
     next_heartbeat_ms: u64,
     sequence: u64,
@@ -70,11 +70,11 @@
 }
 
 fn member(index: usize, began_ms: u64, incarnation: u64) -> Member {
-    let mut allotments = Allotments::default();
-    allotments.set_tolerance(TOLERANCE);
+    let mut quotas = CustomerQuotas::default();
+    quotas.set_tolerance(TOLERANCE);
     Member {
         table: PeerTable::new(address(index), &[address(0), address(1), address(2)]),
-        allotments,
+        quotas,
         began_ms,
         next_heartbeat_ms: began_ms,
         sequence: 0,
@@ -122,7 +122,7 @@
             };
             let own_ms = now_ms - member.began_ms;
             let begun = member
-                .allotments
+                .quotas
                 .clone()
                 .begin(&self.customer, due, self.demand, own_ms);
             return match begun {
@@ -203,7 +203,7 @@
         let customer = self.customer.clone();
         let demand = self.demand;
         let begun = self.members[at]
-            .allotments
+            .quotas
             .begin(&customer, due, demand, now_ms);
         let charge = match begun {
             ChargeStep::Decided(charge) => charge,
@@ -213,13 +213,13 @@
                     || (self.is_cut)(keeper, at, self.now_ms);
                 self.asked += 1;
                 if is_lost || !self.is_running(keeper) {
-                    let own = &mut self.members[at].allotments;
+                    let own = &mut self.members[at].quotas;
                     own.unanswered(address(keeper), &customer, due, demand, now_ms)
                 } else {
                     let keeper_ms = self.own_ms(keeper);
-                    let kept = &mut self.members[keeper].allotments;
+                    let kept = &mut self.members[keeper].quotas;
                     let charge = kept.lend(address(at), &customer, due, demand, keeper_ms);
-                    let own = &mut self.members[at].allotments;
+                    let own = &mut self.members[at].quotas;
                     own.answered(&customer, due, charge, now_ms);
                     charge
                 }
@@ -265,7 +265,7 @@
         let member = &mut self.members[from];
         let table = &member.table;
         let keepers = table.keepers(false, own_ms);
-        let own = &mut member.allotments;
+        let own = &mut member.quotas;
         own.set_keepers(address(from), keepers, table.undiscovered(own_ms), own_ms);
         own.set_fleet(table.known_entries(), table.overdue(own_ms), own_ms);
         member.sequence += 1;
@@ -297,10 +297,10 @@
             .table
             .record_heartbeat(address(from), heartbeat, own_ms);
         if heard.is_new {
-            member.allotments.peer_started(address(from));
+            member.quotas.peer_started(address(from));
         }
         for spent in heard.newly_spent {
-            let own = &mut member.allotments;
+            let own = &mut member.quotas;
             own.spent_elsewhere(address(from), &spent.customer, spent.units, own_ms);
         }
     }
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -9,8 +9,8 @@
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::sharing::attempt_budget::AttemptBudget;
 use sardinewood::direct::sharing::attempt_budget::AttemptLimits;
-use sardinewood::direct::sharing::quota::Allotments;
 use sardinewood::direct::sharing::quota::Charge;
+use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::Due;
 use sardinewood::direct::sharing::quota::Tolerance;
@@ -42,7 +42,7 @@
 
 /// Entries that tell each other every 50 ms what they have spent, unless they are cut.
 struct Fleet {
-    entries: Vec<Allotments>,
+    entries: Vec<CustomerQuotas>,
     told: Vec<u64>,
     spent: Vec<u64>,
 }
@@ -50,7 +50,7 @@
 impl Fleet {
     fn new(count: usize) -> Self {
         Self {
-            entries: vec![Allotments::default(); count],
+            entries: vec![CustomerQuotas::default(); count],
             told: vec![0; count],
             spent: vec![0; count],
         }
@@ -150,9 +150,9 @@
 /// One burst and 15 in 100 of the tolerance.
 const AT_ONCE_UNITS: u64 = 1_150;
 
-fn spend_all(allotments: &mut Allotments, demand: Demand, now_ms: u64) -> u64 {
+fn spend_all(quotas: &mut CustomerQuotas, demand: Demand, now_ms: u64) -> u64 {
     std::iter::from_fn(|| {
-        let charge = allotments.charge(&customer(), due(None), demand, now_ms);
+        let charge = quotas.charge(&customer(), due(None), demand, now_ms);
         (charge == Charge::Granted).then_some(COST)
     })
     .sum()
@@ -165,24 +165,24 @@
 
 #[test]
 fn tolerance_given_only_while_nobody_waits() {
-    let mut allotments = Allotments::default();
-    allotments.set_tolerance(TOLERANCE);
+    let mut quotas = CustomerQuotas::default();
+    quotas.set_tolerance(TOLERANCE);
     // Long after the start, so that nothing unknown lies in the window.
     let now_ms = 60_000;
-    let pressing = spend_all(&mut allotments, Demand::Pressing, now_ms);
+    let pressing = spend_all(&mut quotas, Demand::Pressing, now_ms);
     assert_eq!(pressing, RATE_PER_S);
-    let rest = spend_all(&mut allotments, Demand::Slack, now_ms);
+    let rest = spend_all(&mut quotas, Demand::Slack, now_ms);
     assert_eq!(rest, AT_ONCE_UNITS - RATE_PER_S);
-    assert_eq!(spend_all(&mut allotments, Demand::Slack, now_ms), 0);
+    assert_eq!(spend_all(&mut quotas, Demand::Slack, now_ms), 0);
 }
 
 #[test]
 fn calm_window_given_whole_and_never_exceeded() {
     // A customer presses for a minute on an entry where nobody waits.
-    let mut allotments = Allotments::default();
-    allotments.set_tolerance(TOLERANCE);
+    let mut quotas = CustomerQuotas::default();
+    quotas.set_tolerance(TOLERANCE);
     let spent: Vec<u64> = (80..680)
-        .map(|tenth| spend_all(&mut allotments, Demand::Slack, tenth * 100))
+        .map(|tenth| spend_all(&mut quotas, Demand::Slack, tenth * 100))
         .collect();
     let most = most_in_a_window(&spent, 80);
     assert!(most <= WINDOW_UNITS, "{most}");
@@ -196,10 +196,10 @@
     tenths: std::ops::Range<u64>,
 ) -> Vec<u64> {
     const TOKENS: u64 = 3_000;
-    let mut allotments = Allotments::default();
-    allotments.set_tolerance(tolerance);
+    let mut quotas = CustomerQuotas::default();
+    quotas.set_tolerance(tolerance);
     let mut spend = |now_ms| {
-        let charge = || allotments.charge(customer, due(Some(TOKENS)), Demand::Slack, now_ms);
+        let charge = || quotas.charge(customer, due(Some(TOKENS)), Demand::Slack, now_ms);
         std::iter::repeat_with(charge)
             .take_while(|charge| *charge == Charge::Granted)
             .count() as u64
@@ -241,13 +241,13 @@
 fn customer_new_here_is_known_elsewhere() {
     // A customer spends twice its rate through other entries. Its first request here does not
     // find full buckets.
-    let mut allotments = Allotments::default();
-    allotments.set_tolerance(TOLERANCE);
+    let mut quotas = CustomerQuotas::default();
+    quotas.set_tolerance(TOLERANCE);
     for tenth in 200..280 {
-        allotments.spent_elsewhere(address(1), &"c".into(), 200, tenth * 100);
+        quotas.spent_elsewhere(address(1), &"c".into(), 200, tenth * 100);
     }
-    assert_eq!(spend_all(&mut allotments, Demand::Pressing, 28_000), 0);
-    let calm = spend_all(&mut allotments, Demand::Slack, 28_000);
+    assert_eq!(spend_all(&mut quotas, Demand::Pressing, 28_000), 0);
+    let calm = spend_all(&mut quotas, Demand::Slack, 28_000);
     assert!(calm <= AT_ONCE_UNITS - RATE_PER_S, "{calm}");
 }
 
@@ -255,16 +255,16 @@
 fn calm_spending_leaves_a_small_debt() {
     // A customer spends far beyond its rate while nobody waits. Then others press: it waits for
     // one burst to come in, not for all that it has had.
-    let mut allotments = Allotments::default();
-    allotments.set_tolerance(Tolerance {
+    let mut quotas = CustomerQuotas::default();
+    quotas.set_tolerance(Tolerance {
         slack: 4_000.0,
         ..TOLERANCE
     });
     for now_ms in (60_000..90_000).step_by(9) {
-        let charge = allotments.charge(&customer(), due(None), Demand::Slack, now_ms);
+        let charge = quotas.charge(&customer(), due(None), Demand::Slack, now_ms);
         assert_eq!(charge, Charge::Granted);
     }
-    let pressing = spend_all(&mut allotments, Demand::Pressing, 92_000);
+    let pressing = spend_all(&mut quotas, Demand::Pressing, 92_000);
     assert!(pressing >= RATE_PER_S / 2, "{pressing}");
 }
 
@@ -273,35 +273,35 @@
     // A peer is cut off and goes on serving a customer at its usual rate, as it was taken to.
     // When it is heard again, it tells all of that at once. Taken out a second time, it would
     // have the customer refused here for seconds.
-    let mut allotments = Allotments::default();
+    let mut quotas = CustomerQuotas::default();
     let peer = address(1);
-    allotments.charge(&customer(), due(None), Demand::Pressing, 0);
+    quotas.charge(&customer(), due(None), Demand::Pressing, 0);
     for tenth in 0..100 {
-        allotments.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
+        quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
     }
-    allotments.set_fleet(2, vec![peer], 10_000);
+    quotas.set_fleet(2, vec![peer], 10_000);
     for tenth in 100..200 {
-        allotments.set_fleet(2, vec![peer], tenth * 100);
+        quotas.set_fleet(2, vec![peer], tenth * 100);
     }
-    allotments.spent_elsewhere(peer, &"c".into(), RATE_PER_S * 5, 20_000);
-    allotments.set_fleet(2, Vec::new(), 20_000);
-    let spent = spend_all(&mut allotments, Demand::Pressing, 20_000);
+    quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S * 5, 20_000);
+    quotas.set_fleet(2, Vec::new(), 20_000);
+    let spent = spend_all(&mut quotas, Demand::Pressing, 20_000);
     assert!(spent >= RATE_PER_S / 2, "{spent}");
 }
 
 #[test]
 fn lowered_limit_binds_at_once() {
-    let mut allotments = Allotments::default();
-    allotments.charge(&customer(), due(None), Demand::Pressing, 0);
+    let mut quotas = CustomerQuotas::default();
+    quotas.charge(&customer(), due(None), Demand::Pressing, 0);
     let mut lowered = customer();
     lowered.allotment = Some(Allotment {
         rate_per_s: 10,
         burst: 10,
         unsized_tokens: Some(COST),
     });
-    let first = allotments.charge(&lowered, due(None), Demand::Pressing, 0);
+    let first = quotas.charge(&lowered, due(None), Demand::Pressing, 0);
     assert_eq!(first, Charge::Granted);
-    let second = allotments.charge(&lowered, due(None), Demand::Pressing, 0);
+    let second = quotas.charge(&lowered, due(None), Demand::Pressing, 0);
     assert_eq!(
         second,
         Charge::Exceeded {
@@ -474,7 +474,7 @@
     };
     let round: u64 = kinds.iter().map(|(units, _)| units).sum();
     let rounds = 10 * LIMIT * times_limit / round;
-    let mut allotments = Allotments::default();
+    let mut quotas = CustomerQuotas::default();
     let mut served = vec![0_u32; kinds.len()];
     for number in 0..rounds {
         let now_ms = number * 10_000 / rounds;
@@ -483,7 +483,7 @@
                 tokens: Some(*units),
                 tier: *tier,
             };
-            let charge = allotments.charge(&hot, due, Demand::Pressing, now_ms);
+            let charge = quotas.charge(&hot, due, Demand::Pressing, now_ms);
             served[index] += u32::from(charge == Charge::Granted);
         }
     }
@@ -516,11 +516,11 @@
 
 #[test]
 fn request_larger_than_the_burst_passes_a_full_bucket() {
-    let mut allotments = Allotments::default();
+    let mut quotas = CustomerQuotas::default();
     let due = Due {
         tokens: Some(RATE_PER_S * 5),
         tier: 2,
     };
-    let charge = allotments.charge(&customer(), due, Demand::Pressing, 0);
+    let charge = quotas.charge(&customer(), due, Demand::Pressing, 0);
     assert_eq!(charge, Charge::Granted);
 }
