--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -36,8 +36,8 @@
 use crate::direct::sharing::quota::fleet::Changed;
 use crate::direct::sharing::quota::fleet::Fleet;
 use crate::direct::sharing::quota::fleet::Standing;
-use crate::direct::view::catalog::Allotment;
 use crate::direct::view::catalog::Customer;
+use crate::direct::view::catalog::Quota;
 use crate::numbers;
 
 mod bucket;
@@ -82,8 +82,8 @@
         numbers::of_tier(&RESERVE_PARTS, self.tier)
     }
 
-    fn wanted(self, allotment: Allotment, demand: Demand) -> Wanted {
-        let units = match allotment.unsized_tokens {
+    fn wanted(self, quota: Quota, demand: Demand) -> Wanted {
+        let units = match quota.unsized_tokens {
             None => 1,
             Some(unsized_tokens) => self.tokens.unwrap_or(unsized_tokens),
         };
@@ -120,10 +120,10 @@
 ///
 /// ```
 /// use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
-/// use sardinewood::direct::view::catalog::{Allotment, Customer};
+/// use sardinewood::direct::view::catalog::{Quota, Customer};
 ///
-/// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
-/// let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
+/// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
+/// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
 /// let mut quotas = CustomerQuotas::default();
 /// let pressing = Demand::Pressing;
 /// let due = |tokens| Due { tokens, tier: 0 };
@@ -178,10 +178,10 @@
     /// ```
     /// use sardinewood::direct::membership::peer_table::Keepers;
     /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Demand, Due};
-    /// use sardinewood::direct::view::catalog::{Allotment, Customer};
+    /// use sardinewood::direct::view::catalog::{Quota, Customer};
     ///
-    /// let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
-    /// let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
+    /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
+    /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let (own, other) = ("10.0.0.1:7".parse().unwrap(), "10.0.0.2:7".parse().unwrap());
     /// let mut quotas = CustomerQuotas::default();
     /// let keepers = Keepers { addresses: vec![other], have_started_together: false };
@@ -210,7 +210,7 @@
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
-    /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
+    /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let due = Due { tokens: None, tier: 0 };
     /// let begun = CustomerQuotas::default().begin(&unlimited, due, Demand::Slack, 0);
     /// assert_eq!(begun, ChargeStep::Decided(Charge::Granted));
@@ -222,16 +222,16 @@
         demand: Demand,
         now_ms: u64,
     ) -> ChargeStep {
-        let Some(allotment) = customer.allotment else {
+        let Some(quota) = customer.quota else {
             return ChargeStep::Decided(Charge::Granted);
         };
-        let wanted = due.wanted(allotment, demand);
+        let wanted = due.wanted(quota, demand);
         let keeper = self.fleet.keeper(&customer.name);
         let standing = self.fleet.standing(now_ms);
         let is_unanswered = keeper
             .and_then(|keeper| self.unanswered.get(&keeper))
             .is_some_and(|until_ms| now_ms < *until_ms);
-        let bucket = self.bucket(&customer.name, allotment, now_ms);
+        let bucket = self.bucket(&customer.name, quota, now_ms);
         let Some(keeper) = keeper else {
             bucket.keep(standing);
             return ChargeStep::Decided(bucket.charge_own(wanted, now_ms));
@@ -253,21 +253,21 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
-    /// # use sardinewood::direct::view::catalog::{Allotment, Customer};
-    /// # let allotment = Allotment { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
-    /// # let customer = Customer { name: "c".into(), tier: None, allotment: Some(allotment) };
+    /// # use sardinewood::direct::view::catalog::{Quota, Customer};
+    /// # let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
+    /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let mut quotas = CustomerQuotas::default();
     /// let due = Due { tokens: None, tier: 0 };
     /// quotas.answered(&customer, due, Charge::Granted, 0);
     /// assert_eq!(quotas.own_spent().next().unwrap().1, 5);
     /// ```
     pub fn answered(&mut self, customer: &Customer, due: Due, charge: Charge, now_ms: u64) {
-        let Some(allotment) = customer.allotment else {
+        let Some(quota) = customer.quota else {
             return;
         };
         // Whether others wait was weighed by the keeper.
-        let wanted = due.wanted(allotment, Demand::Pressing);
-        let bucket = self.bucket(&customer.name, allotment, now_ms);
+        let wanted = due.wanted(quota, Demand::Pressing);
+        let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.take_answer(wanted, charge, now_ms);
     }
 
@@ -276,7 +276,7 @@
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
-    /// # let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
+    /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
     /// let due = Due { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, due, Demand::Slack, 0);
@@ -291,11 +291,11 @@
         now_ms: u64,
     ) -> Charge {
         self.unanswered.insert(keeper, now_ms + UNANSWERED_PAUSE_MS);
-        let Some(allotment) = customer.allotment else {
+        let Some(quota) = customer.quota else {
             return Charge::Granted;
         };
-        let wanted = due.wanted(allotment, demand);
-        let bucket = self.bucket(&customer.name, allotment, now_ms);
+        let wanted = due.wanted(quota, demand);
+        let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.charge_alone(wanted, now_ms)
     }
 
@@ -304,7 +304,7 @@
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
-    /// # let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
+    /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
     /// let due = Due { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().lend(peer, &unlimited, due, Demand::Slack, 0);
@@ -318,10 +318,10 @@
         demand: Demand,
         now_ms: u64,
     ) -> Charge {
-        let Some(allotment) = customer.allotment else {
+        let Some(quota) = customer.quota else {
             return Charge::Granted;
         };
-        let wanted = due.wanted(allotment, demand);
+        let wanted = due.wanted(quota, demand);
         // A peer that does not hear the keeper asks here in its place. This entry does not know what
         // the keeper has just granted, so it gives out of what comes in and keeps nothing.
         let is_kept_elsewhere = self.fleet.keeper(&customer.name).is_some();
@@ -330,7 +330,7 @@
         } else {
             self.fleet.standing(now_ms)
         };
-        let bucket = self.bucket(&customer.name, allotment, now_ms);
+        let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.keep(standing);
         if is_kept_elsewhere {
             bucket.release();
@@ -347,17 +347,17 @@
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
     /// # use sardinewood::direct::view::catalog::Customer;
-    /// let unlimited = Customer { name: "c".into(), tier: None, allotment: None };
+    /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let due = Due { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().charge(&unlimited, due, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
     pub fn charge(&mut self, customer: &Customer, due: Due, demand: Demand, now_ms: u64) -> Charge {
-        let Some(allotment) = customer.allotment else {
+        let Some(quota) = customer.quota else {
             return Charge::Granted;
         };
-        let wanted = due.wanted(allotment, demand);
-        let bucket = self.bucket(&customer.name, allotment, now_ms);
+        let wanted = due.wanted(quota, demand);
+        let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.charge_own(wanted, now_ms)
     }
 
@@ -418,8 +418,8 @@
         }
     }
 
-    fn bucket(&mut self, name: &Arc<str>, allotment: Allotment, now_ms: u64) -> &mut Bucket {
-        let limits = self.tolerance.limits(allotment, &self.fleet);
+    fn bucket(&mut self, name: &Arc<str>, quota: Quota, now_ms: u64) -> &mut Bucket {
+        let limits = self.tolerance.limits(quota, &self.fleet);
         let elsewhere = &mut self.elsewhere;
         let bucket = self.buckets.entry(Arc::clone(name)).or_insert_with(|| {
             let elsewhere = elsewhere.swap_remove(name).unwrap_or_default();
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -8,7 +8,7 @@
 use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::quota::fleet::Fleet;
 use crate::direct::sharing::quota::fleet::Standing;
-use crate::direct::view::catalog::Allotment;
+use crate::direct::view::catalog::Quota;
 use crate::numbers;
 
 const MS_PER_S: f64 = 1_000.0;
@@ -58,9 +58,9 @@
 }
 
 impl Tolerance {
-    pub(super) fn limits(&self, allotment: Allotment, fleet: &Fleet) -> Limits {
-        let rate_per_s = numbers::as_f64(allotment.rate_per_s);
-        let burst = numbers::as_f64(allotment.burst);
+    pub(super) fn limits(&self, quota: Quota, fleet: &Fleet) -> Limits {
+        let rate_per_s = numbers::as_f64(quota.rate_per_s);
+        let burst = numbers::as_f64(quota.burst);
         let allowed = rate_per_s * self.window_s + burst;
         let tolerated = allowed * self.overage + self.slack;
         // Each side of a cut gives its part of the tolerance only.
--- a/lib/src/direct/view/catalog.rs
+++ b/lib/src/direct/view/catalog.rs
@@ -112,7 +112,7 @@
 
 /// What a customer may spend, in tokens or in requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allotment {
+pub struct Quota {
     /// Units that come in each second.
     pub rate_per_s: u64,
     /// Units that may be spent at once.
@@ -129,7 +129,7 @@
     /// Importance of its requests, in place of the route's.
     pub tier: Option<u8>,
     /// What it may spend.
-    pub allotment: Option<Allotment>,
+    pub quota: Option<Quota>,
 }
 
 /// What all upstreams of a service have in common.
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -12,8 +12,8 @@
 use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::Due;
 use sardinewood::direct::sharing::quota::Tolerance;
-use sardinewood::direct::view::catalog::Allotment;
 use sardinewood::direct::view::catalog::Customer;
+use sardinewood::direct::view::catalog::Quota;
 
 /// What the platform's users tolerate, and the limit of a large customer of theirs.
 pub const TOLERANCE: Tolerance = Tolerance {
@@ -93,7 +93,7 @@
             customer: Customer {
                 name: "hot".into(),
                 tier: None,
-                allotment: Some(Allotment {
+                quota: Some(Quota {
                     rate_per_s: RATE_PER_S,
                     burst: RATE_PER_S,
                     unsized_tokens: Some(200),
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -14,8 +14,8 @@
 use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::Due;
 use sardinewood::direct::sharing::quota::Tolerance;
-use sardinewood::direct::view::catalog::Allotment;
 use sardinewood::direct::view::catalog::Customer;
+use sardinewood::direct::view::catalog::Quota;
 
 const RATE_PER_S: u64 = 1_000;
 const COST: u64 = 10;
@@ -24,7 +24,7 @@
     Customer {
         name: "c".into(),
         tier: None,
-        allotment: Some(Allotment {
+        quota: Some(Quota {
             rate_per_s: RATE_PER_S,
             burst: RATE_PER_S,
             unsized_tokens: Some(COST),
@@ -219,7 +219,7 @@
     };
     for rate_per_s in [47_000, 100_000, 350_000] {
         let mut customer = customer();
-        customer.allotment = Some(Allotment {
+        customer.quota = Some(Quota {
             rate_per_s,
             burst: rate_per_s,
             unsized_tokens: Some(200),
@@ -294,7 +294,7 @@
     let mut quotas = CustomerQuotas::default();
     quotas.charge(&customer(), due(None), Demand::Pressing, 0);
     let mut lowered = customer();
-    lowered.allotment = Some(Allotment {
+    lowered.quota = Some(Quota {
         rate_per_s: 10,
         burst: 10,
         unsized_tokens: Some(COST),
@@ -466,7 +466,7 @@
     let hot = Customer {
         name: "hot".into(),
         tier: None,
-        allotment: Some(Allotment {
+        quota: Some(Quota {
             rate_per_s: LIMIT,
             burst: LIMIT,
             unsized_tokens: Some(200),
