--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -15,7 +15,7 @@
 use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::sharing::quota::Charge;
 use crate::direct::sharing::quota::Demand;
-use crate::direct::sharing::quota::Due;
+use crate::direct::sharing::quota::RequestCost;
 
 /// First byte of every datagram; another form of the message gets another number.
 const FORM: u8 = 5;
@@ -100,7 +100,7 @@
     /// The customer's name.
     pub customer: Arc<str>,
     /// What the request asks of the allotment.
-    pub due: Due,
+    pub cost: RequestCost,
     /// Whether others wait at the sender.
     pub demand: Demand,
 }
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -17,7 +17,7 @@
 use crate::direct::sharing::quota::Charge;
 use crate::direct::sharing::quota::ChargeStep;
 use crate::direct::sharing::quota::Demand;
-use crate::direct::sharing::quota::Due;
+use crate::direct::sharing::quota::RequestCost;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::catalog::Customer;
 use crate::logging::Level;
@@ -42,22 +42,22 @@
 pub async fn charge(
     traffic: &Rc<Traffic>,
     customer: &Customer,
-    due: Due,
+    cost: RequestCost,
     demand: Demand,
 ) -> Charge {
     let begun = traffic
         .quotas
         .borrow_mut()
-        .begin(customer, due, demand, traffic.now_ms());
+        .begin(customer, cost, demand, traffic.now_ms());
     let keeper = match begun {
         ChargeStep::Decided(charge) => return charge,
         ChargeStep::AskOwner(keeper) => keeper,
     };
-    let answer = request_charge(traffic, keeper, customer, due, demand).await;
+    let answer = request_charge(traffic, keeper, customer, cost, demand).await;
     let now_ms = traffic.now_ms();
     let mut quotas = traffic.quotas.borrow_mut();
     if let Some(charge) = answer {
-        quotas.answered(customer, due, charge, now_ms);
+        quotas.answered(customer, cost, charge, now_ms);
         return charge;
     }
     let message = "keeper of an allotment is silent";
@@ -65,14 +65,14 @@
         line.field("keeper", keeper)
             .field("customer", &customer.name)
     });
-    quotas.unanswered(keeper, customer, due, demand, now_ms)
+    quotas.unanswered(keeper, customer, cost, demand, now_ms)
 }
 
 async fn request_charge(
     traffic: &Traffic,
     keeper: SocketAddr,
     customer: &Customer,
-    due: Due,
+    cost: RequestCost,
     demand: Demand,
 ) -> Option<Charge> {
     let open = OpenCharge {
@@ -84,7 +84,7 @@
     let question = PeerMessage::ChargeAsk(ChargeAsk {
         id: open.id,
         customer: customer.name.clone(),
-        due,
+        cost,
         demand,
     });
     traffic.tell(keeper, &question);
@@ -111,7 +111,7 @@
         let charge = self.quotas.borrow_mut().lend(
             to,
             customer,
-            question.due,
+            question.cost,
             question.demand,
             self.now_ms(),
         );
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -34,7 +34,7 @@
 use crate::direct::request::refusal::name_of;
 use crate::direct::sharing::quota::Charge;
 use crate::direct::sharing::quota::Demand;
-use crate::direct::sharing::quota::Due;
+use crate::direct::sharing::quota::RequestCost;
 use crate::direct::sharing::size_shares::CallEnd;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::catalog::Admission;
@@ -324,11 +324,11 @@
     headers: &CallerHeaders,
     ending: &Ending,
 ) -> Result<(), Refusal> {
-    let due = Due {
+    let cost = RequestCost {
         tokens: headers.charged_tokens(),
         tier: route.tier,
     };
-    let charged = quota_driver::charge(traffic, customer, due, traffic.demand(service)).await;
+    let charged = quota_driver::charge(traffic, customer, cost, traffic.demand(service)).await;
     let Charge::Exceeded { retry_after_ms } = charged else {
         return Ok(());
     };
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -65,14 +65,14 @@
 
 /// What a request asks of its customer's allotment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Due {
+pub struct RequestCost {
     /// Its tokens, if it says so.
     pub tokens: Option<u64>,
     /// The importance of its route, 0 the highest.
     pub tier: u8,
 }
 
-impl Due {
+impl RequestCost {
     /// Part of the bucket that it has to leave. What does not say its size counts little, and
     /// nothing is kept back from it.
     fn reserve_part(self) -> f64 {
@@ -119,16 +119,16 @@
 /// The buckets of all customers.
 ///
 /// ```
-/// use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
+/// use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
 /// use sardinewood::direct::view::catalog::{Quota, Customer};
 ///
 /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
 /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
 /// let mut quotas = CustomerQuotas::default();
 /// let pressing = Demand::Pressing;
-/// let due = |tokens| Due { tokens, tier: 0 };
-/// assert_eq!(quotas.charge(&customer, due(Some(20)), pressing, 0), Charge::Granted);
-/// let refused = quotas.charge(&customer, due(None), pressing, 0);
+/// let cost = |tokens| RequestCost { tokens, tier: 0 };
+/// assert_eq!(quotas.charge(&customer, cost(Some(20)), pressing, 0), Charge::Granted);
+/// let refused = quotas.charge(&customer, cost(None), pressing, 0);
 /// assert_eq!(refused, Charge::Exceeded { retry_after_ms: 400 });
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -177,7 +177,7 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_table::Keepers;
-    /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Demand, Due};
+    /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Demand, RequestCost};
     /// use sardinewood::direct::view::catalog::{Quota, Customer};
     ///
     /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
@@ -186,8 +186,8 @@
     /// let mut quotas = CustomerQuotas::default();
     /// let keepers = Keepers { addresses: vec![other], have_started_together: false };
     /// quotas.set_keepers(own, keepers, 0, 0);
-    /// let due = Due { tokens: None, tier: 0 };
-    /// let begun = quotas.begin(&customer, due, Demand::Pressing, 0);
+    /// let cost = RequestCost { tokens: None, tier: 0 };
+    /// let begun = quotas.begin(&customer, cost, Demand::Pressing, 0);
     /// assert_eq!(begun, ChargeStep::AskOwner(other));
     /// ```
     pub fn set_keepers(&mut self, own: SocketAddr, keepers: Keepers, unmet: usize, now_ms: u64) {
@@ -208,24 +208,24 @@
     /// Begins to charge a request of this entry to a customer.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Charge, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
-    /// let due = Due { tokens: None, tier: 0 };
-    /// let begun = CustomerQuotas::default().begin(&unlimited, due, Demand::Slack, 0);
+    /// let cost = RequestCost { tokens: None, tier: 0 };
+    /// let begun = CustomerQuotas::default().begin(&unlimited, cost, Demand::Slack, 0);
     /// assert_eq!(begun, ChargeStep::Decided(Charge::Granted));
     /// ```
     pub fn begin(
         &mut self,
         customer: &Customer,
-        due: Due,
+        cost: RequestCost,
         demand: Demand,
         now_ms: u64,
     ) -> ChargeStep {
         let Some(quota) = customer.quota else {
             return ChargeStep::Decided(Charge::Granted);
         };
-        let wanted = due.wanted(quota, demand);
+        let wanted = cost.wanted(quota, demand);
         let keeper = self.fleet.keeper(&customer.name);
         let standing = self.fleet.standing(now_ms);
         let is_unanswered = keeper
@@ -252,21 +252,27 @@
     /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::{Quota, Customer};
     /// # let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let mut quotas = CustomerQuotas::default();
-    /// let due = Due { tokens: None, tier: 0 };
-    /// quotas.answered(&customer, due, Charge::Granted, 0);
+    /// let cost = RequestCost { tokens: None, tier: 0 };
+    /// quotas.answered(&customer, cost, Charge::Granted, 0);
     /// assert_eq!(quotas.own_spent().next().unwrap().1, 5);
     /// ```
-    pub fn answered(&mut self, customer: &Customer, due: Due, charge: Charge, now_ms: u64) {
+    pub fn answered(
+        &mut self,
+        customer: &Customer,
+        cost: RequestCost,
+        charge: Charge,
+        now_ms: u64,
+    ) {
         let Some(quota) = customer.quota else {
             return;
         };
         // Whether others wait was weighed by the keeper.
-        let wanted = due.wanted(quota, Demand::Pressing);
+        let wanted = cost.wanted(quota, Demand::Pressing);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.take_answer(wanted, charge, now_ms);
     }
@@ -274,19 +280,19 @@
     /// Charges a request whose keeper has not answered, and leaves that keeper alone for a moment.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
-    /// let due = Due { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, due, Demand::Slack, 0);
+    /// let cost = RequestCost { tokens: None, tier: 0 };
+    /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, cost, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
     pub fn unanswered(
         &mut self,
         keeper: SocketAddr,
         customer: &Customer,
-        due: Due,
+        cost: RequestCost,
         demand: Demand,
         now_ms: u64,
     ) -> Charge {
@@ -294,7 +300,7 @@
         let Some(quota) = customer.quota else {
             return Charge::Granted;
         };
-        let wanted = due.wanted(quota, demand);
+        let wanted = cost.wanted(quota, demand);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.charge_alone(wanted, now_ms)
     }
@@ -302,26 +308,26 @@
     /// Charges a request of a peer to a customer that is kept here.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
-    /// let due = Due { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().lend(peer, &unlimited, due, Demand::Slack, 0);
+    /// let cost = RequestCost { tokens: None, tier: 0 };
+    /// let charge = CustomerQuotas::default().lend(peer, &unlimited, cost, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
     pub fn lend(
         &mut self,
         to: SocketAddr,
         customer: &Customer,
-        due: Due,
+        cost: RequestCost,
         demand: Demand,
         now_ms: u64,
     ) -> Charge {
         let Some(quota) = customer.quota else {
             return Charge::Granted;
         };
-        let wanted = due.wanted(quota, demand);
+        let wanted = cost.wanted(quota, demand);
         // A peer that does not hear the keeper asks here in its place. This entry does not know what
         // the keeper has just granted, so it gives out of what comes in and keeps nothing.
         let is_kept_elsewhere = self.fleet.keeper(&customer.name).is_some();
@@ -345,18 +351,24 @@
     /// refused for what another entry has not told yet.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, Due};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
-    /// let due = Due { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().charge(&unlimited, due, Demand::Slack, 0);
+    /// let cost = RequestCost { tokens: None, tier: 0 };
+    /// let charge = CustomerQuotas::default().charge(&unlimited, cost, Demand::Slack, 0);
     /// assert_eq!(charge, Charge::Granted);
     /// ```
-    pub fn charge(&mut self, customer: &Customer, due: Due, demand: Demand, now_ms: u64) -> Charge {
+    pub fn charge(
+        &mut self,
+        customer: &Customer,
+        cost: RequestCost,
+        demand: Demand,
+        now_ms: u64,
+    ) -> Charge {
         let Some(quota) = customer.quota else {
             return Charge::Granted;
         };
-        let wanted = due.wanted(quota, demand);
+        let wanted = cost.wanted(quota, demand);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.charge_own(wanted, now_ms)
     }
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -10,7 +10,7 @@
 use sardinewood::direct::sharing::quota::ChargeStep;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::Demand;
-use sardinewood::direct::sharing::quota::Due;
+use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::view::catalog::Customer;
 use sardinewood::direct::view::catalog::Quota;
@@ -116,7 +116,7 @@
             if now_ms < member.down_until_ms {
                 continue;
             }
-            let due = Due {
+            let cost = RequestCost {
                 tokens: Some(RATE_PER_S),
                 tier: 0,
             };
@@ -124,7 +124,7 @@
             let begun = member
                 .quotas
                 .clone()
-                .begin(&self.customer, due, self.demand, own_ms);
+                .begin(&self.customer, cost, self.demand, own_ms);
             return match begun {
                 ChargeStep::AskOwner(keeper) => index_of(keeper),
                 ChargeStep::Decided(_) => index,
@@ -195,7 +195,7 @@
         if !self.is_running(at) {
             return 0;
         }
-        let due = Due {
+        let cost = RequestCost {
             tokens: Some(units),
             tier: 0,
         };
@@ -204,7 +204,7 @@
         let demand = self.demand;
         let begun = self.members[at]
             .quotas
-            .begin(&customer, due, demand, now_ms);
+            .begin(&customer, cost, demand, now_ms);
         let charge = match begun {
             ChargeStep::Decided(charge) => charge,
             ChargeStep::AskOwner(keeper) => {
@@ -214,13 +214,13 @@
                 self.asked += 1;
                 if is_lost || !self.is_running(keeper) {
                     let own = &mut self.members[at].quotas;
-                    own.unanswered(address(keeper), &customer, due, demand, now_ms)
+                    own.unanswered(address(keeper), &customer, cost, demand, now_ms)
                 } else {
                     let keeper_ms = self.own_ms(keeper);
                     let kept = &mut self.members[keeper].quotas;
-                    let charge = kept.lend(address(at), &customer, due, demand, keeper_ms);
+                    let charge = kept.lend(address(at), &customer, cost, demand, keeper_ms);
                     let own = &mut self.members[at].quotas;
-                    own.answered(&customer, due, charge, now_ms);
+                    own.answered(&customer, cost, charge, now_ms);
                     charge
                 }
             }
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -12,7 +12,7 @@
 use sardinewood::direct::sharing::quota::Charge;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::Demand;
-use sardinewood::direct::sharing::quota::Due;
+use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::view::catalog::Customer;
 use sardinewood::direct::view::catalog::Quota;
@@ -32,8 +32,8 @@
     }
 }
 
-fn due(tokens: Option<u64>) -> Due {
-    Due { tokens, tier: 0 }
+fn cost(tokens: Option<u64>) -> RequestCost {
+    RequestCost { tokens, tier: 0 }
 }
 
 fn address(number: u8) -> SocketAddr {
@@ -61,7 +61,7 @@
         for (index, wish) in wishes.iter().enumerate() {
             for _ in 0..*wish {
                 let charge =
-                    self.entries[index].charge(&customer(), due(None), Demand::Pressing, now_ms);
+                    self.entries[index].charge(&customer(), cost(None), Demand::Pressing, now_ms);
                 if charge == Charge::Granted {
                     self.spent[index] += COST;
                 }
@@ -152,7 +152,7 @@
 
 fn spend_all(quotas: &mut CustomerQuotas, demand: Demand, now_ms: u64) -> u64 {
     std::iter::from_fn(|| {
-        let charge = quotas.charge(&customer(), due(None), demand, now_ms);
+        let charge = quotas.charge(&customer(), cost(None), demand, now_ms);
         (charge == Charge::Granted).then_some(COST)
     })
     .sum()
@@ -199,7 +199,7 @@
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(tolerance);
     let mut spend = |now_ms| {
-        let charge = || quotas.charge(customer, due(Some(TOKENS)), Demand::Slack, now_ms);
+        let charge = || quotas.charge(customer, cost(Some(TOKENS)), Demand::Slack, now_ms);
         std::iter::repeat_with(charge)
             .take_while(|charge| *charge == Charge::Granted)
             .count() as u64
@@ -261,7 +261,7 @@
         ..TOLERANCE
     });
     for now_ms in (60_000..90_000).step_by(9) {
-        let charge = quotas.charge(&customer(), due(None), Demand::Slack, now_ms);
+        let charge = quotas.charge(&customer(), cost(None), Demand::Slack, now_ms);
         assert_eq!(charge, Charge::Granted);
     }
     let pressing = spend_all(&mut quotas, Demand::Pressing, 92_000);
@@ -275,7 +275,7 @@
     // have the customer refused here for seconds.
     let mut quotas = CustomerQuotas::default();
     let peer = address(1);
-    quotas.charge(&customer(), due(None), Demand::Pressing, 0);
+    quotas.charge(&customer(), cost(None), Demand::Pressing, 0);
     for tenth in 0..100 {
         quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
     }
@@ -292,16 +292,16 @@
 #[test]
 fn lowered_limit_binds_at_once() {
     let mut quotas = CustomerQuotas::default();
-    quotas.charge(&customer(), due(None), Demand::Pressing, 0);
+    quotas.charge(&customer(), cost(None), Demand::Pressing, 0);
     let mut lowered = customer();
     lowered.quota = Some(Quota {
         rate_per_s: 10,
         burst: 10,
         unsized_tokens: Some(COST),
     });
-    let first = quotas.charge(&lowered, due(None), Demand::Pressing, 0);
+    let first = quotas.charge(&lowered, cost(None), Demand::Pressing, 0);
     assert_eq!(first, Charge::Granted);
-    let second = quotas.charge(&lowered, due(None), Demand::Pressing, 0);
+    let second = quotas.charge(&lowered, cost(None), Demand::Pressing, 0);
     assert_eq!(
         second,
         Charge::Exceeded {
@@ -479,11 +479,11 @@
     for number in 0..rounds {
         let now_ms = number * 10_000 / rounds;
         for (index, (units, tier)) in kinds.iter().enumerate() {
-            let due = Due {
+            let cost = RequestCost {
                 tokens: Some(*units),
                 tier: *tier,
             };
-            let charge = quotas.charge(&hot, due, Demand::Pressing, now_ms);
+            let charge = quotas.charge(&hot, cost, Demand::Pressing, now_ms);
             served[index] += u32::from(charge == Charge::Granted);
         }
     }
@@ -517,10 +517,10 @@
 #[test]
 fn request_larger_than_the_burst_passes_a_full_bucket() {
     let mut quotas = CustomerQuotas::default();
-    let due = Due {
+    let cost = RequestCost {
         tokens: Some(RATE_PER_S * 5),
         tier: 2,
     };
-    let charge = quotas.charge(&customer(), due, Demand::Pressing, 0);
+    let charge = quotas.charge(&customer(), cost, Demand::Pressing, 0);
     assert_eq!(charge, Charge::Granted);
 }
