--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -181,7 +181,7 @@
                 self.grant(entry);
             }
             // Customers of the model have no limits, and its engines one version.
-            PeerMessage::ChargeAsk(_)
+            PeerMessage::ChargeRequest(_)
             | PeerMessage::ChargeReply { .. }
             | PeerMessage::Rollout(_) => {}
             PeerMessage::Notices(told) => self.hear_notices(entry, &told),
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -94,7 +94,7 @@
 
 /// A request that the receiver is asked to charge to a customer whose allotment it keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChargeAsk {
+pub struct ChargeRequest {
     /// Names the question.
     pub id: PeerRequestId,
     /// The customer's name.
@@ -141,7 +141,7 @@
         release: SlotRelease,
     },
     /// The sender wants to charge a request.
-    ChargeAsk(ChargeAsk),
+    ChargeRequest(ChargeRequest),
     /// The receiver's request was charged or not.
     ChargeReply {
         /// The question that is answered.
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::direct::membership::peer_message::ChargeAsk;
+use crate::direct::membership::peer_message::ChargeRequest;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::asking::ANSWER_WITHIN_MS;
 use crate::direct::sharing::admission::PeerRequestId;
@@ -81,7 +81,7 @@
     };
     let (sender, answer) = oneshot::channel();
     traffic.charges.0.borrow_mut().insert(open.id, sender);
-    let question = PeerMessage::ChargeAsk(ChargeAsk {
+    let question = PeerMessage::ChargeRequest(ChargeRequest {
         id: open.id,
         customer: customer.name.clone(),
         cost,
@@ -94,7 +94,7 @@
 
 impl Traffic {
     /// Charges a peer's request to a customer that is kept here.
-    pub fn lend(&self, to: SocketAddr, question: &ChargeAsk) {
+    pub fn lend(&self, to: SocketAddr, question: &ChargeRequest) {
         let catalog = self.catalog.borrow();
         let customer = catalog
             .as_ref()
