--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -13,7 +13,7 @@
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
-use crate::direct::sharing::quota::Charge;
+use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::quota::RequestCost;
 
@@ -147,7 +147,7 @@
         /// The question that is answered.
         request_id: PeerRequestId,
         /// The answer.
-        charge: Charge,
+        charge: ChargeOutcome,
     },
     /// What the sender knows of requests under which upstreams ended.
     Suspects(Vec<Told>),
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -14,7 +14,7 @@
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::asking::ANSWER_WITHIN_MS;
 use crate::direct::sharing::admission::PeerRequestId;
-use crate::direct::sharing::quota::Charge;
+use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::ChargeStep;
 use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::quota::RequestCost;
@@ -24,7 +24,7 @@
 
 /// Questions to keepers that have no answer yet.
 #[derive(Debug, Default)]
-pub struct OpenCharges(RefCell<IndexMap<PeerRequestId, oneshot::Sender<Charge>>>);
+pub struct OpenCharges(RefCell<IndexMap<PeerRequestId, oneshot::Sender<ChargeOutcome>>>);
 
 /// A question; dropping it forgets it, also when its caller has left.
 struct OpenCharge<'a> {
@@ -44,7 +44,7 @@
     customer: &Customer,
     cost: RequestCost,
     demand: Demand,
-) -> Charge {
+) -> ChargeOutcome {
     let begun = traffic
         .quotas
         .borrow_mut()
@@ -74,7 +74,7 @@
     customer: &Customer,
     cost: RequestCost,
     demand: Demand,
-) -> Option<Charge> {
+) -> Option<ChargeOutcome> {
     let open = OpenCharge {
         id: PeerRequestId::from_random(rand::random()),
         open: &traffic.charges,
@@ -124,7 +124,7 @@
 
     /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
     /// here meanwhile, and the keeper takes the units for told when this entry tells of them.
-    pub fn charged(&self, request_id: PeerRequestId, charge: Charge) {
+    pub fn charged(&self, request_id: PeerRequestId, charge: ChargeOutcome) {
         let asked = self.charges.0.borrow_mut().swap_remove(&request_id);
         if let Some(asked) = asked {
             // Whoever asked may have just left.
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -32,7 +32,7 @@
 use crate::direct::request::ending::Ending;
 use crate::direct::request::refusal::Refusal;
 use crate::direct::request::refusal::name_of;
-use crate::direct::sharing::quota::Charge;
+use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::quota::RequestCost;
 use crate::direct::sharing::size_shares::CallEnd;
@@ -329,7 +329,7 @@
         tier: route.tier,
     };
     let charged = quota_driver::charge(traffic, customer, cost, traffic.demand(service)).await;
-    let Charge::Exceeded { retry_after_ms } = charged else {
+    let ChargeOutcome::Exceeded { retry_after_ms } = charged else {
         return Ok(());
     };
     ending.set(CallEnd::AllotmentSpent);
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -97,7 +97,7 @@
 
 /// Whether a request may be charged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Charge {
+pub enum ChargeOutcome {
     /// It was charged.
     Granted,
     /// The customer has spent what it may, and has enough again after this long.
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChargeStep {
     /// It is settled.
-    Decided(Charge),
+    Decided(ChargeOutcome),
     /// A peer keeps the customer and is to be asked.
     AskOwner(SocketAddr),
 }
@@ -119,7 +119,7 @@
 /// The buckets of all customers.
 ///
 /// ```
-/// use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
+/// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
 /// use sardinewood::direct::view::catalog::{Quota, Customer};
 ///
 /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
@@ -127,9 +127,9 @@
 /// let mut quotas = CustomerQuotas::default();
 /// let pressing = Demand::Pressing;
 /// let cost = |tokens| RequestCost { tokens, tier: 0 };
-/// assert_eq!(quotas.charge(&customer, cost(Some(20)), pressing, 0), Charge::Granted);
+/// assert_eq!(quotas.charge(&customer, cost(Some(20)), pressing, 0), ChargeOutcome::Granted);
 /// let refused = quotas.charge(&customer, cost(None), pressing, 0);
-/// assert_eq!(refused, Charge::Exceeded { retry_after_ms: 400 });
+/// assert_eq!(refused, ChargeOutcome::Exceeded { retry_after_ms: 400 });
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CustomerQuotas {
@@ -208,12 +208,12 @@
     /// Begins to charge a request of this entry to a customer.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Charge, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, ChargeOutcome, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let begun = CustomerQuotas::default().begin(&unlimited, cost, Demand::Slack, 0);
-    /// assert_eq!(begun, ChargeStep::Decided(Charge::Granted));
+    /// assert_eq!(begun, ChargeStep::Decided(ChargeOutcome::Granted));
     /// ```
     pub fn begin(
         &mut self,
@@ -223,7 +223,7 @@
         now_ms: u64,
     ) -> ChargeStep {
         let Some(quota) = customer.quota else {
-            return ChargeStep::Decided(Charge::Granted);
+            return ChargeStep::Decided(ChargeOutcome::Granted);
         };
         let wanted = cost.wanted(quota, demand);
         let keeper = self.fleet.keeper(&customer.name);
@@ -241,10 +241,10 @@
             return ChargeStep::Decided(bucket.charge_alone(wanted, now_ms));
         }
         if let Some(retry_after_ms) = bucket.refused_for_ms(wanted, now_ms) {
-            return ChargeStep::Decided(Charge::Exceeded { retry_after_ms });
+            return ChargeStep::Decided(ChargeOutcome::Exceeded { retry_after_ms });
         }
         if bucket.charge_unasked(wanted, now_ms) {
-            return ChargeStep::Decided(Charge::Granted);
+            return ChargeStep::Decided(ChargeOutcome::Granted);
         }
         ChargeStep::AskOwner(keeper)
     }
@@ -252,20 +252,20 @@
     /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::{Quota, Customer};
     /// # let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let mut quotas = CustomerQuotas::default();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// quotas.answered(&customer, cost, Charge::Granted, 0);
+    /// quotas.answered(&customer, cost, ChargeOutcome::Granted, 0);
     /// assert_eq!(quotas.own_spent().next().unwrap().1, 5);
     /// ```
     pub fn answered(
         &mut self,
         customer: &Customer,
         cost: RequestCost,
-        charge: Charge,
+        charge: ChargeOutcome,
         now_ms: u64,
     ) {
         let Some(quota) = customer.quota else {
@@ -280,13 +280,13 @@
     /// Charges a request whose keeper has not answered, and leaves that keeper alone for a moment.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, cost, Demand::Slack, 0);
-    /// assert_eq!(charge, Charge::Granted);
+    /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn unanswered(
         &mut self,
@@ -295,10 +295,10 @@
         cost: RequestCost,
         demand: Demand,
         now_ms: u64,
-    ) -> Charge {
+    ) -> ChargeOutcome {
         self.unanswered.insert(keeper, now_ms + UNANSWERED_PAUSE_MS);
         let Some(quota) = customer.quota else {
-            return Charge::Granted;
+            return ChargeOutcome::Granted;
         };
         let wanted = cost.wanted(quota, demand);
         let bucket = self.bucket(&customer.name, quota, now_ms);
@@ -308,13 +308,13 @@
     /// Charges a request of a peer to a customer that is kept here.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().lend(peer, &unlimited, cost, Demand::Slack, 0);
-    /// assert_eq!(charge, Charge::Granted);
+    /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn lend(
         &mut self,
@@ -323,9 +323,9 @@
         cost: RequestCost,
         demand: Demand,
         now_ms: u64,
-    ) -> Charge {
+    ) -> ChargeOutcome {
         let Some(quota) = customer.quota else {
-            return Charge::Granted;
+            return ChargeOutcome::Granted;
         };
         let wanted = cost.wanted(quota, demand);
         // A peer that does not hear the keeper asks here in its place. This entry does not know what
@@ -351,12 +351,12 @@
     /// refused for what another entry has not told yet.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Charge, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().charge(&unlimited, cost, Demand::Slack, 0);
-    /// assert_eq!(charge, Charge::Granted);
+    /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn charge(
         &mut self,
@@ -364,9 +364,9 @@
         cost: RequestCost,
         demand: Demand,
         now_ms: u64,
-    ) -> Charge {
+    ) -> ChargeOutcome {
         let Some(quota) = customer.quota else {
-            return Charge::Granted;
+            return ChargeOutcome::Granted;
         };
         let wanted = cost.wanted(quota, demand);
         let bucket = self.bucket(&customer.name, quota, now_ms);
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::sharing::quota::Charge;
+use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::quota::fleet::Fleet;
 use crate::direct::sharing::quota::fleet::Standing;
@@ -251,7 +251,7 @@
 
     /// Takes units, or tells how long until there are enough.
     /// It has to be filled up to now.
-    pub(super) fn charge(&mut self, wanted: Wanted, now_ms: u64) -> Charge {
+    pub(super) fn charge(&mut self, wanted: Wanted, now_ms: u64) -> ChargeOutcome {
         let has_just_started = numbers::as_f64(now_ms) < self.limits.window_ms;
         let (level, per_s) = match wanted.demand {
             Demand::Slack if !has_just_started => (self.wide, self.limits.wide_per_s),
@@ -265,18 +265,18 @@
         let lacking = (present + burst * wanted.reserve_part).min(burst) - level;
         if lacking > 0.0 {
             let per_s = (per_s - self.silent_per_s).max(1.0);
-            return Charge::Exceeded {
+            return ChargeOutcome::Exceeded {
                 retry_after_ms: numbers::whole_u64((lacking / per_s * MS_PER_S).ceil()),
             };
         }
         self.spend(units);
-        Charge::Granted
+        ChargeOutcome::Granted
     }
 
     /// The same for a request of this entry.
-    pub(super) fn charge_own(&mut self, wanted: Wanted, now_ms: u64) -> Charge {
+    pub(super) fn charge_own(&mut self, wanted: Wanted, now_ms: u64) -> ChargeOutcome {
         let charge = self.charge(wanted, now_ms);
-        if charge == Charge::Granted {
+        if charge == ChargeOutcome::Granted {
             self.note_own(wanted.units, now_ms);
         }
         charge
@@ -289,9 +289,9 @@
     }
 
     /// The same for a request of a peer, which tells later that it has spent the units.
-    pub(super) fn lend(&mut self, to: SocketAddr, wanted: Wanted, now_ms: u64) -> Charge {
+    pub(super) fn lend(&mut self, to: SocketAddr, wanted: Wanted, now_ms: u64) -> ChargeOutcome {
         let charge = self.charge(wanted, now_ms);
-        if charge == Charge::Granted {
+        if charge == ChargeOutcome::Granted {
             let peer = self.peers.entry(to).or_default();
             peer.granted_units += numbers::as_f64(wanted.units);
         }
@@ -305,7 +305,7 @@
         if self.unasked + units > self.limits.unasked {
             return false;
         }
-        let is_charged = self.charge_own(wanted, now_ms) == Charge::Granted;
+        let is_charged = self.charge_own(wanted, now_ms) == ChargeOutcome::Granted;
         if is_charged {
             self.unasked += units;
         }
@@ -317,7 +317,7 @@
     /// The entry spends its part of what seems to be left and of what comes in, by what it has
     /// spent lately beside all others. The parts add up to one, so together all entries spend what
     /// the keeper would have let them, and a customer within its rate is hardly ever refused.
-    pub(super) fn charge_alone(&mut self, wanted: Wanted, now_ms: u64) -> Charge {
+    pub(super) fn charge_alone(&mut self, wanted: Wanted, now_ms: u64) -> ChargeOutcome {
         let alone = match self.alone {
             Some(alone) => alone,
             None => self.begin_alone(now_ms),
@@ -329,12 +329,12 @@
         self.alone = Some(alone);
         if lacking > 0.0 {
             let wait_ms = (lacking / alone.per_s.max(1.0) * MS_PER_S).ceil();
-            return Charge::Exceeded {
+            return ChargeOutcome::Exceeded {
                 retry_after_ms: numbers::whole_u64(wait_ms),
             };
         }
         let charge = self.charge_own(wanted, now_ms);
-        if charge == Charge::Granted {
+        if charge == ChargeOutcome::Granted {
             self.alone = Some(Alone {
                 spent: alone.spent + units,
                 ..alone
@@ -366,15 +366,15 @@
     }
 
     /// Takes the keeper's answer to a request of this entry.
-    pub(super) fn take_answer(&mut self, wanted: Wanted, charge: Charge, now_ms: u64) {
+    pub(super) fn take_answer(&mut self, wanted: Wanted, charge: ChargeOutcome, now_ms: u64) {
         self.alone = None;
         match charge {
-            Charge::Granted => {
+            ChargeOutcome::Granted => {
                 self.refused = None;
                 self.spend(numbers::as_f64(wanted.units));
                 self.note_own(wanted.units, now_ms);
             }
-            Charge::Exceeded { retry_after_ms } => {
+            ChargeOutcome::Exceeded { retry_after_ms } => {
                 self.refused = Some(Refused {
                     until_ms: now_ms.saturating_add(retry_after_ms),
                     units: wanted.units,
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::membership::peer_message::CustomerSpending;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::sharing::quota::Charge;
+use sardinewood::direct::sharing::quota::ChargeOutcome;
 use sardinewood::direct::sharing::quota::ChargeStep;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::Demand;
@@ -225,7 +225,7 @@
                 }
             }
         };
-        if charge != Charge::Granted {
+        if charge != ChargeOutcome::Granted {
             return 0;
         }
         self.served += units;
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::sharing::attempt_budget::AttemptBudget;
 use sardinewood::direct::sharing::attempt_budget::AttemptLimits;
-use sardinewood::direct::sharing::quota::Charge;
+use sardinewood::direct::sharing::quota::ChargeOutcome;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::RequestCost;
@@ -62,7 +62,7 @@
             for _ in 0..*wish {
                 let charge =
                     self.entries[index].charge(&customer(), cost(None), Demand::Pressing, now_ms);
-                if charge == Charge::Granted {
+                if charge == ChargeOutcome::Granted {
                     self.spent[index] += COST;
                 }
             }
@@ -153,7 +153,7 @@
 fn spend_all(quotas: &mut CustomerQuotas, demand: Demand, now_ms: u64) -> u64 {
     std::iter::from_fn(|| {
         let charge = quotas.charge(&customer(), cost(None), demand, now_ms);
-        (charge == Charge::Granted).then_some(COST)
+        (charge == ChargeOutcome::Granted).then_some(COST)
     })
     .sum()
 }
@@ -201,7 +201,7 @@
     let mut spend = |now_ms| {
         let charge = || quotas.charge(customer, cost(Some(TOKENS)), Demand::Slack, now_ms);
         std::iter::repeat_with(charge)
-            .take_while(|charge| *charge == Charge::Granted)
+            .take_while(|charge| *charge == ChargeOutcome::Granted)
             .count() as u64
     };
     tenths.map(|tenth| spend(tenth * 100) * TOKENS).collect()
@@ -262,7 +262,7 @@
     });
     for now_ms in (60_000..90_000).step_by(9) {
         let charge = quotas.charge(&customer(), cost(None), Demand::Slack, now_ms);
-        assert_eq!(charge, Charge::Granted);
+        assert_eq!(charge, ChargeOutcome::Granted);
     }
     let pressing = spend_all(&mut quotas, Demand::Pressing, 92_000);
     assert!(pressing >= RATE_PER_S / 2, "{pressing}");
@@ -300,11 +300,11 @@
         unsized_tokens: Some(COST),
     });
     let first = quotas.charge(&lowered, cost(None), Demand::Pressing, 0);
-    assert_eq!(first, Charge::Granted);
+    assert_eq!(first, ChargeOutcome::Granted);
     let second = quotas.charge(&lowered, cost(None), Demand::Pressing, 0);
     assert_eq!(
         second,
-        Charge::Exceeded {
+        ChargeOutcome::Exceeded {
             retry_after_ms: 950
         }
     );
@@ -484,7 +484,7 @@
                 tier: *tier,
             };
             let charge = quotas.charge(&hot, cost, Demand::Pressing, now_ms);
-            served[index] += u32::from(charge == Charge::Granted);
+            served[index] += u32::from(charge == ChargeOutcome::Granted);
         }
     }
     let rounds = f64::from(u32::try_from(rounds).expect("a count"));
@@ -522,5 +522,5 @@
         tier: 2,
     };
     let charge = quotas.charge(&customer(), cost, Demand::Pressing, 0);
-    assert_eq!(charge, Charge::Granted);
+    assert_eq!(charge, ChargeOutcome::Granted);
 }
