--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -14,7 +14,7 @@
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::sharing::quota::ChargeOutcome;
-use crate::direct::sharing::quota::Demand;
+use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
 
 /// First byte of every datagram; another form of the message gets another number.
@@ -102,7 +102,7 @@
     /// What the request asks of the allotment.
     pub cost: RequestCost,
     /// Whether others wait at the sender.
-    pub demand: Demand,
+    pub contention: Contention,
 }
 
 /// Everything that entries send each other by datagram.
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -16,7 +16,7 @@
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::ChargeStep;
-use crate::direct::sharing::quota::Demand;
+use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::catalog::Customer;
@@ -43,17 +43,17 @@
     traffic: &Rc<Traffic>,
     customer: &Customer,
     cost: RequestCost,
-    demand: Demand,
+    contention: Contention,
 ) -> ChargeOutcome {
     let begun = traffic
         .quotas
         .borrow_mut()
-        .begin(customer, cost, demand, traffic.now_ms());
+        .begin(customer, cost, contention, traffic.now_ms());
     let keeper = match begun {
         ChargeStep::Decided(charge) => return charge,
         ChargeStep::AskOwner(keeper) => keeper,
     };
-    let answer = request_charge(traffic, keeper, customer, cost, demand).await;
+    let answer = request_charge(traffic, keeper, customer, cost, contention).await;
     let now_ms = traffic.now_ms();
     let mut quotas = traffic.quotas.borrow_mut();
     if let Some(charge) = answer {
@@ -65,7 +65,7 @@
         line.field("keeper", keeper)
             .field("customer", &customer.name)
     });
-    quotas.unanswered(keeper, customer, cost, demand, now_ms)
+    quotas.unanswered(keeper, customer, cost, contention, now_ms)
 }
 
 async fn request_charge(
@@ -73,7 +73,7 @@
     keeper: SocketAddr,
     customer: &Customer,
     cost: RequestCost,
-    demand: Demand,
+    contention: Contention,
 ) -> Option<ChargeOutcome> {
     let open = OpenCharge {
         id: PeerRequestId::from_random(rand::random()),
@@ -85,7 +85,7 @@
         id: open.id,
         customer: customer.name.clone(),
         cost,
-        demand,
+        contention,
     });
     traffic.tell(keeper, &question);
     let within = Duration::from_millis(ANSWER_WITHIN_MS);
@@ -112,7 +112,7 @@
             to,
             customer,
             question.cost,
-            question.demand,
+            question.contention,
             self.now_ms(),
         );
         let answer = PeerMessage::ChargeReply {
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -33,7 +33,7 @@
 use crate::direct::request::refusal::Refusal;
 use crate::direct::request::refusal::name_of;
 use crate::direct::sharing::quota::ChargeOutcome;
-use crate::direct::sharing::quota::Demand;
+use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
 use crate::direct::sharing::size_shares::CallEnd;
 use crate::direct::traffic::Traffic;
@@ -328,7 +328,7 @@
         tokens: headers.charged_tokens(),
         tier: route.tier,
     };
-    let charged = quota_driver::charge(traffic, customer, cost, traffic.demand(service)).await;
+    let charged = quota_driver::charge(traffic, customer, cost, traffic.contention(service)).await;
     let ChargeOutcome::Exceeded { retry_after_ms } = charged else {
         return Ok(());
     };
@@ -339,7 +339,7 @@
         "size": ending.size(),
         "customer": customer.name,
         "tokens": headers.charged_tokens(),
-        "others_wait": traffic.demand(service) == Demand::Pressing,
+        "others_wait": traffic.contention(service) == Contention::Contended,
         "silent_peers": traffic.peers.borrow().silent_peers(traffic.now_ms()).len(),
     });
     let id = headers.request_id.as_ref();
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -56,11 +56,11 @@
 
 /// Whether others wait for what a request would take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Demand {
+pub enum Contention {
     /// Nobody waits.
-    Slack,
+    Uncontended,
     /// Somebody waits.
-    Pressing,
+    Contended,
 }
 
 /// What a request asks of its customer's allotment.
@@ -82,7 +82,7 @@
         numbers::of_tier(&RESERVE_PARTS, self.tier)
     }
 
-    fn wanted(self, quota: Quota, demand: Demand) -> Wanted {
+    fn wanted(self, quota: Quota, contention: Contention) -> Wanted {
         let units = match quota.unsized_tokens {
             None => 1,
             Some(unsized_tokens) => self.tokens.unwrap_or(unsized_tokens),
@@ -90,7 +90,7 @@
         Wanted {
             units,
             reserve_part: self.reserve_part(),
-            demand,
+            contention,
         }
     }
 }
@@ -119,13 +119,13 @@
 /// The buckets of all customers.
 ///
 /// ```
-/// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
+/// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
 /// use sardinewood::direct::view::catalog::{Quota, Customer};
 ///
 /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
 /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
 /// let mut quotas = CustomerQuotas::default();
-/// let pressing = Demand::Pressing;
+/// let pressing = Contention::Contended;
 /// let cost = |tokens| RequestCost { tokens, tier: 0 };
 /// assert_eq!(quotas.charge(&customer, cost(Some(20)), pressing, 0), ChargeOutcome::Granted);
 /// let refused = quotas.charge(&customer, cost(None), pressing, 0);
@@ -177,7 +177,7 @@
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_table::Keepers;
-    /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Demand, RequestCost};
+    /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Contention, RequestCost};
     /// use sardinewood::direct::view::catalog::{Quota, Customer};
     ///
     /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
@@ -187,7 +187,7 @@
     /// let keepers = Keepers { addresses: vec![other], have_started_together: false };
     /// quotas.set_keepers(own, keepers, 0, 0);
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let begun = quotas.begin(&customer, cost, Demand::Pressing, 0);
+    /// let begun = quotas.begin(&customer, cost, Contention::Contended, 0);
     /// assert_eq!(begun, ChargeStep::AskOwner(other));
     /// ```
     pub fn set_keepers(&mut self, own: SocketAddr, keepers: Keepers, unmet: usize, now_ms: u64) {
@@ -208,24 +208,24 @@
     /// Begins to charge a request of this entry to a customer.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, ChargeOutcome, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let begun = CustomerQuotas::default().begin(&unlimited, cost, Demand::Slack, 0);
+    /// let begun = CustomerQuotas::default().begin(&unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(begun, ChargeStep::Decided(ChargeOutcome::Granted));
     /// ```
     pub fn begin(
         &mut self,
         customer: &Customer,
         cost: RequestCost,
-        demand: Demand,
+        contention: Contention,
         now_ms: u64,
     ) -> ChargeStep {
         let Some(quota) = customer.quota else {
             return ChargeStep::Decided(ChargeOutcome::Granted);
         };
-        let wanted = cost.wanted(quota, demand);
+        let wanted = cost.wanted(quota, contention);
         let keeper = self.fleet.keeper(&customer.name);
         let standing = self.fleet.standing(now_ms);
         let is_unanswered = keeper
@@ -252,7 +252,7 @@
     /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::view::catalog::{Quota, Customer};
     /// # let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
@@ -272,7 +272,7 @@
             return;
         };
         // Whether others wait was weighed by the keeper.
-        let wanted = cost.wanted(quota, Demand::Pressing);
+        let wanted = cost.wanted(quota, Contention::Contended);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.take_answer(wanted, charge, now_ms);
     }
@@ -280,12 +280,12 @@
     /// Charges a request whose keeper has not answered, and leaves that keeper alone for a moment.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, cost, Demand::Slack, 0);
+    /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn unanswered(
@@ -293,14 +293,14 @@
         keeper: SocketAddr,
         customer: &Customer,
         cost: RequestCost,
-        demand: Demand,
+        contention: Contention,
         now_ms: u64,
     ) -> ChargeOutcome {
         self.unanswered.insert(keeper, now_ms + UNANSWERED_PAUSE_MS);
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
-        let wanted = cost.wanted(quota, demand);
+        let wanted = cost.wanted(quota, contention);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.charge_alone(wanted, now_ms)
     }
@@ -308,12 +308,12 @@
     /// Charges a request of a peer to a customer that is kept here.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().lend(peer, &unlimited, cost, Demand::Slack, 0);
+    /// let charge = CustomerQuotas::default().lend(peer, &unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn lend(
@@ -321,13 +321,13 @@
         to: SocketAddr,
         customer: &Customer,
         cost: RequestCost,
-        demand: Demand,
+        contention: Contention,
         now_ms: u64,
     ) -> ChargeOutcome {
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
-        let wanted = cost.wanted(quota, demand);
+        let wanted = cost.wanted(quota, contention);
         // A peer that does not hear the keeper asks here in its place. This entry does not know what
         // the keeper has just granted, so it gives out of what comes in and keeps nothing.
         let is_kept_elsewhere = self.fleet.keeper(&customer.name).is_some();
@@ -351,24 +351,24 @@
     /// refused for what another entry has not told yet.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Demand, RequestCost};
+    /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().charge(&unlimited, cost, Demand::Slack, 0);
+    /// let charge = CustomerQuotas::default().charge(&unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn charge(
         &mut self,
         customer: &Customer,
         cost: RequestCost,
-        demand: Demand,
+        contention: Contention,
         now_ms: u64,
     ) -> ChargeOutcome {
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
-        let wanted = cost.wanted(quota, demand);
+        let wanted = cost.wanted(quota, contention);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         bucket.charge_own(wanted, now_ms)
     }
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::direct::sharing::quota::ChargeOutcome;
-use crate::direct::sharing::quota::Demand;
+use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::fleet::Fleet;
 use crate::direct::sharing::quota::fleet::Standing;
 use crate::direct::view::catalog::Quota;
@@ -104,7 +104,7 @@
     pub(super) units: u64,
     /// Part of the bucket that it has to leave.
     pub(super) reserve_part: f64,
-    pub(super) demand: Demand,
+    pub(super) contention: Contention,
 }
 
 /// What a keeper refused last. Until then, what asks for as much or more, and is no more urgent,
@@ -253,9 +253,9 @@
     /// It has to be filled up to now.
     pub(super) fn charge(&mut self, wanted: Wanted, now_ms: u64) -> ChargeOutcome {
         let has_just_started = numbers::as_f64(now_ms) < self.limits.window_ms;
-        let (level, per_s) = match wanted.demand {
-            Demand::Slack if !has_just_started => (self.wide, self.limits.wide_per_s),
-            Demand::Slack | Demand::Pressing => {
+        let (level, per_s) = match wanted.contention {
+            Contention::Uncontended if !has_just_started => (self.wide, self.limits.wide_per_s),
+            Contention::Uncontended | Contention::Contended => {
                 (self.strict.min(self.wide), self.limits.rate_per_s)
             }
         };
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -45,8 +45,8 @@
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::attempt_budget::AttemptBudget;
 use crate::direct::sharing::attempt_budget::AttemptLimits;
+use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::CustomerQuotas;
-use crate::direct::sharing::quota::Demand;
 use crate::direct::sharing::size_floor::SizeFloor;
 use crate::direct::sharing::size_shares::SizeShares;
 use crate::direct::view::catalog::Catalog;
@@ -321,12 +321,12 @@
     /// Whether requests wait for room at a service here. What waits for another service does not
     /// get what a request would take.
     #[must_use]
-    pub fn demand(&self, service: &str) -> Demand {
+    pub fn contention(&self, service: &str) -> Contention {
         let asks = self.asks.borrow();
         if asks.values().any(|asked| &*asked.service == service) {
-            Demand::Pressing
+            Contention::Contended
         } else {
-            Demand::Slack
+            Contention::Uncontended
         }
     }
 
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -8,8 +8,8 @@
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::sharing::quota::ChargeOutcome;
 use sardinewood::direct::sharing::quota::ChargeStep;
+use sardinewood::direct::sharing::quota::Contention;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
-use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::view::catalog::Customer;
@@ -47,7 +47,7 @@
     pub members: Vec<Member>,
     pub now_ms: u64,
     customer: Customer,
-    demand: Demand,
+    contention: Contention,
     /// Whether a message from one entry to another is lost.
     pub is_cut: fn(usize, usize, u64) -> bool,
     /// Units spent in each step.
@@ -86,7 +86,7 @@
 }
 
 impl QuotaFleet {
-    pub fn new(count: usize, demand: Demand) -> Self {
+    pub fn new(count: usize, contention: Contention) -> Self {
         Self {
             members: (0..count).map(|index| member(index, 0, 1)).collect(),
             now_ms: 0,
@@ -99,7 +99,7 @@
                     unsized_tokens: Some(200),
                 }),
             },
-            demand,
+            contention,
             is_cut: |_, _, _| false,
             spent: Vec::new(),
             asked: 0,
@@ -124,7 +124,7 @@
             let begun = member
                 .quotas
                 .clone()
-                .begin(&self.customer, cost, self.demand, own_ms);
+                .begin(&self.customer, cost, self.contention, own_ms);
             return match begun {
                 ChargeStep::AskOwner(keeper) => index_of(keeper),
                 ChargeStep::Decided(_) => index,
@@ -201,10 +201,10 @@
         };
         let now_ms = self.own_ms(at);
         let customer = self.customer.clone();
-        let demand = self.demand;
+        let contention = self.contention;
         let begun = self.members[at]
             .quotas
-            .begin(&customer, cost, demand, now_ms);
+            .begin(&customer, cost, contention, now_ms);
         let charge = match begun {
             ChargeStep::Decided(charge) => charge,
             ChargeStep::AskOwner(keeper) => {
@@ -214,11 +214,11 @@
                 self.asked += 1;
                 if is_lost || !self.is_running(keeper) {
                     let own = &mut self.members[at].quotas;
-                    own.unanswered(address(keeper), &customer, cost, demand, now_ms)
+                    own.unanswered(address(keeper), &customer, cost, contention, now_ms)
                 } else {
                     let keeper_ms = self.own_ms(keeper);
                     let kept = &mut self.members[keeper].quotas;
-                    let charge = kept.lend(address(at), &customer, cost, demand, keeper_ms);
+                    let charge = kept.lend(address(at), &customer, cost, contention, keeper_ms);
                     let own = &mut self.members[at].quotas;
                     own.answered(&customer, cost, charge, now_ms);
                     charge
--- a/lib/tests/test_direct_quota_owners.rs
+++ b/lib/tests/test_direct_quota_owners.rs
@@ -1,6 +1,6 @@
 //! One customer's allotment in a fleet of a hundred entries whose heartbeats are a second apart.
 
-use sardinewood::direct::sharing::quota::Demand;
+use sardinewood::direct::sharing::quota::Contention;
 
 use crate::quota_fleet::ALLOWED;
 use crate::quota_fleet::QuotaFleet;
@@ -11,8 +11,8 @@
 const HOT: f64 = 4.0;
 
 /// A fleet in which all know each other and the customer has asked for half of its rate so far.
-fn calm_fleet(entries: usize, demand: Demand) -> QuotaFleet {
-    let mut fleet = QuotaFleet::new(entries, demand);
+fn calm_fleet(entries: usize, contention: Contention) -> QuotaFleet {
+    let mut fleet = QuotaFleet::new(entries, contention);
     fleet.press(12_000, 0.5);
     fleet
 }
@@ -27,8 +27,8 @@
     // A customer asks for four times its rate, everywhere. What an entry spends is told to the
     // others a second later, so if each went by what it knows, all would give out the same units.
     // The keeper gives them once: callers get the rate, and no window holds more than is allowed.
-    for demand in [Demand::Pressing, Demand::Slack] {
-        let mut fleet = calm_fleet(ENTRIES, demand);
+    for contention in [Contention::Contended, Contention::Uncontended] {
+        let mut fleet = calm_fleet(ENTRIES, contention);
         let before = fleet.served;
         fleet.press(20_000, HOT);
         assert_within(&fleet);
@@ -41,7 +41,7 @@
 fn customer_within_its_rate_never_refused() {
     // A customer asks for eight tenths of its rate, at changing entries. Nothing is refused, and in
     // a fleet of four few requests are asked about.
-    let mut fleet = calm_fleet(4, Demand::Pressing);
+    let mut fleet = calm_fleet(4, Contention::Contended);
     let (before, asked) = (fleet.served, fleet.asked);
     fleet.press(20_000, 0.8);
     let served = fleet.served - before;
@@ -57,7 +57,7 @@
 /// Part of what a customer asks for, its rate at most, that is served in the three seconds in which
 /// its keeper is dead and believed alive.
 fn part_served_without_keeper(times_rate: f64) -> f64 {
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     fleet.press(5_000, times_rate);
     let keeper = fleet.keeper();
     fleet.kill(keeper, 60_000);
@@ -91,7 +91,7 @@
 #[test]
 fn keepers_killed_in_series() {
     // Whoever keeps the customer is killed, four times within a window.
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     for _ in 0..4 {
         let keeper = fleet.keeper();
         fleet.kill(keeper, 1_500);
@@ -106,7 +106,7 @@
     // All entries are killed at once and are back after 0.7 s, knowing nothing, while a customer
     // asks for all that it gets. Whenever that happens, no window holds more than is allowed.
     for calm_ms in [200, 1_000, 3_000] {
-        let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+        let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
         fleet.press(calm_ms, HOT);
         for index in 0..ENTRIES {
             let after_ms = 700 + u64::try_from(index).expect("an index") * 3;
@@ -122,7 +122,7 @@
     // All entries lose power, and are back after 0.7 s. A customer that asks for six tenths of its
     // rate, in uneven pieces, is served from the start but for some requests while the entries have not
     // met, although nobody knows what it has spent.
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     for index in 0..ENTRIES {
         fleet.kill(index, 700);
     }
@@ -138,7 +138,7 @@
 fn half_of_the_fleet_killed_and_back() {
     // Half of all entries lose power for two seconds, the keeper among them or not.
     for first in [0, 1] {
-        let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+        let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
         fleet.press(2_000, HOT);
         for index in (first..ENTRIES).step_by(2) {
             fleet.kill(index, 2_000);
@@ -152,7 +152,7 @@
 fn cut_fleet_gives_each_side_its_part() {
     // A third of the entries is cut off from the others, both ways, for good. Both sides have a
     // keeper; what one side gives the other takes to be given.
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     fleet.press(2_000, HOT);
     fleet.is_cut = |from, to, _| (from % 3 == 0) != (to % 3 == 0);
     fleet.press(20_000, HOT);
@@ -163,7 +163,7 @@
 fn deaf_entries_go_on_alone() {
     // Every sixth entry hears nobody, and is heard: the keeper counts on all of the rate. The deaf
     // ones go on at what they were granted of late, and take their peers to do the same.
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     fleet.press(2_000, HOT);
     fleet.is_cut = |_, to, _| to % 6 == 0;
     fleet.press(20_000, HOT);
@@ -174,7 +174,7 @@
 fn keeper_held_up_and_back() {
     // The keeper stands still for four seconds, so another one takes over. When it goes on it
     // still takes itself for the keeper, and finds four seconds of the rate come in.
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     fleet.press(2_000, HOT);
     let keeper = fleet.keeper();
     fleet.hold_up(keeper, 4_000);
@@ -185,7 +185,7 @@
 #[test]
 fn entries_restarted_in_turn() {
     // Every entry is restarted, one each quarter of a second, while a customer presses.
-    let mut fleet = calm_fleet(ENTRIES, Demand::Slack);
+    let mut fleet = calm_fleet(ENTRIES, Contention::Uncontended);
     for index in 0..60 {
         fleet.kill(index, 600);
         fleet.press(250, HOT);
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -10,8 +10,8 @@
 use sardinewood::direct::sharing::attempt_budget::AttemptBudget;
 use sardinewood::direct::sharing::attempt_budget::AttemptLimits;
 use sardinewood::direct::sharing::quota::ChargeOutcome;
+use sardinewood::direct::sharing::quota::Contention;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
-use sardinewood::direct::sharing::quota::Demand;
 use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::view::catalog::Customer;
@@ -60,8 +60,12 @@
     fn press(&mut self, now_ms: u64, wishes: &[u64]) {
         for (index, wish) in wishes.iter().enumerate() {
             for _ in 0..*wish {
-                let charge =
-                    self.entries[index].charge(&customer(), cost(None), Demand::Pressing, now_ms);
+                let charge = self.entries[index].charge(
+                    &customer(),
+                    cost(None),
+                    Contention::Contended,
+                    now_ms,
+                );
                 if charge == ChargeOutcome::Granted {
                     self.spent[index] += COST;
                 }
@@ -150,9 +154,9 @@
 /// One burst and 15 in 100 of the tolerance.
 const AT_ONCE_UNITS: u64 = 1_150;
 
-fn spend_all(quotas: &mut CustomerQuotas, demand: Demand, now_ms: u64) -> u64 {
+fn spend_all(quotas: &mut CustomerQuotas, contention: Contention, now_ms: u64) -> u64 {
     std::iter::from_fn(|| {
-        let charge = quotas.charge(&customer(), cost(None), demand, now_ms);
+        let charge = quotas.charge(&customer(), cost(None), contention, now_ms);
         (charge == ChargeOutcome::Granted).then_some(COST)
     })
     .sum()
@@ -169,11 +173,11 @@
     quotas.set_tolerance(TOLERANCE);
     // Long after the start, so that nothing unknown lies in the window.
     let now_ms = 60_000;
-    let pressing = spend_all(&mut quotas, Demand::Pressing, now_ms);
+    let pressing = spend_all(&mut quotas, Contention::Contended, now_ms);
     assert_eq!(pressing, RATE_PER_S);
-    let rest = spend_all(&mut quotas, Demand::Slack, now_ms);
+    let rest = spend_all(&mut quotas, Contention::Uncontended, now_ms);
     assert_eq!(rest, AT_ONCE_UNITS - RATE_PER_S);
-    assert_eq!(spend_all(&mut quotas, Demand::Slack, now_ms), 0);
+    assert_eq!(spend_all(&mut quotas, Contention::Uncontended, now_ms), 0);
 }
 
 #[test]
@@ -182,7 +186,7 @@
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(TOLERANCE);
     let spent: Vec<u64> = (80..680)
-        .map(|tenth| spend_all(&mut quotas, Demand::Slack, tenth * 100))
+        .map(|tenth| spend_all(&mut quotas, Contention::Uncontended, tenth * 100))
         .collect();
     let most = most_in_a_window(&spent, 80);
     assert!(most <= WINDOW_UNITS, "{most}");
@@ -199,7 +203,14 @@
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(tolerance);
     let mut spend = |now_ms| {
-        let charge = || quotas.charge(customer, cost(Some(TOKENS)), Demand::Slack, now_ms);
+        let charge = || {
+            quotas.charge(
+                customer,
+                cost(Some(TOKENS)),
+                Contention::Uncontended,
+                now_ms,
+            )
+        };
         std::iter::repeat_with(charge)
             .take_while(|charge| *charge == ChargeOutcome::Granted)
             .count() as u64
@@ -246,8 +257,8 @@
     for tenth in 200..280 {
         quotas.spent_elsewhere(address(1), &"c".into(), 200, tenth * 100);
     }
-    assert_eq!(spend_all(&mut quotas, Demand::Pressing, 28_000), 0);
-    let calm = spend_all(&mut quotas, Demand::Slack, 28_000);
+    assert_eq!(spend_all(&mut quotas, Contention::Contended, 28_000), 0);
+    let calm = spend_all(&mut quotas, Contention::Uncontended, 28_000);
     assert!(calm <= AT_ONCE_UNITS - RATE_PER_S, "{calm}");
 }
 
@@ -261,10 +272,10 @@
         ..TOLERANCE
     });
     for now_ms in (60_000..90_000).step_by(9) {
-        let charge = quotas.charge(&customer(), cost(None), Demand::Slack, now_ms);
+        let charge = quotas.charge(&customer(), cost(None), Contention::Uncontended, now_ms);
         assert_eq!(charge, ChargeOutcome::Granted);
     }
-    let pressing = spend_all(&mut quotas, Demand::Pressing, 92_000);
+    let pressing = spend_all(&mut quotas, Contention::Contended, 92_000);
     assert!(pressing >= RATE_PER_S / 2, "{pressing}");
 }
 
@@ -275,7 +286,7 @@
     // have the customer refused here for seconds.
     let mut quotas = CustomerQuotas::default();
     let peer = address(1);
-    quotas.charge(&customer(), cost(None), Demand::Pressing, 0);
+    quotas.charge(&customer(), cost(None), Contention::Contended, 0);
     for tenth in 0..100 {
         quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
     }
@@ -285,23 +296,23 @@
     }
     quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S * 5, 20_000);
     quotas.set_fleet(2, Vec::new(), 20_000);
-    let spent = spend_all(&mut quotas, Demand::Pressing, 20_000);
+    let spent = spend_all(&mut quotas, Contention::Contended, 20_000);
     assert!(spent >= RATE_PER_S / 2, "{spent}");
 }
 
 #[test]
 fn lowered_limit_binds_at_once() {
     let mut quotas = CustomerQuotas::default();
-    quotas.charge(&customer(), cost(None), Demand::Pressing, 0);
+    quotas.charge(&customer(), cost(None), Contention::Contended, 0);
     let mut lowered = customer();
     lowered.quota = Some(Quota {
         rate_per_s: 10,
         burst: 10,
         unsized_tokens: Some(COST),
     });
-    let first = quotas.charge(&lowered, cost(None), Demand::Pressing, 0);
+    let first = quotas.charge(&lowered, cost(None), Contention::Contended, 0);
     assert_eq!(first, ChargeOutcome::Granted);
-    let second = quotas.charge(&lowered, cost(None), Demand::Pressing, 0);
+    let second = quotas.charge(&lowered, cost(None), Contention::Contended, 0);
     assert_eq!(
         second,
         ChargeOutcome::Exceeded {
@@ -483,7 +494,7 @@
                 tokens: Some(*units),
                 tier: *tier,
             };
-            let charge = quotas.charge(&hot, cost, Demand::Pressing, now_ms);
+            let charge = quotas.charge(&hot, cost, Contention::Contended, now_ms);
             served[index] += u32::from(charge == ChargeOutcome::Granted);
         }
     }
@@ -521,6 +532,6 @@
         tokens: Some(RATE_PER_S * 5),
         tier: 2,
     };
-    let charge = quotas.charge(&customer(), cost, Demand::Pressing, 0);
+    let charge = quotas.charge(&customer(), cost, Contention::Contended, 0);
     assert_eq!(charge, ChargeOutcome::Granted);
 }
