--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -103,7 +103,7 @@
 
 /// The entries that may keep customers' allotments.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Keepers {
+pub struct QuotaOwners {
     /// Their addresses; this entry's own may be one of them.
     pub addresses: Vec<SocketAddr>,
     /// Whether all entries have just started, so that none knows what was spent before.
@@ -384,12 +384,12 @@
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let own = "10.0.0.1:7".parse().unwrap();
-    /// let keepers = PeerTable::new(own, &[]).keepers(false, 0);
-    /// assert_eq!(keepers.addresses, [own]);
-    /// assert!(keepers.have_started_together);
+    /// let quota_owners = PeerTable::new(own, &[]).quota_owners(false, 0);
+    /// assert_eq!(quota_owners.addresses, [own]);
+    /// assert!(quota_owners.have_started_together);
     /// ```
     #[must_use]
-    pub fn keepers(&self, is_own_leaving: bool, now_ms: u64) -> Keepers {
+    pub fn quota_owners(&self, is_own_leaving: bool, now_ms: u64) -> QuotaOwners {
         let age_s = |address: &SocketAddr| {
             let peer = self.peers.get(address);
             peer.map_or(Self::own_age_s(now_ms), |peer| peer.age_s)
@@ -403,7 +403,7 @@
             let is_settled = |address: &SocketAddr| age_s(address) >= SETTLED_AFTER_S;
             owners.into_iter().filter(is_settled).collect()
         };
-        Keepers {
+        QuotaOwners {
             addresses,
             have_started_together,
         }
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -199,9 +199,9 @@
         let known = peers.known_entries();
         let unmet = peers.undiscovered(now_ms);
         let heard = peers.live_peers(now_ms).len() + 1;
-        let keepers = peers.keepers(traffic.is_stopping.get(), now_ms);
+        let quota_owners = peers.quota_owners(traffic.is_stopping.get(), now_ms);
         let mut quotas = traffic.quotas.borrow_mut();
-        quotas.set_keepers(peers.own_address(), keepers, unmet, now_ms);
+        quotas.set_owners(peers.own_address(), quota_owners, unmet, now_ms);
         quotas.set_fleet(known, peers.overdue(now_ms), now_ms);
         drop(quotas);
         traffic.budget.borrow_mut().set_entries(known + unmet);
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -29,7 +29,7 @@
 use serde::Serialize;
 
 use crate::direct::membership::peer_message::CustomerSpending;
-use crate::direct::membership::peer_table::Keepers;
+use crate::direct::membership::peer_table::QuotaOwners;
 use crate::direct::sharing::quota::bucket::Bucket;
 use crate::direct::sharing::quota::bucket::Spending;
 use crate::direct::sharing::quota::bucket::Wanted;
@@ -176,7 +176,7 @@
     /// peers have heard that this one has not. It is told with each heartbeat.
     ///
     /// ```
-    /// use sardinewood::direct::membership::peer_table::Keepers;
+    /// use sardinewood::direct::membership::peer_table::QuotaOwners;
     /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Contention, RequestCost};
     /// use sardinewood::direct::view::catalog::{Quota, Customer};
     ///
@@ -184,15 +184,21 @@
     /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let (own, other) = ("10.0.0.1:7".parse().unwrap(), "10.0.0.2:7".parse().unwrap());
     /// let mut quotas = CustomerQuotas::default();
-    /// let keepers = Keepers { addresses: vec![other], have_started_together: false };
-    /// quotas.set_keepers(own, keepers, 0, 0);
+    /// let quota_owners = QuotaOwners { addresses: vec![other], have_started_together: false };
+    /// quotas.set_owners(own, quota_owners, 0, 0);
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let begun = quotas.begin(&customer, cost, Contention::Contended, 0);
     /// assert_eq!(begun, ChargeStep::AskOwner(other));
     /// ```
-    pub fn set_keepers(&mut self, own: SocketAddr, keepers: Keepers, unmet: usize, now_ms: u64) {
+    pub fn set_owners(
+        &mut self,
+        own: SocketAddr,
+        quota_owners: QuotaOwners,
+        unmet: usize,
+        now_ms: u64,
+    ) {
         self.fleet.unmet = unmet;
-        let changed = self.fleet.set_keepers(own, keepers, now_ms);
+        let changed = self.fleet.set_owners(own, quota_owners, now_ms);
         if changed == Changed::Nothing {
             return;
         }
--- a/lib/src/direct/sharing/quota/fleet.rs
+++ b/lib/src/direct/sharing/quota/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::direct::membership::peer_table::Keepers;
+use crate::direct::membership::peer_table::QuotaOwners;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::sharing::admission;
 use crate::numbers;
@@ -26,7 +26,7 @@
     pub(super) unmet: usize,
     own: Option<SocketAddr>,
     /// Those that may keep customers.
-    keepers: Vec<SocketAddr>,
+    quota_owners: Vec<SocketAddr>,
     have_started_together: bool,
     same_since_ms: u64,
     looked_at_ms: u64,
@@ -45,18 +45,18 @@
     }
 
     /// Takes who may keep customers; whether it is anybody else than before.
-    pub(super) fn set_keepers(
+    pub(super) fn set_owners(
         &mut self,
         own: SocketAddr,
-        keepers: Keepers,
+        quota_owners: QuotaOwners,
         now_ms: u64,
     ) -> Changed {
-        let mut addresses = keepers.addresses;
+        let mut addresses = quota_owners.addresses;
         addresses.sort_unstable();
         let is_held_up = now_ms > self.looked_at_ms + HELD_UP_MS;
         let changed = if is_held_up {
             Changed::HeldUp
-        } else if self.own != Some(own) || self.keepers != addresses {
+        } else if self.own != Some(own) || self.quota_owners != addresses {
             Changed::Others
         } else {
             Changed::Nothing
@@ -65,8 +65,8 @@
             self.same_since_ms = now_ms;
         }
         self.own = Some(own);
-        self.keepers = addresses;
-        self.have_started_together = keepers.have_started_together;
+        self.quota_owners = addresses;
+        self.have_started_together = quota_owners.have_started_together;
         self.looked_at_ms = now_ms;
         changed
     }
@@ -84,7 +84,7 @@
 
     /// The peer that keeps a customer; none if this entry does.
     pub(super) fn keeper(&self, customer: &str) -> Option<SocketAddr> {
-        let keeper = admission::owner(short_name(customer), self.keepers.iter().copied())?;
+        let keeper = admission::owner(short_name(customer), self.quota_owners.iter().copied())?;
         (Some(keeper) != self.own).then_some(keeper)
     }
 }
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -264,9 +264,14 @@
         let now_ms = self.now_ms;
         let member = &mut self.members[from];
         let table = &member.table;
-        let keepers = table.keepers(false, own_ms);
+        let quota_owners = table.quota_owners(false, own_ms);
         let own = &mut member.quotas;
-        own.set_keepers(address(from), keepers, table.undiscovered(own_ms), own_ms);
+        own.set_owners(
+            address(from),
+            quota_owners,
+            table.undiscovered(own_ms),
+            own_ms,
+        );
         own.set_fleet(table.known_entries(), table.overdue(own_ms), own_ms);
         member.sequence += 1;
         member.next_heartbeat_ms = now_ms + table.heartbeat_ms(false);
