--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -202,7 +202,7 @@
         let quota_owners = peers.quota_owners(traffic.is_stopping.get(), now_ms);
         let mut quotas = traffic.quotas.borrow_mut();
         quotas.set_owners(peers.own_address(), quota_owners, unmet, now_ms);
-        quotas.set_fleet(known, peers.overdue(now_ms), now_ms);
+        quotas.set_membership(known, peers.overdue(now_ms), now_ms);
         drop(quotas);
         traffic.budget.borrow_mut().set_entries(known + unmet);
         let part = numbers::ratio(heard, known + unmet);
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -157,9 +157,9 @@
     ///
     /// ```
     /// let mut quotas = sardinewood::direct::sharing::quota::CustomerQuotas::default();
-    /// quotas.set_fleet(4, vec!["10.0.0.1:7".parse().unwrap()], 0);
+    /// quotas.set_membership(4, vec!["10.0.0.1:7".parse().unwrap()], 0);
     /// ```
-    pub fn set_fleet(&mut self, known: usize, silent: Vec<SocketAddr>, now_ms: u64) {
+    pub fn set_membership(&mut self, known: usize, silent: Vec<SocketAddr>, now_ms: u64) {
         let is_whole = |fleet: &Fleet| fleet.silent.is_empty() && fleet.unmet == 0;
         let was_whole = is_whole(&self.fleet);
         self.fleet.known = known;
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -272,7 +272,7 @@
             table.undiscovered(own_ms),
             own_ms,
         );
-        own.set_fleet(table.known_entries(), table.overdue(own_ms), own_ms);
+        own.set_membership(table.known_entries(), table.overdue(own_ms), own_ms);
         member.sequence += 1;
         member.next_heartbeat_ms = now_ms + table.heartbeat_ms(false);
         let spent: Vec<CustomerSpending> = own
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -88,7 +88,7 @@
                 .filter(|from| *from != to && is_cut(*from, to))
                 .map(|from| address(u8::try_from(from).expect("a small fleet")))
                 .collect();
-            self.entries[to].set_fleet(count, silent, now_ms);
+            self.entries[to].set_membership(count, silent, now_ms);
         }
     }
 
@@ -290,12 +290,12 @@
     for tenth in 0..100 {
         quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
     }
-    quotas.set_fleet(2, vec![peer], 10_000);
+    quotas.set_membership(2, vec![peer], 10_000);
     for tenth in 100..200 {
-        quotas.set_fleet(2, vec![peer], tenth * 100);
+        quotas.set_membership(2, vec![peer], tenth * 100);
     }
     quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S * 5, 20_000);
-    quotas.set_fleet(2, Vec::new(), 20_000);
+    quotas.set_membership(2, Vec::new(), 20_000);
     let spent = spend_all(&mut quotas, Contention::Contended, 20_000);
     assert!(spent >= RATE_PER_S / 2, "{spent}");
 }
