--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -45,10 +45,11 @@
     cost: RequestCost,
     contention: Contention,
 ) -> ChargeOutcome {
-    let begun = traffic
-        .quotas
-        .borrow_mut()
-        .begin(customer, cost, contention, traffic.now_ms());
+    let begun =
+        traffic
+            .quotas
+            .borrow_mut()
+            .begin_charge(customer, cost, contention, traffic.now_ms());
     let keeper = match begun {
         ChargeStep::Decided(charge) => return charge,
         ChargeStep::AskOwner(keeper) => keeper,
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -187,7 +187,7 @@
     /// let quota_owners = QuotaOwners { addresses: vec![other], have_started_together: false };
     /// quotas.set_owners(own, quota_owners, 0, 0);
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let begun = quotas.begin(&customer, cost, Contention::Contended, 0);
+    /// let begun = quotas.begin_charge(&customer, cost, Contention::Contended, 0);
     /// assert_eq!(begun, ChargeStep::AskOwner(other));
     /// ```
     pub fn set_owners(
@@ -218,10 +218,10 @@
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let begun = CustomerQuotas::default().begin(&unlimited, cost, Contention::Uncontended, 0);
+    /// let begun = CustomerQuotas::default().begin_charge(&unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(begun, ChargeStep::Decided(ChargeOutcome::Granted));
     /// ```
-    pub fn begin(
+    pub fn begin_charge(
         &mut self,
         customer: &Customer,
         cost: RequestCost,
@@ -255,7 +255,7 @@
         ChargeStep::AskOwner(keeper)
     }
 
-    /// Takes the keeper's answer to a question that [`Self::begin`] asked for.
+    /// Takes the keeper's answer to a question that [`Self::begin_charge`] asked for.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -121,10 +121,11 @@
                 tier: 0,
             };
             let own_ms = now_ms - member.began_ms;
-            let begun = member
-                .quotas
-                .clone()
-                .begin(&self.customer, cost, self.contention, own_ms);
+            let begun =
+                member
+                    .quotas
+                    .clone()
+                    .begin_charge(&self.customer, cost, self.contention, own_ms);
             return match begun {
                 ChargeStep::AskOwner(keeper) => index_of(keeper),
                 ChargeStep::Decided(_) => index,
@@ -204,7 +205,7 @@
         let contention = self.contention;
         let begun = self.members[at]
             .quotas
-            .begin(&customer, cost, contention, now_ms);
+            .begin_charge(&customer, cost, contention, now_ms);
         let charge = match begun {
             ChargeStep::Decided(charge) => charge,
             ChargeStep::AskOwner(keeper) => {
