--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -58,7 +58,7 @@
     let now_ms = traffic.now_ms();
     let mut quotas = traffic.quotas.borrow_mut();
     if let Some(charge) = answer {
-        quotas.answered(customer, cost, charge, now_ms);
+        quotas.apply_owner_outcome(customer, cost, charge, now_ms);
         return charge;
     }
     let message = "keeper of an allotment is silent";
@@ -66,7 +66,7 @@
         line.field("keeper", keeper)
             .field("customer", &customer.name)
     });
-    quotas.unanswered(keeper, customer, cost, contention, now_ms)
+    quotas.charge_without_owner(keeper, customer, cost, contention, now_ms)
 }
 
 async fn request_charge(
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -139,7 +139,7 @@
     fleet: Fleet,
     tolerance: Tolerance,
     /// Until when keepers that have not answered are not asked.
-    unanswered: IndexMap<SocketAddr, u64>,
+    unresponsive_owners: IndexMap<SocketAddr, u64>,
 }
 
 impl CustomerQuotas {
@@ -202,7 +202,8 @@
         if changed == Changed::Nothing {
             return;
         }
-        self.unanswered.retain(|_, until_ms| now_ms < *until_ms);
+        self.unresponsive_owners
+            .retain(|_, until_ms| now_ms < *until_ms);
         for (customer, bucket) in &mut self.buckets {
             let is_lost = bucket.is_kept() && self.fleet.keeper(customer).is_some();
             if is_lost || changed == Changed::HeldUp {
@@ -235,7 +236,7 @@
         let keeper = self.fleet.keeper(&customer.name);
         let standing = self.fleet.standing(now_ms);
         let is_unanswered = keeper
-            .and_then(|keeper| self.unanswered.get(&keeper))
+            .and_then(|keeper| self.unresponsive_owners.get(&keeper))
             .is_some_and(|until_ms| now_ms < *until_ms);
         let bucket = self.bucket(&customer.name, quota, now_ms);
         let Some(keeper) = keeper else {
@@ -264,10 +265,10 @@
     /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let mut quotas = CustomerQuotas::default();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// quotas.answered(&customer, cost, ChargeOutcome::Granted, 0);
+    /// quotas.apply_owner_outcome(&customer, cost, ChargeOutcome::Granted, 0);
     /// assert_eq!(quotas.own_spent().next().unwrap().1, 5);
     /// ```
-    pub fn answered(
+    pub fn apply_owner_outcome(
         &mut self,
         customer: &Customer,
         cost: RequestCost,
@@ -291,10 +292,10 @@
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().unanswered(keeper, &unlimited, cost, Contention::Uncontended, 0);
+    /// let charge = CustomerQuotas::default().charge_without_owner(keeper, &unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
-    pub fn unanswered(
+    pub fn charge_without_owner(
         &mut self,
         keeper: SocketAddr,
         customer: &Customer,
@@ -302,7 +303,8 @@
         contention: Contention,
         now_ms: u64,
     ) -> ChargeOutcome {
-        self.unanswered.insert(keeper, now_ms + UNANSWERED_PAUSE_MS);
+        self.unresponsive_owners
+            .insert(keeper, now_ms + UNANSWERED_PAUSE_MS);
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -215,13 +215,13 @@
                 self.asked += 1;
                 if is_lost || !self.is_running(keeper) {
                     let own = &mut self.members[at].quotas;
-                    own.unanswered(address(keeper), &customer, cost, contention, now_ms)
+                    own.charge_without_owner(address(keeper), &customer, cost, contention, now_ms)
                 } else {
                     let keeper_ms = self.own_ms(keeper);
                     let kept = &mut self.members[keeper].quotas;
                     let charge = kept.lend(address(at), &customer, cost, contention, keeper_ms);
                     let own = &mut self.members[at].quotas;
-                    own.answered(&customer, cost, charge, now_ms);
+                    own.apply_owner_outcome(&customer, cost, charge, now_ms);
                     charge
                 }
             }
