--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -95,7 +95,7 @@
 
 impl Traffic {
     /// Charges a peer's request to a customer that is kept here.
-    pub fn lend(&self, to: SocketAddr, question: &ChargeRequest) {
+    pub fn charge_for_peer(&self, to: SocketAddr, question: &ChargeRequest) {
         let catalog = self.catalog.borrow();
         let customer = catalog
             .as_ref()
@@ -109,7 +109,7 @@
             );
             return;
         };
-        let charge = self.quotas.borrow_mut().lend(
+        let charge = self.quotas.borrow_mut().charge_for_peer(
             to,
             customer,
             question.cost,
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -123,7 +123,7 @@
                     .release(EntryRef::Peer(from), upstream, release);
                 traffic.grant_rooms();
             }
-            Some(PeerMessage::ChargeRequest(question)) => traffic.lend(from, &question),
+            Some(PeerMessage::ChargeRequest(question)) => traffic.charge_for_peer(from, &question),
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
                 traffic.charged(request_id, charge)
             }
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -321,10 +321,10 @@
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().lend(peer, &unlimited, cost, Contention::Uncontended, 0);
+    /// let charge = CustomerQuotas::default().charge_for_peer(peer, &unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
-    pub fn lend(
+    pub fn charge_for_peer(
         &mut self,
         to: SocketAddr,
         customer: &Customer,
@@ -349,7 +349,7 @@
         if is_kept_elsewhere {
             bucket.release();
         }
-        bucket.lend(to, wanted, now_ms)
+        bucket.charge_for_peer(to, wanted, now_ms)
     }
 
     /// Charges a request to a customer by what this entry knows itself.
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -289,7 +289,12 @@
     }
 
     /// The same for a request of a peer, which tells later that it has spent the units.
-    pub(super) fn lend(&mut self, to: SocketAddr, wanted: Wanted, now_ms: u64) -> ChargeOutcome {
+    pub(super) fn charge_for_peer(
+        &mut self,
+        to: SocketAddr,
+        wanted: Wanted,
+        now_ms: u64,
+    ) -> ChargeOutcome {
         let charge = self.charge(wanted, now_ms);
         if charge == ChargeOutcome::Granted {
             let peer = self.peers.entry(to).or_default();
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -219,7 +219,8 @@
                 } else {
                     let keeper_ms = self.own_ms(keeper);
                     let kept = &mut self.members[keeper].quotas;
-                    let charge = kept.lend(address(at), &customer, cost, contention, keeper_ms);
+                    let charge =
+                        kept.charge_for_peer(address(at), &customer, cost, contention, keeper_ms);
                     let own = &mut self.members[at].quotas;
                     own.apply_owner_outcome(&customer, cost, charge, now_ms);
                     charge
