--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -127,8 +127,8 @@
 /// let mut quotas = CustomerQuotas::default();
 /// let pressing = Contention::Contended;
 /// let cost = |tokens| RequestCost { tokens, tier: 0 };
-/// assert_eq!(quotas.charge(&customer, cost(Some(20)), pressing, 0), ChargeOutcome::Granted);
-/// let refused = quotas.charge(&customer, cost(None), pressing, 0);
+/// assert_eq!(quotas.charge_locally(&customer, cost(Some(20)), pressing, 0), ChargeOutcome::Granted);
+/// let refused = quotas.charge_locally(&customer, cost(None), pressing, 0);
 /// assert_eq!(refused, ChargeOutcome::Exceeded { retry_after_ms: 400 });
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -363,10 +363,10 @@
     /// # use sardinewood::direct::view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().charge(&unlimited, cost, Contention::Uncontended, 0);
+    /// let charge = CustomerQuotas::default().charge_locally(&unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
-    pub fn charge(
+    pub fn charge_locally(
         &mut self,
         customer: &Customer,
         cost: RequestCost,
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -60,7 +60,7 @@
     fn press(&mut self, now_ms: u64, wishes: &[u64]) {
         for (index, wish) in wishes.iter().enumerate() {
             for _ in 0..*wish {
-                let charge = self.entries[index].charge(
+                let charge = self.entries[index].charge_locally(
                     &customer(),
                     cost(None),
                     Contention::Contended,
@@ -156,7 +156,7 @@
 
 fn spend_all(quotas: &mut CustomerQuotas, contention: Contention, now_ms: u64) -> u64 {
     std::iter::from_fn(|| {
-        let charge = quotas.charge(&customer(), cost(None), contention, now_ms);
+        let charge = quotas.charge_locally(&customer(), cost(None), contention, now_ms);
         (charge == ChargeOutcome::Granted).then_some(COST)
     })
     .sum()
@@ -204,7 +204,7 @@
     quotas.set_tolerance(tolerance);
     let mut spend = |now_ms| {
         let charge = || {
-            quotas.charge(
+            quotas.charge_locally(
                 customer,
                 cost(Some(TOKENS)),
                 Contention::Uncontended,
@@ -272,7 +272,8 @@
         ..TOLERANCE
     });
     for now_ms in (60_000..90_000).step_by(9) {
-        let charge = quotas.charge(&customer(), cost(None), Contention::Uncontended, now_ms);
+        let charge =
+            quotas.charge_locally(&customer(), cost(None), Contention::Uncontended, now_ms);
         assert_eq!(charge, ChargeOutcome::Granted);
     }
     let pressing = spend_all(&mut quotas, Contention::Contended, 92_000);
@@ -286,7 +287,7 @@
     // have the customer refused here for seconds.
     let mut quotas = CustomerQuotas::default();
     let peer = address(1);
-    quotas.charge(&customer(), cost(None), Contention::Contended, 0);
+    quotas.charge_locally(&customer(), cost(None), Contention::Contended, 0);
     for tenth in 0..100 {
         quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
     }
@@ -303,16 +304,16 @@
 #[test]
 fn lowered_limit_binds_at_once() {
     let mut quotas = CustomerQuotas::default();
-    quotas.charge(&customer(), cost(None), Contention::Contended, 0);
+    quotas.charge_locally(&customer(), cost(None), Contention::Contended, 0);
     let mut lowered = customer();
     lowered.quota = Some(Quota {
         rate_per_s: 10,
         burst: 10,
         unsized_tokens: Some(COST),
     });
-    let first = quotas.charge(&lowered, cost(None), Contention::Contended, 0);
+    let first = quotas.charge_locally(&lowered, cost(None), Contention::Contended, 0);
     assert_eq!(first, ChargeOutcome::Granted);
-    let second = quotas.charge(&lowered, cost(None), Contention::Contended, 0);
+    let second = quotas.charge_locally(&lowered, cost(None), Contention::Contended, 0);
     assert_eq!(
         second,
         ChargeOutcome::Exceeded {
@@ -494,7 +495,7 @@
                 tokens: Some(*units),
                 tier: *tier,
             };
-            let charge = quotas.charge(&hot, cost, Contention::Contended, now_ms);
+            let charge = quotas.charge_locally(&hot, cost, Contention::Contended, now_ms);
             served[index] += u32::from(charge == ChargeOutcome::Granted);
         }
     }
@@ -532,6 +533,6 @@
         tokens: Some(RATE_PER_S * 5),
         tier: 2,
     };
-    let charge = quotas.charge(&customer(), cost, Contention::Contended, 0);
+    let charge = quotas.charge_locally(&customer(), cost, Contention::Contended, 0);
     assert_eq!(charge, ChargeOutcome::Granted);
 }
