--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -125,7 +125,7 @@
 
     /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
     /// here meanwhile, and the keeper takes the units for told when this entry tells of them.
-    pub fn charged(&self, request_id: PeerRequestId, charge: ChargeOutcome) {
+    pub fn complete_charge(&self, request_id: PeerRequestId, charge: ChargeOutcome) {
         let asked = self.charges.0.borrow_mut().swap_remove(&request_id);
         if let Some(asked) = asked {
             // Whoever asked may have just left.
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -125,7 +125,7 @@
             }
             Some(PeerMessage::ChargeRequest(question)) => traffic.charge_for_peer(from, &question),
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
-                traffic.charged(request_id, charge)
+                traffic.complete_charge(request_id, charge)
             }
             Some(PeerMessage::Suspects(told)) => traffic.hear_suspects(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
