--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -168,7 +168,7 @@
             quotas.peer_started(from);
         }
         for spent in heard.newly_spent {
-            quotas.spent_elsewhere(from, &spent.customer, spent.units, now_ms);
+            quotas.record_peer_spending(from, &spent.customer, spent.units, now_ms);
         }
         drop(quotas);
         traffic
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -385,9 +385,9 @@
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
-    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().spent_elsewhere(peer, &"c".into(), 5, 0);
+    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().record_peer_spending(peer, &"c".into(), 5, 0);
     /// ```
-    pub fn spent_elsewhere(
+    pub fn record_peer_spending(
         &mut self,
         peer: SocketAddr,
         customer: &Arc<str>,
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -308,7 +308,7 @@
         }
         for spent in heard.newly_spent {
             let own = &mut member.quotas;
-            own.spent_elsewhere(address(from), &spent.customer, spent.units, own_ms);
+            own.record_peer_spending(address(from), &spent.customer, spent.units, own_ms);
         }
     }
 }
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -79,7 +79,7 @@
             let newly = self.spent[from] - self.told[from];
             for to in (0..count).filter(|to| *to != from && !is_cut(from, *to)) {
                 let number = u8::try_from(from).expect("a small fleet");
-                self.entries[to].spent_elsewhere(address(number), &"c".into(), newly, now_ms);
+                self.entries[to].record_peer_spending(address(number), &"c".into(), newly, now_ms);
             }
             self.told[from] = self.spent[from];
         }
@@ -255,7 +255,7 @@
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(TOLERANCE);
     for tenth in 200..280 {
-        quotas.spent_elsewhere(address(1), &"c".into(), 200, tenth * 100);
+        quotas.record_peer_spending(address(1), &"c".into(), 200, tenth * 100);
     }
     assert_eq!(spend_all(&mut quotas, Contention::Contended, 28_000), 0);
     let calm = spend_all(&mut quotas, Contention::Uncontended, 28_000);
@@ -289,13 +289,13 @@
     let peer = address(1);
     quotas.charge_locally(&customer(), cost(None), Contention::Contended, 0);
     for tenth in 0..100 {
-        quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
+        quotas.record_peer_spending(peer, &"c".into(), RATE_PER_S / 20, tenth * 100);
     }
     quotas.set_membership(2, vec![peer], 10_000);
     for tenth in 100..200 {
         quotas.set_membership(2, vec![peer], tenth * 100);
     }
-    quotas.spent_elsewhere(peer, &"c".into(), RATE_PER_S * 5, 20_000);
+    quotas.record_peer_spending(peer, &"c".into(), RATE_PER_S * 5, 20_000);
     quotas.set_membership(2, Vec::new(), 20_000);
     let spent = spend_all(&mut quotas, Contention::Contended, 20_000);
     assert!(spent >= RATE_PER_S / 2, "{spent}");
