--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -165,7 +165,7 @@
         }
         let mut quotas = traffic.quotas.borrow_mut();
         if heard.is_new {
-            quotas.peer_started(from);
+            quotas.reset_peer_grants(from);
         }
         for spent in heard.newly_spent {
             quotas.record_peer_spending(from, &spent.customer, spent.units, now_ms);
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -406,11 +406,11 @@
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
-    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().peer_started(peer);
+    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().reset_peer_grants(peer);
     /// ```
-    pub fn peer_started(&mut self, peer: SocketAddr) {
+    pub fn reset_peer_grants(&mut self, peer: SocketAddr) {
         for bucket in self.buckets.values_mut() {
-            bucket.peer_started(peer);
+            bucket.reset_peer_grants(peer);
         }
     }
 
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -437,7 +437,7 @@
     }
 
     /// Forgets what a peer was granted and has not told: it has started anew and never will.
-    pub(super) fn peer_started(&mut self, peer: SocketAddr) {
+    pub(super) fn reset_peer_grants(&mut self, peer: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             peer.granted_units = 0.0;
         }
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -304,7 +304,7 @@
             .table
             .record_heartbeat(address(from), heartbeat, own_ms);
         if heard.is_new {
-            member.quotas.peer_started(address(from));
+            member.quotas.reset_peer_grants(address(from));
         }
         for spent in heard.newly_spent {
             let own = &mut member.quotas;
