--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -232,7 +232,7 @@
         let traffic = &self.traffic;
         let dispatcher = traffic.dispatcher.borrow();
         let mut quotas = traffic.quotas.borrow_mut();
-        let spent = self.spent.next(quotas.own_spent());
+        let spent = self.spent.next(quotas.local_spending());
         quotas.told(&spent);
         let watches_store = *self.links.watches_store.borrow();
         let peers = traffic.peers.borrow();
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -266,7 +266,7 @@
     /// let mut quotas = CustomerQuotas::default();
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// quotas.apply_owner_outcome(&customer, cost, ChargeOutcome::Granted, 0);
-    /// assert_eq!(quotas.own_spent().next().unwrap().1, 5);
+    /// assert_eq!(quotas.local_spending().next().unwrap().1, 5);
     /// ```
     pub fn apply_owner_outcome(
         &mut self,
@@ -417,12 +417,12 @@
     /// What this entry has spent of each customer's allotment since its start.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::sharing::quota::CustomerQuotas::default().own_spent().count(), 0);
+    /// assert_eq!(sardinewood::direct::sharing::quota::CustomerQuotas::default().local_spending().count(), 0);
     /// ```
-    pub fn own_spent(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
+    pub fn local_spending(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
         self.buckets
             .iter()
-            .map(|(name, bucket)| (name, bucket.own_spent()))
+            .map(|(name, bucket)| (name, bucket.local_spending()))
     }
 
     /// Notes that peers have been told of customers' spending here.
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -136,7 +136,7 @@
     wide: f64,
     filled_at_ms: u64,
     /// What this entry has spent since its start.
-    own_spent: u64,
+    local_spending: u64,
     own_spent_at_ms: u64,
     peers: IndexMap<SocketAddr, PeerSpending>,
     own: Spending,
@@ -204,7 +204,7 @@
             wide: limits.wide_burst - beyond,
             limits,
             filled_at_ms: now_ms,
-            own_spent: 0,
+            local_spending: 0,
             own_spent_at_ms: now_ms,
             peers: IndexMap::new(),
             own: Spending::default(),
@@ -222,8 +222,8 @@
         self.wide = self.wide.min(limits.wide_burst);
     }
 
-    pub(super) fn own_spent(&self) -> u64 {
-        self.own_spent
+    pub(super) fn local_spending(&self) -> u64 {
+        self.local_spending
     }
 
     pub(super) fn is_kept(&self) -> bool {
@@ -283,7 +283,7 @@
     }
 
     fn note_own(&mut self, units: u64, now_ms: u64) {
-        self.own_spent += units;
+        self.local_spending += units;
         self.own_spent_at_ms = now_ms;
         self.own.add(units, now_ms);
     }
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -278,7 +278,7 @@
         member.sequence += 1;
         member.next_heartbeat_ms = now_ms + table.heartbeat_ms(false);
         let spent: Vec<CustomerSpending> = own
-            .own_spent()
+            .local_spending()
             .map(|(customer, units)| CustomerSpending {
                 customer: customer.clone(),
                 units,
