--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -233,7 +233,7 @@
         let dispatcher = traffic.dispatcher.borrow();
         let mut quotas = traffic.quotas.borrow_mut();
         let spent = self.spent.next(quotas.local_spending());
-        quotas.told(&spent);
+        quotas.mark_reported(&spent);
         let watches_store = *self.links.watches_store.borrow();
         let peers = traffic.peers.borrow();
         Heartbeat {
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -428,12 +428,12 @@
     /// Notes that peers have been told of customers' spending here.
     ///
     /// ```
-    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().told(&[]);
+    /// sardinewood::direct::sharing::quota::CustomerQuotas::default().mark_reported(&[]);
     /// ```
-    pub fn told(&mut self, told: &[CustomerSpending]) {
+    pub fn mark_reported(&mut self, told: &[CustomerSpending]) {
         for spent in told {
             if let Some(bucket) = self.buckets.get_mut(&spent.customer) {
-                bucket.told();
+                bucket.mark_reported();
             }
         }
     }
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -399,7 +399,7 @@
     }
 
     /// Notes that the peers have been told what was spent here.
-    pub(super) fn told(&mut self) {
+    pub(super) fn mark_reported(&mut self) {
         self.unasked = 0.0;
     }
 
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -284,7 +284,7 @@
                 units,
             })
             .collect();
-        own.told(&spent);
+        own.mark_reported(&spent);
         let heartbeat = Heartbeat {
             incarnation: member.incarnation,
             sequence: member.sequence,
