--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -52,9 +52,9 @@
     /// The span over which the platform counts.
     pub window_s: f64,
     /// Part of what is allowed in a window that may come on top.
-    pub overage: f64,
+    pub overage_ratio: f64,
     /// Units that may come on top in any case.
-    pub slack: f64,
+    pub slack_units: f64,
 }
 
 impl Tolerance {
@@ -62,7 +62,7 @@
         let rate_per_s = numbers::as_f64(quota.rate_per_s);
         let burst = numbers::as_f64(quota.burst);
         let allowed = rate_per_s * self.window_s + burst;
-        let tolerated = allowed * self.overage + self.slack;
+        let tolerated = allowed * self.overage_ratio + self.slack_units;
         // Each side of a cut gives its part of the tolerance only.
         let given = tolerated * fleet.heard_part();
         // Without a window nothing is tolerated, and by what that is divided does not matter.
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -18,8 +18,8 @@
 /// What the platform's users tolerate, and the limit of a large customer of theirs.
 pub const TOLERANCE: Tolerance = Tolerance {
     window_s: 8.0,
-    overage: 0.1,
-    slack: 190_000.0,
+    overage_ratio: 0.1,
+    slack_units: 190_000.0,
 };
 pub const RATE_PER_S: u64 = 437_000;
 /// The most that may be spent in any window: 8 s of the rate and a burst, a tenth and the slack
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -146,8 +146,8 @@
 
 const TOLERANCE: Tolerance = Tolerance {
     window_s: 8.0,
-    overage: 0.1,
-    slack: 100.0,
+    overage_ratio: 0.1,
+    slack_units: 100.0,
 };
 /// What a window allows, 9,000, and 65 in 100 of the tolerance, which is 1,000.
 const WINDOW_UNITS: u64 = 9_650;
@@ -225,8 +225,8 @@
     // was spent before and after stays within what the platform allows in a window.
     let tolerance = Tolerance {
         window_s: 8.0,
-        overage: 0.1,
-        slack: 190_000.0,
+        overage_ratio: 0.1,
+        slack_units: 190_000.0,
     };
     for rate_per_s in [47_000, 100_000, 350_000] {
         let mut customer = customer();
@@ -268,7 +268,7 @@
     // one burst to come in, not for all that it has had.
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(Tolerance {
-        slack: 4_000.0,
+        slack_units: 4_000.0,
         ..TOLERANCE
     });
     for now_ms in (60_000..90_000).step_by(9) {
