--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -24,12 +24,12 @@
 
 /// Questions to keepers that have no answer yet.
 #[derive(Debug, Default)]
-pub struct OpenCharges(RefCell<IndexMap<PeerRequestId, oneshot::Sender<ChargeOutcome>>>);
+pub struct PendingCharges(RefCell<IndexMap<PeerRequestId, oneshot::Sender<ChargeOutcome>>>);
 
 /// A question; dropping it forgets it, also when its caller has left.
 struct OpenCharge<'a> {
     id: PeerRequestId,
-    open: &'a OpenCharges,
+    open: &'a PendingCharges,
 }
 
 impl Drop for OpenCharge<'_> {
@@ -78,10 +78,14 @@
 ) -> Option<ChargeOutcome> {
     let open = OpenCharge {
         id: PeerRequestId::from_random(rand::random()),
-        open: &traffic.charges,
+        open: &traffic.pending_charges,
     };
     let (sender, answer) = oneshot::channel();
-    traffic.charges.0.borrow_mut().insert(open.id, sender);
+    traffic
+        .pending_charges
+        .0
+        .borrow_mut()
+        .insert(open.id, sender);
     let question = PeerMessage::ChargeRequest(ChargeRequest {
         id: open.id,
         customer: customer.name.clone(),
@@ -126,7 +130,7 @@
     /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
     /// here meanwhile, and the keeper takes the units for told when this entry tells of them.
     pub fn complete_charge(&self, request_id: PeerRequestId, charge: ChargeOutcome) {
-        let asked = self.charges.0.borrow_mut().swap_remove(&request_id);
+        let asked = self.pending_charges.0.borrow_mut().swap_remove(&request_id);
         if let Some(asked) = asked {
             // Whoever asked may have just left.
             let _ = asked.send(charge);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -32,7 +32,7 @@
 use crate::direct::quarantine::ends::Breaks;
 use crate::direct::quarantine::recent::RecentSuccesses;
 use crate::direct::quarantine::suspects::Suspects;
-use crate::direct::quota_driver::OpenCharges;
+use crate::direct::quota_driver::PendingCharges;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
 use crate::direct::rollout::table::RolloutTable;
@@ -78,7 +78,7 @@
     /// What customers may spend.
     pub quotas: RefCell<CustomerQuotas>,
     /// What keepers of allotments have been asked.
-    pub charges: OpenCharges,
+    pub pending_charges: PendingCharges,
     /// Second attempts that are left.
     pub budget: RefCell<AttemptBudget>,
     /// The configuration in force.
@@ -270,7 +270,7 @@
             asks: RefCell::default(),
             socket,
             quotas: RefCell::default(),
-            charges: OpenCharges::default(),
+            pending_charges: PendingCharges::default(),
             budget: RefCell::new(AttemptBudget::new(limits)),
             catalog: RefCell::default(),
             has_upstreams: Cell::new(false),
