--- a/lib/src/direct/sharing.rs
+++ b/lib/src/direct/sharing.rs
@@ -2,9 +2,9 @@
 //! allotments, second attempts. All of it decides and knows no socket.
 
 pub mod admission;
-pub mod attempt_budget;
 pub mod quota;
 pub mod rate;
+pub mod retry_budget;
 pub mod size_floor;
 pub mod size_shares;
 pub mod spending_window;
--- a/lib/src/direct/sharing/attempt_budget.rs
+++ b/lib/src/direct/sharing/retry_budget.rs
@@ -40,7 +40,7 @@
 /// when half of an engine's answers failed for four seconds.
 ///
 /// ```
-/// use sardinewood::direct::sharing::attempt_budget::{AttemptBudget, AttemptLimits};
+/// use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
 ///
 /// let limits = AttemptLimits { ratio: 0.2, slack: 4.0, window_s: 10.0 };
 /// let mut budget = AttemptBudget::new(limits);
@@ -59,7 +59,7 @@
     /// A budget under these limits, for one entry alone.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::attempt_budget::{AttemptBudget, AttemptLimits};
+    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
     /// let _ = AttemptBudget::new(AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 });
     /// ```
     #[must_use]
@@ -74,7 +74,7 @@
     /// Takes other limits.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::attempt_budget::{AttemptBudget, AttemptLimits};
+    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
     /// # let limits = AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
     /// let mut budget = AttemptBudget::new(limits);
     /// budget.set_limits(AttemptLimits { slack: 0.0, ..limits });
@@ -90,7 +90,7 @@
     /// Sets between how many entries the slack is divided.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::attempt_budget::{AttemptBudget, AttemptLimits};
+    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
     /// # let limits = AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
     /// AttemptBudget::new(limits).set_entries(4);
     /// ```
@@ -101,7 +101,7 @@
     /// Counts a request for a service.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::attempt_budget::{AttemptBudget, AttemptLimits};
+    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
     /// # let limits = AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
     /// AttemptBudget::new(limits).earn(&"s".into(), 0);
     /// ```
@@ -112,7 +112,7 @@
     /// Takes a second attempt at a service out of the budget, if there is one left.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::attempt_budget::{AttemptBudget, AttemptLimits};
+    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
     /// let none = AttemptLimits { ratio: 0.0, slack: 0.0, window_s: 10.0 };
     /// assert!(!AttemptBudget::new(none).take(&"s".into(), 0));
     /// ```
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -7,13 +7,13 @@
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::Revisions;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::sharing::attempt_budget::AttemptBudget;
-use sardinewood::direct::sharing::attempt_budget::AttemptLimits;
 use sardinewood::direct::sharing::quota::ChargeOutcome;
 use sardinewood::direct::sharing::quota::Contention;
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
+use sardinewood::direct::sharing::retry_budget::AttemptBudget;
+use sardinewood::direct::sharing::retry_budget::AttemptLimits;
 use sardinewood::direct::view::catalog::Customer;
 use sardinewood::direct::view::catalog::Quota;
 
