--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -395,7 +395,7 @@
     sent < call.route.max_upstreams
         && traffic.may_go_on(call)
         && traffic
-            .budget
+            .retry_budget
             .borrow_mut()
             .take(&call.service, traffic.now_ms())
 }
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -45,7 +45,7 @@
 use crate::direct::rollout_driver;
 use crate::direct::rollout_driver::StatusWriter;
 use crate::direct::sharing::quota::Tolerance;
-use crate::direct::sharing::retry_budget::AttemptLimits;
+use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::replica::Decoders;
 use crate::direct::view::replica::View;
@@ -90,7 +90,7 @@
     /// Some other entries.
     pub seeds: Vec<SocketAddr>,
     /// Second attempts that all entries together may make.
-    pub attempts: AttemptLimits,
+    pub attempts: RetryLimits,
     /// How far beyond their allotments customers may get.
     pub tolerance: Tolerance,
     /// What a version may get that may be bad; none if versions mean nothing here.
@@ -309,7 +309,7 @@
 
 /// Takes what can change without a new start, and says what can't.
 fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &Traffic) {
-    traffic.budget.borrow_mut().set_limits(new.attempts);
+    traffic.retry_budget.borrow_mut().set_limits(new.attempts);
     traffic.quotas.borrow_mut().set_tolerance(new.tolerance);
     traffic.set_longest_rest(new.longest_rest);
     traffic.peers.borrow_mut().add_seeds(&new.seeds);
--- a/lib/src/direct/sharing/retry_budget.rs
+++ b/lib/src/direct/sharing/retry_budget.rs
@@ -13,7 +13,7 @@
 
 /// What the platform allows all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptLimits {
+pub struct RetryLimits {
     /// Second attempts for each request.
     pub ratio: f64,
     /// Second attempts beyond that in one window.
@@ -40,30 +40,30 @@
 /// when half of an engine's answers failed for four seconds.
 ///
 /// ```
-/// use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
+/// use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
 ///
-/// let limits = AttemptLimits { ratio: 0.2, slack: 4.0, window_s: 10.0 };
-/// let mut budget = AttemptBudget::new(limits);
+/// let limits = RetryLimits { ratio: 0.2, slack: 4.0, window_s: 10.0 };
+/// let mut budget = RetryBudget::new(limits);
 /// budget.set_entries(2);
 /// assert!(budget.take(&"s".into(), 0));
 /// assert!(!budget.take(&"s".into(), 0));
 /// ```
 #[derive(Clone, Debug)]
-pub struct AttemptBudget {
-    limits: AttemptLimits,
+pub struct RetryBudget {
+    limits: RetryLimits,
     entries: usize,
     counts: IndexMap<Arc<str>, Counts>,
 }
 
-impl AttemptBudget {
+impl RetryBudget {
     /// A budget under these limits, for one entry alone.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
-    /// let _ = AttemptBudget::new(AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 });
+    /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
+    /// let _ = RetryBudget::new(RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 });
     /// ```
     #[must_use]
-    pub fn new(limits: AttemptLimits) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
             entries: 1,
@@ -74,13 +74,13 @@
     /// Takes other limits.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
-    /// # let limits = AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
-    /// let mut budget = AttemptBudget::new(limits);
-    /// budget.set_limits(AttemptLimits { slack: 0.0, ..limits });
+    /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
+    /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
+    /// let mut budget = RetryBudget::new(limits);
+    /// budget.set_limits(RetryLimits { slack: 0.0, ..limits });
     /// assert!(!budget.take(&"s".into(), 0));
     /// ```
-    pub fn set_limits(&mut self, limits: AttemptLimits) {
+    pub fn set_limits(&mut self, limits: RetryLimits) {
         if limits.window_s.total_cmp(&self.limits.window_s).is_ne() {
             self.counts.clear();
         }
@@ -90,9 +90,9 @@
     /// Sets between how many entries the slack is divided.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
-    /// # let limits = AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
-    /// AttemptBudget::new(limits).set_entries(4);
+    /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
+    /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
+    /// RetryBudget::new(limits).set_entries(4);
     /// ```
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries.max(1);
@@ -101,9 +101,9 @@
     /// Counts a request for a service.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
-    /// # let limits = AttemptLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
-    /// AttemptBudget::new(limits).earn(&"s".into(), 0);
+    /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
+    /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
+    /// RetryBudget::new(limits).earn(&"s".into(), 0);
     /// ```
     pub fn earn(&mut self, service: &Arc<str>, now_ms: u64) {
         self.counts(service, now_ms).requests.spend(1.0, now_ms);
@@ -112,9 +112,9 @@
     /// Takes a second attempt at a service out of the budget, if there is one left.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::retry_budget::{AttemptBudget, AttemptLimits};
-    /// let none = AttemptLimits { ratio: 0.0, slack: 0.0, window_s: 10.0 };
-    /// assert!(!AttemptBudget::new(none).take(&"s".into(), 0));
+    /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
+    /// let none = RetryLimits { ratio: 0.0, slack: 0.0, window_s: 10.0 };
+    /// assert!(!RetryBudget::new(none).take(&"s".into(), 0));
     /// ```
     pub fn take(&mut self, service: &Arc<str>, now_ms: u64) -> bool {
         let entries = u32::try_from(self.entries).unwrap_or(u32::MAX);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -45,8 +45,8 @@
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::CustomerQuotas;
-use crate::direct::sharing::retry_budget::AttemptBudget;
-use crate::direct::sharing::retry_budget::AttemptLimits;
+use crate::direct::sharing::retry_budget::RetryBudget;
+use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::sharing::size_floor::SizeFloor;
 use crate::direct::sharing::size_shares::SizeShares;
 use crate::direct::view::catalog::Catalog;
@@ -80,7 +80,7 @@
     /// What keepers of allotments have been asked.
     pub pending_charges: PendingCharges,
     /// Second attempts that are left.
-    pub budget: RefCell<AttemptBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// The configuration in force.
     pub catalog: RefCell<Option<Arc<Catalog>>>,
     /// Whether the upstreams have been listed once.
@@ -255,7 +255,7 @@
     #[must_use]
     pub fn new(
         dialect: Dialect,
-        limits: AttemptLimits,
+        limits: RetryLimits,
         peers: PeerTable,
         socket: UdpSocket,
         figures: Figures,
@@ -271,7 +271,7 @@
             socket,
             quotas: RefCell::default(),
             pending_charges: PendingCharges::default(),
-            budget: RefCell::new(AttemptBudget::new(limits)),
+            retry_budget: RefCell::new(RetryBudget::new(limits)),
             catalog: RefCell::default(),
             has_upstreams: Cell::new(false),
             is_stopping: Cell::new(false),
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -12,8 +12,8 @@
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
-use sardinewood::direct::sharing::retry_budget::AttemptBudget;
-use sardinewood::direct::sharing::retry_budget::AttemptLimits;
+use sardinewood::direct::sharing::retry_budget::RetryBudget;
+use sardinewood::direct::sharing::retry_budget::RetryLimits;
 use sardinewood::direct::view::catalog::Customer;
 use sardinewood::direct::view::catalog::Quota;
 
@@ -325,7 +325,7 @@
 #[test]
 fn second_attempts_of_all_entries_within_the_slack() {
     // Everything fails at once on four entries that had no requests before.
-    let limits = AttemptLimits {
+    let limits = RetryLimits {
         ratio: 0.2,
         slack: 52.0,
         window_s: 10.0,
@@ -333,7 +333,7 @@
     let service: Arc<str> = "s".into();
     let mut taken = 0;
     for _ in 0..4 {
-        let mut budget = AttemptBudget::new(limits);
+        let mut budget = RetryBudget::new(limits);
         budget.set_entries(4);
         while budget.take(&service, 0) {
             taken += 1;
@@ -344,7 +344,7 @@
 
 #[test]
 fn second_attempts_follow_requests() {
-    let mut budget = AttemptBudget::new(AttemptLimits {
+    let mut budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         slack: 4.0,
         window_s: 10.0,
@@ -363,7 +363,7 @@
     // One entry of thirty serves ten requests a second. Then half of the answers fail for
     // four seconds, and their callers could be served by a second engine: what the calm
     // seconds before allowed still counts, and no window gets more than its part.
-    let mut budget = AttemptBudget::new(AttemptLimits {
+    let mut budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         slack: 100.0,
         window_s: 10.0,
