--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -204,7 +204,10 @@
         quotas.set_owners(peers.own_address(), quota_owners, unmet, now_ms);
         quotas.set_membership(known, peers.overdue(now_ms), now_ms);
         drop(quotas);
-        traffic.retry_budget.borrow_mut().set_entries(known + unmet);
+        traffic
+            .retry_budget
+            .borrow_mut()
+            .set_entry_count(known + unmet);
         let part = numbers::ratio(heard, known + unmet);
         traffic.admission.borrow_mut().set_limit_share(part, now_ms);
         set(&self.links.watches_store, peers.watches_store(now_ms));
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -266,7 +266,10 @@
     let answer_within_ms = remaining_ms
         .saturating_sub(ANSWER_MARGIN_MS)
         .min(route.timeout_ms);
-    traffic.retry_budget.borrow_mut().earn(service, arrived_ms);
+    traffic
+        .retry_budget
+        .borrow_mut()
+        .record_request(service, arrived_ms);
     Ok(Call {
         id: traffic.next_id(),
         request_id: headers.request_id.clone(),
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -397,7 +397,7 @@
         && traffic
             .retry_budget
             .borrow_mut()
-            .take(&call.service, traffic.now_ms())
+            .try_take_retry(&call.service, traffic.now_ms())
 }
 
 enum Finished {
--- a/lib/src/direct/sharing/retry_budget.rs
+++ b/lib/src/direct/sharing/retry_budget.rs
@@ -44,9 +44,9 @@
 ///
 /// let limits = RetryLimits { ratio: 0.2, slack: 4.0, window_s: 10.0 };
 /// let mut budget = RetryBudget::new(limits);
-/// budget.set_entries(2);
-/// assert!(budget.take(&"s".into(), 0));
-/// assert!(!budget.take(&"s".into(), 0));
+/// budget.set_entry_count(2);
+/// assert!(budget.try_take_retry(&"s".into(), 0));
+/// assert!(!budget.try_take_retry(&"s".into(), 0));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -78,7 +78,7 @@
     /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
     /// let mut budget = RetryBudget::new(limits);
     /// budget.set_limits(RetryLimits { slack: 0.0, ..limits });
-    /// assert!(!budget.take(&"s".into(), 0));
+    /// assert!(!budget.try_take_retry(&"s".into(), 0));
     /// ```
     pub fn set_limits(&mut self, limits: RetryLimits) {
         if limits.window_s.total_cmp(&self.limits.window_s).is_ne() {
@@ -92,9 +92,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
     /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
-    /// RetryBudget::new(limits).set_entries(4);
+    /// RetryBudget::new(limits).set_entry_count(4);
     /// ```
-    pub fn set_entries(&mut self, entries: usize) {
+    pub fn set_entry_count(&mut self, entries: usize) {
         self.entries = entries.max(1);
     }
 
@@ -103,9 +103,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
     /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
-    /// RetryBudget::new(limits).earn(&"s".into(), 0);
+    /// RetryBudget::new(limits).record_request(&"s".into(), 0);
     /// ```
-    pub fn earn(&mut self, service: &Arc<str>, now_ms: u64) {
+    pub fn record_request(&mut self, service: &Arc<str>, now_ms: u64) {
         self.counts(service, now_ms).requests.spend(1.0, now_ms);
     }
 
@@ -114,9 +114,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
     /// let none = RetryLimits { ratio: 0.0, slack: 0.0, window_s: 10.0 };
-    /// assert!(!RetryBudget::new(none).take(&"s".into(), 0));
+    /// assert!(!RetryBudget::new(none).try_take_retry(&"s".into(), 0));
     /// ```
-    pub fn take(&mut self, service: &Arc<str>, now_ms: u64) -> bool {
+    pub fn try_take_retry(&mut self, service: &Arc<str>, now_ms: u64) -> bool {
         let entries = u32::try_from(self.entries).unwrap_or(u32::MAX);
         let slack = self.limits.slack / f64::from(entries);
         let ratio = self.limits.ratio;
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -334,8 +334,8 @@
     let mut taken = 0;
     for _ in 0..4 {
         let mut budget = RetryBudget::new(limits);
-        budget.set_entries(4);
-        while budget.take(&service, 0) {
+        budget.set_entry_count(4);
+        while budget.try_take_retry(&service, 0) {
             taken += 1;
         }
     }
@@ -350,11 +350,11 @@
         window_s: 10.0,
     });
     let service: Arc<str> = "s".into();
-    while budget.take(&service, 0) {}
+    while budget.try_take_retry(&service, 0) {}
     for _ in 0..12 {
-        budget.earn(&service, 0);
+        budget.record_request(&service, 0);
     }
-    let taken = std::iter::from_fn(|| budget.take(&service, 0).then_some(())).count();
+    let taken = std::iter::from_fn(|| budget.try_take_retry(&service, 0).then_some(())).count();
     assert_eq!(taken, 2);
 }
 
@@ -368,14 +368,14 @@
         slack: 100.0,
         window_s: 10.0,
     });
-    budget.set_entries(30);
+    budget.set_entry_count(30);
     let service: Arc<str> = "s".into();
     for now_ms in (0..10_000).step_by(100) {
-        budget.earn(&service, now_ms);
+        budget.record_request(&service, now_ms);
     }
     let taken = (10_000..14_000)
         .step_by(200)
-        .filter(|now_ms| budget.take(&service, *now_ms))
+        .filter(|now_ms| budget.try_take_retry(&service, *now_ms))
         .count();
     assert!((14..=20).contains(&taken), "{taken}");
 }
