--- a/lib/src/direct/sharing/retry_budget.rs
+++ b/lib/src/direct/sharing/retry_budget.rs
@@ -17,7 +17,7 @@
     /// Second attempts for each request.
     pub ratio: f64,
     /// Second attempts beyond that in one window.
-    pub slack: f64,
+    pub slack_retries: f64,
     /// The span over which the platform counts.
     pub window_s: f64,
 }
@@ -42,7 +42,7 @@
 /// ```
 /// use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
 ///
-/// let limits = RetryLimits { ratio: 0.2, slack: 4.0, window_s: 10.0 };
+/// let limits = RetryLimits { ratio: 0.2, slack_retries: 4.0, window_s: 10.0 };
 /// let mut budget = RetryBudget::new(limits);
 /// budget.set_entry_count(2);
 /// assert!(budget.try_take_retry(&"s".into(), 0));
@@ -60,7 +60,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
-    /// let _ = RetryBudget::new(RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 });
+    /// let _ = RetryBudget::new(RetryLimits { ratio: 0.2, slack_retries: 50.0, window_s: 10.0 });
     /// ```
     #[must_use]
     pub fn new(limits: RetryLimits) -> Self {
@@ -75,9 +75,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
-    /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
+    /// # let limits = RetryLimits { ratio: 0.2, slack_retries: 50.0, window_s: 10.0 };
     /// let mut budget = RetryBudget::new(limits);
-    /// budget.set_limits(RetryLimits { slack: 0.0, ..limits });
+    /// budget.set_limits(RetryLimits { slack_retries: 0.0, ..limits });
     /// assert!(!budget.try_take_retry(&"s".into(), 0));
     /// ```
     pub fn set_limits(&mut self, limits: RetryLimits) {
@@ -91,7 +91,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
-    /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
+    /// # let limits = RetryLimits { ratio: 0.2, slack_retries: 50.0, window_s: 10.0 };
     /// RetryBudget::new(limits).set_entry_count(4);
     /// ```
     pub fn set_entry_count(&mut self, entries: usize) {
@@ -102,7 +102,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
-    /// # let limits = RetryLimits { ratio: 0.2, slack: 50.0, window_s: 10.0 };
+    /// # let limits = RetryLimits { ratio: 0.2, slack_retries: 50.0, window_s: 10.0 };
     /// RetryBudget::new(limits).record_request(&"s".into(), 0);
     /// ```
     pub fn record_request(&mut self, service: &Arc<str>, now_ms: u64) {
@@ -113,15 +113,15 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
-    /// let none = RetryLimits { ratio: 0.0, slack: 0.0, window_s: 10.0 };
+    /// let none = RetryLimits { ratio: 0.0, slack_retries: 0.0, window_s: 10.0 };
     /// assert!(!RetryBudget::new(none).try_take_retry(&"s".into(), 0));
     /// ```
     pub fn try_take_retry(&mut self, service: &Arc<str>, now_ms: u64) -> bool {
         let entries = u32::try_from(self.entries).unwrap_or(u32::MAX);
-        let slack = self.limits.slack / f64::from(entries);
+        let slack_retries = self.limits.slack_retries / f64::from(entries);
         let ratio = self.limits.ratio;
         let counts = self.counts(service, now_ms);
-        let allowed = (counts.requests.spent(now_ms) * ratio + slack) * USED_PART;
+        let allowed = (counts.requests.spent(now_ms) * ratio + slack_retries) * USED_PART;
         if counts.attempts.spent(now_ms) + 1.0 > allowed {
             return false;
         }
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -327,7 +327,7 @@
     // Everything fails at once on four entries that had no requests before.
     let limits = RetryLimits {
         ratio: 0.2,
-        slack: 52.0,
+        slack_retries: 52.0,
         window_s: 10.0,
     };
     let service: Arc<str> = "s".into();
@@ -346,7 +346,7 @@
 fn second_attempts_follow_requests() {
     let mut budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
-        slack: 4.0,
+        slack_retries: 4.0,
         window_s: 10.0,
     });
     let service: Arc<str> = "s".into();
@@ -365,7 +365,7 @@
     // seconds before allowed still counts, and no window gets more than its part.
     let mut budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
-        slack: 100.0,
+        slack_retries: 100.0,
         window_s: 10.0,
     });
     budget.set_entry_count(30);
