--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -28,7 +28,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::size_floor::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFloor;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 use sardinewood::direct::sharing::size_shares::SizeShares;
 use sardinewood::direct::view::directory::Upstream;
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::sharing::admission::SlotRelease;
-use sardinewood::direct::sharing::size_floor::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFloor;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::numbers;
 
--- a/lib/src/direct/sharing.rs
+++ b/lib/src/direct/sharing.rs
@@ -5,6 +5,6 @@
 pub mod quota;
 pub mod rate;
 pub mod retry_budget;
-pub mod size_floor;
+pub mod size_fairness;
 pub mod size_shares;
 pub mod spending_window;
--- a/lib/src/direct/sharing/size_floor.rs
+++ b/lib/src/direct/sharing/size_fairness.rs
@@ -61,7 +61,7 @@
 /// What an entry owes to the sizes of each kind.
 ///
 /// ```
-/// use sardinewood::direct::sharing::size_floor::SizeFloor;
+/// use sardinewood::direct::sharing::size_fairness::SizeFloor;
 /// use sardinewood::direct::sharing::size_shares::SizeClass;
 ///
 /// let mut floor = SizeFloor::default();
@@ -83,7 +83,7 @@
     /// The usual sizes are owed nothing: seven tenths of a kind begin about as often as all of it.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_floor::SizeFloor;
+    /// use sardinewood::direct::sharing::size_fairness::SizeFloor;
     /// use sardinewood::direct::sharing::size_shares::SizeClass;
     ///
     /// assert!(!SizeFloor::default().owes("notes", SizeClass::Largest));
@@ -97,7 +97,7 @@
     /// Notes that a request has begun.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::size_floor::SizeFloor;
+    /// # use sardinewood::direct::sharing::size_fairness::SizeFloor;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
     /// SizeFloor::default().started(&"notes".into(), SizeClass::Usual);
     /// ```
@@ -108,7 +108,7 @@
     /// Notes that a request was refused.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::size_floor::SizeFloor;
+    /// # use sardinewood::direct::sharing::size_fairness::SizeFloor;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
     /// SizeFloor::default().refused(&"notes".into(), SizeClass::Usual);
     /// ```
@@ -119,7 +119,7 @@
     /// Notes that a request which had begun did not end whole: its start is owed again.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::size_floor::SizeFloor;
+    /// # use sardinewood::direct::sharing::size_fairness::SizeFloor;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
     /// SizeFloor::default().broken_off(&"notes".into(), SizeClass::Usual);
     /// ```
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -47,7 +47,7 @@
 use crate::direct::sharing::quota::CustomerQuotas;
 use crate::direct::sharing::retry_budget::RetryBudget;
 use crate::direct::sharing::retry_budget::RetryLimits;
-use crate::direct::sharing::size_floor::SizeFloor;
+use crate::direct::sharing::size_fairness::SizeFloor;
 use crate::direct::sharing::size_shares::SizeShares;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Upstream;
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -32,7 +32,7 @@
 mod test_direct_rollout;
 mod test_direct_shared_start;
 mod test_direct_sharing;
-mod test_direct_size_floor;
+mod test_direct_size_fairness;
 mod test_direct_store_follower;
 mod test_direct_suspects;
 mod test_entry_state;
--- a/lib/tests/test_direct_size_floor.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::size_floor::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFloor;
 use sardinewood::direct::sharing::size_shares::CallEnd;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 use sardinewood::direct::sharing::size_shares::SizeShares;
