--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -28,7 +28,7 @@
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::size_fairness::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 use sardinewood::direct::sharing::size_shares::SizeShares;
 use sardinewood::direct::view::directory::Upstream;
@@ -244,7 +244,7 @@
     asks: IndexMap<PeerRequestId, (usize, Arc<str>, EntryRef)>,
     waiting: IndexMap<usize, Asking>,
     sizes: SizeShares,
-    floor: SizeFloor,
+    floor: SizeFairness,
     suspects: Suspects,
     notices: Notices,
     rate_wakes_ms: Option<u64>,
@@ -402,7 +402,7 @@
             asks: IndexMap::new(),
             waiting: IndexMap::new(),
             sizes: SizeShares::default(),
-            floor: SizeFloor::default(),
+            floor: SizeFairness::default(),
             suspects: Suspects::default(),
             notices: Notices::default(),
             rate_wakes_ms: None,
--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::sharing::size_fairness::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 
 use super::End;
@@ -180,7 +180,7 @@
             .all_rest_for_ms(&asking.job, self.now_ms);
         let retry_after_ms = rest_ms.unwrap_or_else(|| asking.job.retry_after_ms(self.now_ms));
         let comes_back_ms = self.now_ms + retry_after_ms;
-        self.account(entry, request, SizeFloor::refused);
+        self.account(entry, request, SizeFairness::refused);
         self.stop_waiting(entry, request);
         self.come_back(request, comes_back_ms);
     }
@@ -207,7 +207,7 @@
         &mut self,
         entry: usize,
         request: usize,
-        note: fn(&mut SizeFloor, &Arc<str>, SizeClass),
+        note: fn(&mut SizeFairness, &Arc<str>, SizeClass),
     ) {
         let kind = self.offered[request].kind().name.into();
         let floor = &mut self.entries[entry].floor;
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::sharing::admission::SlotRelease;
-use sardinewood::direct::sharing::size_fairness::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::view::directory::Upstream;
 use sardinewood::numbers;
 
@@ -46,7 +46,7 @@
             .dispatcher
             .sent(instance, run as u64, prompt_tokens, self.now_ms);
         let give_up_at_ms = state.waiting[&request].job.give_up_at_ms;
-        self.account(entry, request, SizeFloor::started);
+        self.account(entry, request, SizeFairness::started);
         self.stop_waiting(entry, request);
         let engine = self
             .upstreams
@@ -134,7 +134,7 @@
         let Run { request, entry, .. } = self.runs[run];
         self.outcome.ends[request].push(end);
         if end == End::Cut {
-            self.account(entry, request, SizeFloor::broken_off);
+            self.account(entry, request, SizeFairness::broken_off);
         }
         self.free_room(run, ended);
     }
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -52,7 +52,7 @@
     /// Whether its size is owed a start.
     #[must_use]
     pub fn is_owed(&self) -> bool {
-        let floor = self.traffic.size_floor.borrow();
+        let floor = self.traffic.size_fairness.borrow();
         floor.owes(&self.counted.kind, self.counted.size)
     }
 
@@ -61,7 +61,7 @@
         if self.has_started.replace(true) {
             return;
         }
-        let mut floor = self.traffic.size_floor.borrow_mut();
+        let mut floor = self.traffic.size_fairness.borrow_mut();
         floor.started(&self.counted.kind, self.counted.size);
     }
 
@@ -92,7 +92,7 @@
         let end = self.end.get();
         let mut shares = self.traffic.size_shares.borrow_mut();
         shares.ended(kind, *size, end);
-        let mut floor = self.traffic.size_floor.borrow_mut();
+        let mut floor = self.traffic.size_fairness.borrow_mut();
         match (self.has_started.get(), end.is_served()) {
             (false, _) => floor.refused(kind, *size),
             (true, false) => floor.broken_off(kind, *size),
--- a/lib/src/direct/sharing/size_fairness.rs
+++ b/lib/src/direct/sharing/size_fairness.rs
@@ -61,10 +61,10 @@
 /// What an entry owes to the sizes of each kind.
 ///
 /// ```
-/// use sardinewood::direct::sharing::size_fairness::SizeFloor;
+/// use sardinewood::direct::sharing::size_fairness::SizeFairness;
 /// use sardinewood::direct::sharing::size_shares::SizeClass;
 ///
-/// let mut floor = SizeFloor::default();
+/// let mut floor = SizeFairness::default();
 /// let kind = "notes".into();
 /// floor.refused(&kind, SizeClass::Largest);
 /// assert!(floor.owes(&kind, SizeClass::Largest));
@@ -73,20 +73,20 @@
 /// assert!(!floor.owes(&kind, SizeClass::Largest));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct SizeFloor {
+pub struct SizeFairness {
     kinds: IndexMap<Arc<str>, Account>,
 }
 
-impl SizeFloor {
+impl SizeFairness {
     /// Whether a size begins too rarely, so that the next request of it goes first of its kind.
     ///
     /// The usual sizes are owed nothing: seven tenths of a kind begin about as often as all of it.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_fairness::SizeFloor;
+    /// use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// use sardinewood::direct::sharing::size_shares::SizeClass;
     ///
-    /// assert!(!SizeFloor::default().owes("notes", SizeClass::Largest));
+    /// assert!(!SizeFairness::default().owes("notes", SizeClass::Largest));
     /// ```
     #[must_use]
     pub fn owes(&self, kind: &str, size: SizeClass) -> bool {
@@ -97,9 +97,9 @@
     /// Notes that a request has begun.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::size_fairness::SizeFloor;
+    /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// SizeFloor::default().started(&"notes".into(), SizeClass::Usual);
+    /// SizeFairness::default().started(&"notes".into(), SizeClass::Usual);
     /// ```
     pub fn started(&mut self, kind: &Arc<str>, size: SizeClass) {
         self.account(kind).decide(size, 1.0);
@@ -108,9 +108,9 @@
     /// Notes that a request was refused.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::size_fairness::SizeFloor;
+    /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// SizeFloor::default().refused(&"notes".into(), SizeClass::Usual);
+    /// SizeFairness::default().refused(&"notes".into(), SizeClass::Usual);
     /// ```
     pub fn refused(&mut self, kind: &Arc<str>, size: SizeClass) {
         self.account(kind).decide(size, 0.0);
@@ -119,9 +119,9 @@
     /// Notes that a request which had begun did not end whole: its start is owed again.
     ///
     /// ```
-    /// # use sardinewood::direct::sharing::size_fairness::SizeFloor;
+    /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// SizeFloor::default().broken_off(&"notes".into(), SizeClass::Usual);
+    /// SizeFairness::default().broken_off(&"notes".into(), SizeClass::Usual);
     /// ```
     pub fn broken_off(&mut self, kind: &Arc<str>, size: SizeClass) {
         self.account(kind).owe(size, 1.0);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -47,7 +47,7 @@
 use crate::direct::sharing::quota::CustomerQuotas;
 use crate::direct::sharing::retry_budget::RetryBudget;
 use crate::direct::sharing::retry_budget::RetryLimits;
-use crate::direct::sharing::size_fairness::SizeFloor;
+use crate::direct::sharing::size_fairness::SizeFairness;
 use crate::direct::sharing::size_shares::SizeShares;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Upstream;
@@ -102,7 +102,7 @@
     /// How requests ended, by kind and size.
     pub size_shares: RefCell<SizeShares>,
     /// What is owed to the sizes of each kind.
-    pub size_floor: RefCell<SizeFloor>,
+    pub size_fairness: RefCell<SizeFairness>,
     /// Upstreams of which connections broke lately.
     pub breaks: RefCell<Breaks>,
     /// Requests that ran whole a moment ago.
@@ -282,7 +282,7 @@
             configured: Notify::new(),
             starts: RefCell::default(),
             size_shares: RefCell::default(),
-            size_floor: RefCell::default(),
+            size_fairness: RefCell::default(),
             breaks: RefCell::default(),
             recent_successes: RefCell::new(RecentSuccesses::new(rand::random())),
             suspects: RefCell::default(),
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::sharing::size_fairness::SizeFloor;
+use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_shares::CallEnd;
 use sardinewood::direct::sharing::size_shares::SizeClass;
 use sardinewood::direct::sharing::size_shares::SizeShares;
@@ -33,7 +33,7 @@
 fn play(rounds: usize, come: usize, begin: usize) -> [(u32, u32); 3] {
     let mut random = StdRng::seed_from_u64(1);
     let mut shares = SizeShares::default();
-    let mut floor = SizeFloor::default();
+    let mut floor = SizeFairness::default();
     let mut counts = [(0, 0); 3];
     for _ in 0..rounds {
         let mut waiting: Vec<Waiting> = (0..come)
@@ -87,7 +87,7 @@
 fn calm_seconds_save_nothing_up() {
     // All callers are served for a while, and then none of the largest is. The first of them that is
     // refused is already owed a start; what was served in the calm does not count against it.
-    let mut floor = SizeFloor::default();
+    let mut floor = SizeFairness::default();
     for _ in 0..1_000 {
         floor.started(&kind(), SizeClass::Largest);
     }
@@ -100,7 +100,7 @@
 #[test]
 fn cut_answer_is_owed_again() {
     // A long answer is cut at its deadline. Its caller has nothing, so its start does not count.
-    let mut floor = SizeFloor::default();
+    let mut floor = SizeFairness::default();
     floor.refused(&kind(), SizeClass::Largest);
     floor.started(&kind(), SizeClass::Largest);
     floor.started(&kind(), SizeClass::Largest);
@@ -111,7 +111,7 @@
 
 #[test]
 fn kinds_are_owed_apart() {
-    let mut floor = SizeFloor::default();
+    let mut floor = SizeFairness::default();
     floor.refused(&kind(), SizeClass::Largest);
     assert!(!floor.owes("reports", SizeClass::Largest));
 }
