--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -76,7 +76,7 @@
         let kind: Arc<str> = self.offered[request].kind().name.into();
         let state = &mut self.entries[entry];
         let size = state.sizes.rank(&kind, Some(job.relative_size));
-        job.is_owed = state.floor.owes(&kind, size);
+        job.is_owed = state.floor.has_deficit(&kind, size);
         self.size_classes[request] = size;
         let until_ms = job.waits_until_ms();
         let incarnation = self.entries[entry].incarnation;
@@ -180,7 +180,7 @@
             .all_rest_for_ms(&asking.job, self.now_ms);
         let retry_after_ms = rest_ms.unwrap_or_else(|| asking.job.retry_after_ms(self.now_ms));
         let comes_back_ms = self.now_ms + retry_after_ms;
-        self.account(entry, request, SizeFairness::refused);
+        self.account(entry, request, SizeFairness::record_refusal);
         self.stop_waiting(entry, request);
         self.come_back(request, comes_back_ms);
     }
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -46,7 +46,7 @@
             .dispatcher
             .sent(instance, run as u64, prompt_tokens, self.now_ms);
         let give_up_at_ms = state.waiting[&request].job.give_up_at_ms;
-        self.account(entry, request, SizeFairness::started);
+        self.account(entry, request, SizeFairness::record_start);
         self.stop_waiting(entry, request);
         let engine = self
             .upstreams
@@ -134,7 +134,7 @@
         let Run { request, entry, .. } = self.runs[run];
         self.outcome.ends[request].push(end);
         if end == End::Cut {
-            self.account(entry, request, SizeFairness::broken_off);
+            self.account(entry, request, SizeFairness::record_incomplete);
         }
         self.free_room(run, ended);
     }
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -53,7 +53,7 @@
     #[must_use]
     pub fn is_owed(&self) -> bool {
         let floor = self.traffic.size_fairness.borrow();
-        floor.owes(&self.counted.kind, self.counted.size)
+        floor.has_deficit(&self.counted.kind, self.counted.size)
     }
 
     /// Says that an upstream has room for the request. A second attempt is no second start.
@@ -62,7 +62,7 @@
             return;
         }
         let mut floor = self.traffic.size_fairness.borrow_mut();
-        floor.started(&self.counted.kind, self.counted.size);
+        floor.record_start(&self.counted.kind, self.counted.size);
     }
 
     /// Says how the request ends.
@@ -94,8 +94,8 @@
         shares.ended(kind, *size, end);
         let mut floor = self.traffic.size_fairness.borrow_mut();
         match (self.has_started.get(), end.is_served()) {
-            (false, _) => floor.refused(kind, *size),
-            (true, false) => floor.broken_off(kind, *size),
+            (false, _) => floor.record_refusal(kind, *size),
+            (true, false) => floor.record_incomplete(kind, *size),
             (true, true) => {}
         }
         let tier = tier.to_string();
--- a/lib/src/direct/sharing/size_fairness.rs
+++ b/lib/src/direct/sharing/size_fairness.rs
@@ -66,11 +66,11 @@
 ///
 /// let mut floor = SizeFairness::default();
 /// let kind = "notes".into();
-/// floor.refused(&kind, SizeClass::Largest);
-/// assert!(floor.owes(&kind, SizeClass::Largest));
-/// floor.started(&kind, SizeClass::Largest);
-/// floor.started(&kind, SizeClass::Largest);
-/// assert!(!floor.owes(&kind, SizeClass::Largest));
+/// floor.record_refusal(&kind, SizeClass::Largest);
+/// assert!(floor.has_deficit(&kind, SizeClass::Largest));
+/// floor.record_start(&kind, SizeClass::Largest);
+/// floor.record_start(&kind, SizeClass::Largest);
+/// assert!(!floor.has_deficit(&kind, SizeClass::Largest));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SizeFairness {
@@ -86,10 +86,10 @@
     /// use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// use sardinewood::direct::sharing::size_shares::SizeClass;
     ///
-    /// assert!(!SizeFairness::default().owes("notes", SizeClass::Largest));
+    /// assert!(!SizeFairness::default().has_deficit("notes", SizeClass::Largest));
     /// ```
     #[must_use]
-    pub fn owes(&self, kind: &str, size: SizeClass) -> bool {
+    pub fn has_deficit(&self, kind: &str, size: SizeClass) -> bool {
         let account = self.kinds.get(kind);
         size != SizeClass::Usual && account.is_some_and(|account| account.owed[size as usize] > 0.0)
     }
@@ -99,9 +99,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// SizeFairness::default().started(&"notes".into(), SizeClass::Usual);
+    /// SizeFairness::default().record_start(&"notes".into(), SizeClass::Usual);
     /// ```
-    pub fn started(&mut self, kind: &Arc<str>, size: SizeClass) {
+    pub fn record_start(&mut self, kind: &Arc<str>, size: SizeClass) {
         self.account(kind).decide(size, 1.0);
     }
 
@@ -110,9 +110,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// SizeFairness::default().refused(&"notes".into(), SizeClass::Usual);
+    /// SizeFairness::default().record_refusal(&"notes".into(), SizeClass::Usual);
     /// ```
-    pub fn refused(&mut self, kind: &Arc<str>, size: SizeClass) {
+    pub fn record_refusal(&mut self, kind: &Arc<str>, size: SizeClass) {
         self.account(kind).decide(size, 0.0);
     }
 
@@ -121,9 +121,9 @@
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// SizeFairness::default().broken_off(&"notes".into(), SizeClass::Usual);
+    /// SizeFairness::default().record_incomplete(&"notes".into(), SizeClass::Usual);
     /// ```
-    pub fn broken_off(&mut self, kind: &Arc<str>, size: SizeClass) {
+    pub fn record_incomplete(&mut self, kind: &Arc<str>, size: SizeClass) {
         self.account(kind).owe(size, 1.0);
     }
 
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -40,7 +40,7 @@
             .map(|_| {
                 let size: f64 = random.random();
                 let class = shares.rank(&kind(), Some(size));
-                let is_owed = floor.owes(&kind(), class);
+                let is_owed = floor.has_deficit(&kind(), class);
                 Waiting {
                     size,
                     class,
@@ -57,9 +57,9 @@
             count.0 += 1;
             if place < begin {
                 count.1 += 1;
-                floor.started(&kind(), one.class);
+                floor.record_start(&kind(), one.class);
             } else {
-                floor.refused(&kind(), one.class);
+                floor.record_refusal(&kind(), one.class);
             }
         }
     }
@@ -89,31 +89,31 @@
     // refused is already owed a start; what was served in the calm does not count against it.
     let mut floor = SizeFairness::default();
     for _ in 0..1_000 {
-        floor.started(&kind(), SizeClass::Largest);
+        floor.record_start(&kind(), SizeClass::Largest);
     }
-    assert!(!floor.owes(&kind(), SizeClass::Largest));
-    floor.refused(&kind(), SizeClass::Largest);
-    assert!(floor.owes(&kind(), SizeClass::Largest));
-    assert!(!floor.owes(&kind(), SizeClass::Large));
+    assert!(!floor.has_deficit(&kind(), SizeClass::Largest));
+    floor.record_refusal(&kind(), SizeClass::Largest);
+    assert!(floor.has_deficit(&kind(), SizeClass::Largest));
+    assert!(!floor.has_deficit(&kind(), SizeClass::Large));
 }
 
 #[test]
 fn cut_answer_is_owed_again() {
     // A long answer is cut at its deadline. Its caller has nothing, so its start does not count.
     let mut floor = SizeFairness::default();
-    floor.refused(&kind(), SizeClass::Largest);
-    floor.started(&kind(), SizeClass::Largest);
-    floor.started(&kind(), SizeClass::Largest);
-    assert!(!floor.owes(&kind(), SizeClass::Largest));
-    floor.broken_off(&kind(), SizeClass::Largest);
-    assert!(floor.owes(&kind(), SizeClass::Largest));
+    floor.record_refusal(&kind(), SizeClass::Largest);
+    floor.record_start(&kind(), SizeClass::Largest);
+    floor.record_start(&kind(), SizeClass::Largest);
+    assert!(!floor.has_deficit(&kind(), SizeClass::Largest));
+    floor.record_incomplete(&kind(), SizeClass::Largest);
+    assert!(floor.has_deficit(&kind(), SizeClass::Largest));
 }
 
 #[test]
 fn kinds_are_owed_apart() {
     let mut floor = SizeFairness::default();
-    floor.refused(&kind(), SizeClass::Largest);
-    assert!(!floor.owes("reports", SizeClass::Largest));
+    floor.record_refusal(&kind(), SizeClass::Largest);
+    assert!(!floor.has_deficit("reports", SizeClass::Largest));
 }
 
 #[test]
