--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -52,7 +52,7 @@
             tried: Vec::new(),
             shared_start: None,
             kept_at: Vec::new(),
-            is_owed: false,
+            has_start_deficit: false,
             is_trial: false,
         }
     }
@@ -76,7 +76,7 @@
         let kind: Arc<str> = self.offered[request].kind().name.into();
         let state = &mut self.entries[entry];
         let size = state.sizes.rank(&kind, Some(job.relative_size));
-        job.is_owed = state.floor.has_deficit(&kind, size);
+        job.has_start_deficit = state.floor.has_deficit(&kind, size);
         self.size_classes[request] = size;
         let until_ms = job.waits_until_ms();
         let incarnation = self.entries[entry].incarnation;
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -66,7 +66,7 @@
 /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
 /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
 /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-/// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
+/// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
 ///
 /// // There is no engine, so the request is refused at once.
 /// let mut asking = Asking::new(job);
@@ -97,7 +97,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
+    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// let next = Asking::new(job).begin(&Dispatcher::default(), 0, || 1);
     /// assert_eq!(next, [Next::Refuse]);
     /// ```
@@ -120,7 +120,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
+    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// let next = Asking::new(job).busy(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
     /// assert!(next.is_empty());
     /// ```
@@ -152,7 +152,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
+    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// let next = Asking::new(job).silence(&Dispatcher::default(), 40, || 1);
     /// assert!(next.is_empty());
     /// ```
@@ -198,7 +198,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
+    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// let slot_request = Asking::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(slot_request.waited_ms, 60);
     /// assert!(slot_request.objective_in_ms < 40);
@@ -212,7 +212,7 @@
         now_ms: u64,
     ) -> SlotRequest {
         // What is owed to a size is not put off again for the time that this size takes to be read.
-        let lead_ms = if self.job.is_owed {
+        let lead_ms = if self.job.has_start_deficit {
             0
         } else {
             dispatcher.lead_ms(instance, &self.job)
@@ -233,7 +233,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), is_owed: false, is_trial: false };
+    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(Asking::new(job).end().is_empty());
     /// ```
     pub fn end(&mut self) -> Vec<Next> {
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -259,7 +259,7 @@
         let hold_ms = baseline.hold_ms();
         let fullness = f64::from(running) / f64::from(self.upstream.slots.max(1));
         let left_ms = numbers::as_f64(job.objective_at_ms.saturating_sub(now_ms));
-        let is_late = first_ms > left_ms && !job.is_owed;
+        let is_late = first_ms > left_ms && !job.has_start_deficit;
         let late_ms = if is_late { hold_ms } else { 0.0 };
         let is_cut = is_cut(alone_ms, job, now_ms);
         let cut_ms = if is_cut { CUT_HOLDS * hold_ms } else { 0.0 };
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -187,7 +187,7 @@
             tried: self.tried.clone(),
             shared_start: self.shared_start,
             kept_at: Vec::new(),
-            is_owed: self.ending.is_owed(),
+            has_start_deficit: self.ending.has_start_deficit(),
             is_trial: false,
         }
     }
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -51,7 +51,7 @@
 
     /// Whether its size is owed a start.
     #[must_use]
-    pub fn is_owed(&self) -> bool {
+    pub fn has_start_deficit(&self) -> bool {
         let floor = self.traffic.size_fairness.borrow();
         floor.has_deficit(&self.counted.kind, self.counted.size)
     }
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -26,7 +26,7 @@
             "service": call.service,
             "tier": call.tier,
             "size": call.ending.size(),
-            "is_owed": job.is_owed,
+            "is_owed": job.has_start_deficit,
             "prompt_tokens": call.prompt_tokens,
             "expected_output_tokens": call.expected_output_tokens,
             "customer_tier": call.customer_tier,
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -48,7 +48,7 @@
         tried: Vec::new(),
         shared_start: None,
         kept_at: Vec::new(),
-        is_owed: false,
+        has_start_deficit: false,
         is_trial: false,
     }
 }
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -25,7 +25,7 @@
 struct Waiting {
     size: f64,
     class: SizeClass,
-    is_owed: bool,
+    has_start_deficit: bool,
 }
 
 /// Rounds of requests, of which only so many begin, smallest first but for what is owed. How many
@@ -40,17 +40,20 @@
             .map(|_| {
                 let size: f64 = random.random();
                 let class = shares.rank(&kind(), Some(size));
-                let is_owed = floor.has_deficit(&kind(), class);
+                let has_start_deficit = floor.has_deficit(&kind(), class);
                 Waiting {
                     size,
                     class,
-                    is_owed,
+                    has_start_deficit,
                 }
             })
             .collect();
         waiting.sort_by(|one, other| {
             let by_size = one.size.total_cmp(&other.size);
-            other.is_owed.cmp(&one.is_owed).then(by_size)
+            other
+                .has_start_deficit
+                .cmp(&one.has_start_deficit)
+                .then(by_size)
         });
         for (place, one) in waiting.into_iter().enumerate() {
             let count = &mut counts[one.class as usize];
@@ -128,7 +131,7 @@
         ..job(2, 1)
     };
     let owed = Job {
-        is_owed: true,
+        has_start_deficit: true,
         ..long.clone()
     };
     assert!(long.worth_micros() < short.worth_micros());
@@ -155,7 +158,7 @@
     };
     assert!(objective_in_ms(long.clone()) < 0);
     let owed = Job {
-        is_owed: true,
+        has_start_deficit: true,
         ..long
     };
     assert!(objective_in_ms(owed) > 0);
