--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -29,8 +29,8 @@
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
-use sardinewood::direct::sharing::size_shares::SizeClass;
-use sardinewood::direct::sharing::size_shares::SizeShares;
+use sardinewood::direct::sharing::size_stats::SizeClass;
+use sardinewood::direct::sharing::size_stats::SizeShares;
 use sardinewood::direct::view::directory::Upstream;
 
 pub use self::deadly::DeadlyOutcome;
--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -10,7 +10,7 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
-use sardinewood::direct::sharing::size_shares::SizeClass;
+use sardinewood::direct::sharing::size_stats::SizeClass;
 
 use super::End;
 use super::Event;
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -35,7 +35,7 @@
 use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
-use crate::direct::sharing::size_shares::CallEnd;
+use crate::direct::sharing::size_stats::CallEnd;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::catalog::Admission;
 use crate::direct::view::catalog::Catalog;
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use crate::direct::sharing::size_shares::CallEnd;
-use crate::direct::sharing::size_shares::SizeClass;
+use crate::direct::sharing::size_stats::CallEnd;
+use crate::direct::sharing::size_stats::SizeClass;
 use crate::direct::traffic::Traffic;
 
 /// What shares by size are counted by.
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -8,7 +8,7 @@
 use crate::direct::request::answer_body::AnswerBody;
 use crate::direct::request::call::Call;
 use crate::direct::request::refusal::Refusal;
-use crate::direct::sharing::size_shares::CallEnd;
+use crate::direct::sharing::size_stats::CallEnd;
 use crate::direct::traffic::Traffic;
 
 /// Refuses a request that found no room. If an upstream may have run it, its outcome is unknown.
--- a/lib/src/direct/sharing.rs
+++ b/lib/src/direct/sharing.rs
@@ -6,5 +6,5 @@
 pub mod rate;
 pub mod retry_budget;
 pub mod size_fairness;
-pub mod size_shares;
+pub mod size_stats;
 pub mod spending_window;
--- a/lib/src/direct/sharing/size_fairness.rs
+++ b/lib/src/direct/sharing/size_fairness.rs
@@ -13,7 +13,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::sharing::size_shares::SizeClass;
+use crate::direct::sharing::size_stats::SizeClass;
 
 /// How often a size begins, at the least, in relation to its kind. Callers with large documents may
 /// expect to be served at least half as often as others; what is above half is for the moments in
@@ -62,7 +62,7 @@
 ///
 /// ```
 /// use sardinewood::direct::sharing::size_fairness::SizeFairness;
-/// use sardinewood::direct::sharing::size_shares::SizeClass;
+/// use sardinewood::direct::sharing::size_stats::SizeClass;
 ///
 /// let mut floor = SizeFairness::default();
 /// let kind = "notes".into();
@@ -84,7 +84,7 @@
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_fairness::SizeFairness;
-    /// use sardinewood::direct::sharing::size_shares::SizeClass;
+    /// use sardinewood::direct::sharing::size_stats::SizeClass;
     ///
     /// assert!(!SizeFairness::default().has_deficit("notes", SizeClass::Largest));
     /// ```
@@ -98,7 +98,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
-    /// # use sardinewood::direct::sharing::size_shares::SizeClass;
+    /// # use sardinewood::direct::sharing::size_stats::SizeClass;
     /// SizeFairness::default().record_start(&"notes".into(), SizeClass::Usual);
     /// ```
     pub fn record_start(&mut self, kind: &Arc<str>, size: SizeClass) {
@@ -109,7 +109,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
-    /// # use sardinewood::direct::sharing::size_shares::SizeClass;
+    /// # use sardinewood::direct::sharing::size_stats::SizeClass;
     /// SizeFairness::default().record_refusal(&"notes".into(), SizeClass::Usual);
     /// ```
     pub fn record_refusal(&mut self, kind: &Arc<str>, size: SizeClass) {
@@ -120,7 +120,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
-    /// # use sardinewood::direct::sharing::size_shares::SizeClass;
+    /// # use sardinewood::direct::sharing::size_stats::SizeClass;
     /// SizeFairness::default().record_incomplete(&"notes".into(), SizeClass::Usual);
     /// ```
     pub fn record_incomplete(&mut self, kind: &Arc<str>, size: SizeClass) {
--- a/lib/src/direct/sharing/size_shares.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -40,7 +40,7 @@
     /// Its name in logs and figures.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_shares::SizeClass;
+    /// use sardinewood::direct::sharing::size_stats::SizeClass;
     ///
     /// assert_eq!(SizeClass::Largest.name(), "largest");
     /// ```
@@ -73,7 +73,7 @@
     /// Its name in figures.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_shares::CallEnd;
+    /// use sardinewood::direct::sharing::size_stats::CallEnd;
     ///
     /// assert_eq!(CallEnd::NoRoom.name(), "no_room");
     /// ```
@@ -91,7 +91,7 @@
     /// Whether the caller has a whole answer.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_shares::CallEnd;
+    /// use sardinewood::direct::sharing::size_stats::CallEnd;
     ///
     /// assert!(CallEnd::Late.is_served());
     /// ```
@@ -192,9 +192,9 @@
 /// Sizes of an entry's requests by kind, and how they ended.
 ///
 /// ```
-/// use sardinewood::direct::sharing::size_shares::CallEnd;
-/// use sardinewood::direct::sharing::size_shares::SizeClass;
-/// use sardinewood::direct::sharing::size_shares::SizeShares;
+/// use sardinewood::direct::sharing::size_stats::CallEnd;
+/// use sardinewood::direct::sharing::size_stats::SizeClass;
+/// use sardinewood::direct::sharing::size_stats::SizeShares;
 ///
 /// let mut shares = SizeShares::default();
 /// let kind = "notes".into();
@@ -214,8 +214,8 @@
     /// How large a request is among those of its kind, which it joins.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// use sardinewood::direct::sharing::size_shares::SizeShares;
+    /// use sardinewood::direct::sharing::size_stats::SizeClass;
+    /// use sardinewood::direct::sharing::size_stats::SizeShares;
     ///
     /// let size = SizeShares::default().rank(&"calls".into(), None);
     /// assert_eq!(size, SizeClass::Usual);
@@ -230,9 +230,9 @@
     /// Notes how a request ended.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_shares::CallEnd;
-    /// use sardinewood::direct::sharing::size_shares::SizeClass;
-    /// use sardinewood::direct::sharing::size_shares::SizeShares;
+    /// use sardinewood::direct::sharing::size_stats::CallEnd;
+    /// use sardinewood::direct::sharing::size_stats::SizeClass;
+    /// use sardinewood::direct::sharing::size_stats::SizeShares;
     ///
     /// SizeShares::default().ended(&"notes".into(), SizeClass::Usual, CallEnd::InTime);
     /// ```
@@ -245,7 +245,7 @@
     /// have ended since.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_shares::SizeShares;
+    /// use sardinewood::direct::sharing::size_stats::SizeShares;
     ///
     /// assert!(SizeShares::default().take_unserved().is_empty());
     /// ```
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -48,7 +48,7 @@
 use crate::direct::sharing::retry_budget::RetryBudget;
 use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::sharing::size_fairness::SizeFairness;
-use crate::direct::sharing::size_shares::SizeShares;
+use crate::direct::sharing::size_stats::SizeShares;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -10,9 +10,9 @@
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
-use sardinewood::direct::sharing::size_shares::CallEnd;
-use sardinewood::direct::sharing::size_shares::SizeClass;
-use sardinewood::direct::sharing::size_shares::SizeShares;
+use sardinewood::direct::sharing::size_stats::CallEnd;
+use sardinewood::direct::sharing::size_stats::SizeClass;
+use sardinewood::direct::sharing::size_stats::SizeShares;
 
 use crate::direct_fixture::job;
 use crate::direct_fixture::upstream;
