--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -30,7 +30,7 @@
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::SizeClass;
-use sardinewood::direct::sharing::size_stats::SizeShares;
+use sardinewood::direct::sharing::size_stats::SizeStats;
 use sardinewood::direct::view::directory::Upstream;
 
 pub use self::deadly::DeadlyOutcome;
@@ -243,7 +243,7 @@
     peers: PeerTable,
     asks: IndexMap<PeerRequestId, (usize, Arc<str>, EntryRef)>,
     waiting: IndexMap<usize, Asking>,
-    sizes: SizeShares,
+    sizes: SizeStats,
     floor: SizeFairness,
     suspects: Suspects,
     notices: Notices,
@@ -401,7 +401,7 @@
             peers: PeerTable::new(address(entry), &seeds),
             asks: IndexMap::new(),
             waiting: IndexMap::new(),
-            sizes: SizeShares::default(),
+            sizes: SizeStats::default(),
             floor: SizeFairness::default(),
             suspects: Suspects::default(),
             notices: Notices::default(),
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -249,7 +249,7 @@
         service: Arc::clone(service),
         tier: route.tier,
         size: traffic
-            .size_shares
+            .size_stats
             .borrow_mut()
             .rank(&route.name, headers.size()),
     };
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -90,7 +90,7 @@
             size,
         } = &self.counted;
         let end = self.end.get();
-        let mut shares = self.traffic.size_shares.borrow_mut();
+        let mut shares = self.traffic.size_stats.borrow_mut();
         shares.ended(kind, *size, end);
         let mut floor = self.traffic.size_fairness.borrow_mut();
         match (self.has_started.get(), end.is_served()) {
--- a/lib/src/direct/sharing/size_stats.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -194,9 +194,9 @@
 /// ```
 /// use sardinewood::direct::sharing::size_stats::CallEnd;
 /// use sardinewood::direct::sharing::size_stats::SizeClass;
-/// use sardinewood::direct::sharing::size_stats::SizeShares;
+/// use sardinewood::direct::sharing::size_stats::SizeStats;
 ///
-/// let mut shares = SizeShares::default();
+/// let mut shares = SizeStats::default();
 /// let kind = "notes".into();
 /// for size in 0..100 {
 ///     shares.rank(&kind, Some(f64::from(size)));
@@ -206,18 +206,18 @@
 /// assert_eq!(shares.take_unserved()[0].1.largest.no_room, 1);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct SizeShares {
+pub struct SizeStats {
     kinds: IndexMap<Arc<str>, Kind>,
 }
 
-impl SizeShares {
+impl SizeStats {
     /// How large a request is among those of its kind, which it joins.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
-    /// use sardinewood::direct::sharing::size_stats::SizeShares;
+    /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// let size = SizeShares::default().rank(&"calls".into(), None);
+    /// let size = SizeStats::default().rank(&"calls".into(), None);
     /// assert_eq!(size, SizeClass::Usual);
     /// ```
     pub fn rank(&mut self, kind: &Arc<str>, size: Option<f64>) -> SizeClass {
@@ -232,9 +232,9 @@
     /// ```
     /// use sardinewood::direct::sharing::size_stats::CallEnd;
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
-    /// use sardinewood::direct::sharing::size_stats::SizeShares;
+    /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// SizeShares::default().ended(&"notes".into(), SizeClass::Usual, CallEnd::InTime);
+    /// SizeStats::default().ended(&"notes".into(), SizeClass::Usual, CallEnd::InTime);
     /// ```
     pub fn ended(&mut self, kind: &Arc<str>, size: SizeClass, end: CallEnd) {
         let kind = self.kinds.entry(Arc::clone(kind)).or_default();
@@ -245,9 +245,9 @@
     /// have ended since.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_stats::SizeShares;
+    /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// assert!(SizeShares::default().take_unserved().is_empty());
+    /// assert!(SizeStats::default().take_unserved().is_empty());
     /// ```
     pub fn take_unserved(&mut self) -> Vec<(Arc<str>, EndsBySize)> {
         let taken = self
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -48,7 +48,7 @@
 use crate::direct::sharing::retry_budget::RetryBudget;
 use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::sharing::size_fairness::SizeFairness;
-use crate::direct::sharing::size_stats::SizeShares;
+use crate::direct::sharing::size_stats::SizeStats;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
@@ -100,7 +100,7 @@
     /// How many requests begin with the same parts.
     pub starts: RefCell<Popularity>,
     /// How requests ended, by kind and size.
-    pub size_shares: RefCell<SizeShares>,
+    pub size_stats: RefCell<SizeStats>,
     /// What is owed to the sizes of each kind.
     pub size_fairness: RefCell<SizeFairness>,
     /// Upstreams of which connections broke lately.
@@ -281,7 +281,7 @@
             figures,
             configured: Notify::new(),
             starts: RefCell::default(),
-            size_shares: RefCell::default(),
+            size_stats: RefCell::default(),
             size_fairness: RefCell::default(),
             breaks: RefCell::default(),
             recent_successes: RefCell::new(RecentSuccesses::new(rand::random())),
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -12,7 +12,7 @@
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::CallEnd;
 use sardinewood::direct::sharing::size_stats::SizeClass;
-use sardinewood::direct::sharing::size_stats::SizeShares;
+use sardinewood::direct::sharing::size_stats::SizeStats;
 
 use crate::direct_fixture::job;
 use crate::direct_fixture::upstream;
@@ -32,7 +32,7 @@
 /// came and began, of all and of each class.
 fn play(rounds: usize, come: usize, begin: usize) -> [(u32, u32); 3] {
     let mut random = StdRng::seed_from_u64(1);
-    let mut shares = SizeShares::default();
+    let mut shares = SizeStats::default();
     let mut floor = SizeFairness::default();
     let mut counts = [(0, 0); 3];
     for _ in 0..rounds {
@@ -167,7 +167,7 @@
 #[test]
 fn ranks_are_among_the_kinds_latest() {
     // Callers send documents ten times as long from one moment on. Soon they are the usual ones.
-    let mut shares = SizeShares::default();
+    let mut shares = SizeStats::default();
     for size in 0..200 {
         shares.rank(&kind(), Some(f64::from(size)));
     }
@@ -182,7 +182,7 @@
 
 #[test]
 fn first_sizes_are_not_ranked() {
-    let mut shares = SizeShares::default();
+    let mut shares = SizeStats::default();
     for size in 0..20 {
         assert_eq!(
             shares.rank(&kind(), Some(f64::from(size))),
@@ -194,7 +194,7 @@
 
 #[test]
 fn only_kinds_with_unserved_requests_are_told_and_once() {
-    let mut shares = SizeShares::default();
+    let mut shares = SizeStats::default();
     shares.ended(&"reports".into(), SizeClass::Usual, CallEnd::InTime);
     shares.ended(&kind(), SizeClass::Large, CallEnd::Late);
     shares.ended(&kind(), SizeClass::Largest, CallEnd::NotWhole);
