--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -75,7 +75,7 @@
         let mut job = self.job(request);
         let kind: Arc<str> = self.offered[request].kind().name.into();
         let state = &mut self.entries[entry];
-        let size = state.sizes.rank(&kind, Some(job.relative_size));
+        let size = state.sizes.classify(&kind, Some(job.relative_size));
         job.has_start_deficit = state.floor.has_deficit(&kind, size);
         self.size_classes[request] = size;
         let until_ms = job.waits_until_ms();
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -251,7 +251,7 @@
         size: traffic
             .size_stats
             .borrow_mut()
-            .rank(&route.name, headers.size()),
+            .classify(&route.name, headers.size()),
     };
     let ending = Ending::new(traffic, counted);
     if let Some(customer) = &customer {
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -91,7 +91,7 @@
         } = &self.counted;
         let end = self.end.get();
         let mut shares = self.traffic.size_stats.borrow_mut();
-        shares.ended(kind, *size, end);
+        shares.record_outcome(kind, *size, end);
         let mut floor = self.traffic.size_fairness.borrow_mut();
         match (self.has_started.get(), end.is_served()) {
             (false, _) => floor.record_refusal(kind, *size),
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -366,7 +366,7 @@
 async fn log_size_shares(traffic: Rc<Traffic>) {
     loop {
         sleep(SHARES_PERIOD).await;
-        let all = traffic.size_stats.borrow_mut().take_unserved();
+        let all = traffic.size_stats.borrow_mut().take_routes_with_unserved();
         for (route, ends) in all {
             traffic.log(Level::Info, "ends by size", |line| {
                 line.field("route", route).field("ends", ends)
--- a/lib/src/direct/sharing/size_stats.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -199,11 +199,11 @@
 /// let mut shares = SizeStats::default();
 /// let kind = "notes".into();
 /// for size in 0..100 {
-///     shares.rank(&kind, Some(f64::from(size)));
+///     shares.classify(&kind, Some(f64::from(size)));
 /// }
-/// assert_eq!(shares.rank(&kind, Some(95.0)), SizeClass::Largest);
-/// shares.ended(&kind, SizeClass::Largest, CallEnd::NoRoom);
-/// assert_eq!(shares.take_unserved()[0].1.largest.no_room, 1);
+/// assert_eq!(shares.classify(&kind, Some(95.0)), SizeClass::Largest);
+/// shares.record_outcome(&kind, SizeClass::Largest, CallEnd::NoRoom);
+/// assert_eq!(shares.take_routes_with_unserved()[0].1.largest.no_room, 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SizeStats {
@@ -217,10 +217,10 @@
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
     /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// let size = SizeStats::default().rank(&"calls".into(), None);
+    /// let size = SizeStats::default().classify(&"calls".into(), None);
     /// assert_eq!(size, SizeClass::Usual);
     /// ```
-    pub fn rank(&mut self, kind: &Arc<str>, size: Option<f64>) -> SizeClass {
+    pub fn classify(&mut self, kind: &Arc<str>, size: Option<f64>) -> SizeClass {
         let Some(size) = size else {
             return SizeClass::Usual;
         };
@@ -234,9 +234,9 @@
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
     /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// SizeStats::default().ended(&"notes".into(), SizeClass::Usual, CallEnd::InTime);
+    /// SizeStats::default().record_outcome(&"notes".into(), SizeClass::Usual, CallEnd::InTime);
     /// ```
-    pub fn ended(&mut self, kind: &Arc<str>, size: SizeClass, end: CallEnd) {
+    pub fn record_outcome(&mut self, kind: &Arc<str>, size: SizeClass, end: CallEnd) {
         let kind = self.kinds.entry(Arc::clone(kind)).or_default();
         kind.ends.of(size).add(end);
     }
@@ -247,9 +247,9 @@
     /// ```
     /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// assert!(SizeStats::default().take_unserved().is_empty());
+    /// assert!(SizeStats::default().take_routes_with_unserved().is_empty());
     /// ```
-    pub fn take_unserved(&mut self) -> Vec<(Arc<str>, EndsBySize)> {
+    pub fn take_routes_with_unserved(&mut self) -> Vec<(Arc<str>, EndsBySize)> {
         let taken = self
             .kinds
             .iter_mut()
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -39,7 +39,7 @@
         let mut waiting: Vec<Waiting> = (0..come)
             .map(|_| {
                 let size: f64 = random.random();
-                let class = shares.rank(&kind(), Some(size));
+                let class = shares.classify(&kind(), Some(size));
                 let has_start_deficit = floor.has_deficit(&kind(), class);
                 Waiting {
                     size,
@@ -169,15 +169,15 @@
     // Callers send documents ten times as long from one moment on. Soon they are the usual ones.
     let mut shares = SizeStats::default();
     for size in 0..200 {
-        shares.rank(&kind(), Some(f64::from(size)));
+        shares.classify(&kind(), Some(f64::from(size)));
     }
-    assert_eq!(shares.rank(&kind(), Some(1_500.0)), SizeClass::Largest);
+    assert_eq!(shares.classify(&kind(), Some(1_500.0)), SizeClass::Largest);
     for size in 0..200 {
-        shares.rank(&kind(), Some(f64::from(size) * 10.0));
+        shares.classify(&kind(), Some(f64::from(size) * 10.0));
     }
-    assert_eq!(shares.rank(&kind(), Some(1_000.0)), SizeClass::Usual);
-    assert_eq!(shares.rank(&kind(), Some(1_500.0)), SizeClass::Large);
-    assert_eq!(shares.rank(&kind(), Some(1_900.0)), SizeClass::Largest);
+    assert_eq!(shares.classify(&kind(), Some(1_000.0)), SizeClass::Usual);
+    assert_eq!(shares.classify(&kind(), Some(1_500.0)), SizeClass::Large);
+    assert_eq!(shares.classify(&kind(), Some(1_900.0)), SizeClass::Largest);
 }
 
 #[test]
@@ -185,23 +185,23 @@
     let mut shares = SizeStats::default();
     for size in 0..20 {
         assert_eq!(
-            shares.rank(&kind(), Some(f64::from(size))),
+            shares.classify(&kind(), Some(f64::from(size))),
             SizeClass::Usual
         );
     }
-    assert_eq!(shares.rank(&kind(), Some(99.0)), SizeClass::Largest);
+    assert_eq!(shares.classify(&kind(), Some(99.0)), SizeClass::Largest);
 }
 
 #[test]
 fn only_kinds_with_unserved_requests_are_told_and_once() {
     let mut shares = SizeStats::default();
-    shares.ended(&"reports".into(), SizeClass::Usual, CallEnd::InTime);
-    shares.ended(&kind(), SizeClass::Large, CallEnd::Late);
-    shares.ended(&kind(), SizeClass::Largest, CallEnd::NotWhole);
-    let told = shares.take_unserved();
+    shares.record_outcome(&"reports".into(), SizeClass::Usual, CallEnd::InTime);
+    shares.record_outcome(&kind(), SizeClass::Large, CallEnd::Late);
+    shares.record_outcome(&kind(), SizeClass::Largest, CallEnd::NotWhole);
+    let told = shares.take_routes_with_unserved();
     assert_eq!(told.len(), 1);
     let (name, ends) = &told[0];
     assert_eq!(*name, kind());
     assert_eq!((ends.large.late, ends.largest.not_whole), (1, 1));
-    assert!(shares.take_unserved().is_empty());
+    assert!(shares.take_routes_with_unserved().is_empty());
 }
