--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -35,7 +35,7 @@
 use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
-use crate::direct::sharing::size_stats::CallEnd;
+use crate::direct::sharing::size_stats::CallOutcome;
 use crate::direct::traffic::Traffic;
 use crate::direct::view::catalog::Admission;
 use crate::direct::view::catalog::Catalog;
@@ -335,7 +335,7 @@
     let ChargeOutcome::Exceeded { retry_after_ms } = charged else {
         return Ok(());
     };
-    ending.set(CallEnd::AllotmentSpent);
+    ending.set(CallOutcome::QuotaExceeded);
     let inputs = json!({
         "route": route.name,
         "tier": route.tier,
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use crate::direct::sharing::size_stats::CallEnd;
+use crate::direct::sharing::size_stats::CallOutcome;
 use crate::direct::sharing::size_stats::SizeClass;
 use crate::direct::traffic::Traffic;
 
@@ -28,7 +28,7 @@
     traffic: Rc<Traffic>,
     counted: Counted,
     has_started: Cell<bool>,
-    end: Cell<CallEnd>,
+    end: Cell<CallOutcome>,
 }
 
 impl Ending {
@@ -39,7 +39,7 @@
             traffic: Rc::clone(traffic),
             counted,
             has_started: Cell::new(false),
-            end: Cell::new(CallEnd::NotWhole),
+            end: Cell::new(CallOutcome::Incomplete),
         })
     }
 
@@ -66,16 +66,16 @@
     }
 
     /// Says how the request ends.
-    pub fn set(&self, end: CallEnd) {
+    pub fn set(&self, end: CallOutcome) {
         self.end.set(end);
     }
 
     /// Says that the caller has a whole answer.
     pub fn set_whole(&self, is_in_time: bool) {
         let end = if is_in_time {
-            CallEnd::InTime
+            CallOutcome::InTime
         } else {
-            CallEnd::Late
+            CallOutcome::Late
         };
         self.end.set(end);
     }
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -8,13 +8,13 @@
 use crate::direct::request::answer_body::AnswerBody;
 use crate::direct::request::call::Call;
 use crate::direct::request::refusal::Refusal;
-use crate::direct::sharing::size_stats::CallEnd;
+use crate::direct::sharing::size_stats::CallOutcome;
 use crate::direct::traffic::Traffic;
 
 /// Refuses a request that found no room. If an upstream may have run it, its outcome is unknown.
 pub fn refuse(traffic: &Traffic, call: &Call, retry_after_ms: u64) -> Response<AnswerBody> {
     if !call.may_have_run {
-        call.ending.set(CallEnd::NoRoom);
+        call.ending.set(CallOutcome::NoSlot);
         let id = call.request_id.as_ref();
         let job = call.job();
         let counts = traffic
--- a/lib/src/direct/sharing/size_stats.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -56,44 +56,44 @@
 
 /// How a request ended for its caller, as far as shares by size depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// Whole, its first part within the objective.
     InTime,
     /// Whole, but later.
     Late,
     /// Refused, since no upstream had room for it.
-    NoRoom,
+    NoSlot,
     /// Refused, since its customer's allotment was spent.
-    AllotmentSpent,
+    QuotaExceeded,
     /// It began, or may have, and did not end whole.
-    NotWhole,
+    Incomplete,
 }
 
-impl CallEnd {
+impl CallOutcome {
     /// Its name in figures.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_stats::CallEnd;
+    /// use sardinewood::direct::sharing::size_stats::CallOutcome;
     ///
-    /// assert_eq!(CallEnd::NoRoom.name(), "no_room");
+    /// assert_eq!(CallOutcome::NoSlot.name(), "no_room");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Self::InTime => "in_time",
             Self::Late => "late",
-            Self::NoRoom => "no_room",
-            Self::AllotmentSpent => "allotment_spent",
-            Self::NotWhole => "not_whole",
+            Self::NoSlot => "no_room",
+            Self::QuotaExceeded => "allotment_spent",
+            Self::Incomplete => "not_whole",
         }
     }
 
     /// Whether the caller has a whole answer.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_stats::CallEnd;
+    /// use sardinewood::direct::sharing::size_stats::CallOutcome;
     ///
-    /// assert!(CallEnd::Late.is_served());
+    /// assert!(CallOutcome::Late.is_served());
     /// ```
     #[must_use]
     pub fn is_served(self) -> bool {
@@ -117,13 +117,13 @@
 }
 
 impl Ends {
-    fn add(&mut self, end: CallEnd) {
+    fn add(&mut self, end: CallOutcome) {
         let count = match end {
-            CallEnd::InTime => &mut self.in_time,
-            CallEnd::Late => &mut self.late,
-            CallEnd::NoRoom => &mut self.no_room,
-            CallEnd::AllotmentSpent => &mut self.allotment_spent,
-            CallEnd::NotWhole => &mut self.not_whole,
+            CallOutcome::InTime => &mut self.in_time,
+            CallOutcome::Late => &mut self.late,
+            CallOutcome::NoSlot => &mut self.no_room,
+            CallOutcome::QuotaExceeded => &mut self.allotment_spent,
+            CallOutcome::Incomplete => &mut self.not_whole,
         };
         *count += 1;
     }
@@ -192,7 +192,7 @@
 /// Sizes of an entry's requests by kind, and how they ended.
 ///
 /// ```
-/// use sardinewood::direct::sharing::size_stats::CallEnd;
+/// use sardinewood::direct::sharing::size_stats::CallOutcome;
 /// use sardinewood::direct::sharing::size_stats::SizeClass;
 /// use sardinewood::direct::sharing::size_stats::SizeStats;
 ///
@@ -202,7 +202,7 @@
 ///     shares.classify(&kind, Some(f64::from(size)));
 /// }
 /// assert_eq!(shares.classify(&kind, Some(95.0)), SizeClass::Largest);
-/// shares.record_outcome(&kind, SizeClass::Largest, CallEnd::NoRoom);
+/// shares.record_outcome(&kind, SizeClass::Largest, CallOutcome::NoSlot);
 /// assert_eq!(shares.take_routes_with_unserved()[0].1.largest.no_room, 1);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -230,13 +230,13 @@
     /// Notes how a request ended.
     ///
     /// ```
-    /// use sardinewood::direct::sharing::size_stats::CallEnd;
+    /// use sardinewood::direct::sharing::size_stats::CallOutcome;
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
     /// use sardinewood::direct::sharing::size_stats::SizeStats;
     ///
-    /// SizeStats::default().record_outcome(&"notes".into(), SizeClass::Usual, CallEnd::InTime);
+    /// SizeStats::default().record_outcome(&"notes".into(), SizeClass::Usual, CallOutcome::InTime);
     /// ```
-    pub fn record_outcome(&mut self, kind: &Arc<str>, size: SizeClass, end: CallEnd) {
+    pub fn record_outcome(&mut self, kind: &Arc<str>, size: SizeClass, end: CallOutcome) {
         let kind = self.kinds.entry(Arc::clone(kind)).or_default();
         kind.ends.of(size).add(end);
     }
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -10,7 +10,7 @@
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
-use sardinewood::direct::sharing::size_stats::CallEnd;
+use sardinewood::direct::sharing::size_stats::CallOutcome;
 use sardinewood::direct::sharing::size_stats::SizeClass;
 use sardinewood::direct::sharing::size_stats::SizeStats;
 
@@ -195,9 +195,9 @@
 #[test]
 fn only_kinds_with_unserved_requests_are_told_and_once() {
     let mut shares = SizeStats::default();
-    shares.record_outcome(&"reports".into(), SizeClass::Usual, CallEnd::InTime);
-    shares.record_outcome(&kind(), SizeClass::Large, CallEnd::Late);
-    shares.record_outcome(&kind(), SizeClass::Largest, CallEnd::NotWhole);
+    shares.record_outcome(&"reports".into(), SizeClass::Usual, CallOutcome::InTime);
+    shares.record_outcome(&kind(), SizeClass::Large, CallOutcome::Late);
+    shares.record_outcome(&kind(), SizeClass::Largest, CallOutcome::Incomplete);
     let told = shares.take_routes_with_unserved();
     assert_eq!(told.len(), 1);
     let (name, ends) = &told[0];
