--- a/lib/src/direct/sharing/size_stats.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -103,7 +103,7 @@
 
 /// How requests of one kind and size ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Ends {
+pub struct CallOutcomeCounts {
     /// Whole and in time.
     pub in_time: u32,
     /// Whole and late.
@@ -116,7 +116,7 @@
     pub not_whole: u32,
 }
 
-impl Ends {
+impl CallOutcomeCounts {
     fn add(&mut self, end: CallOutcome) {
         let count = match end {
             CallOutcome::InTime => &mut self.in_time,
@@ -135,17 +135,17 @@
 
 /// How requests of one kind ended, by size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct EndsBySize {
+pub struct CallOutcomesBySize {
     /// The smaller seven tenths.
-    pub usual: Ends,
+    pub usual: CallOutcomeCounts,
     /// The fifth below the largest.
-    pub large: Ends,
+    pub large: CallOutcomeCounts,
     /// The largest tenth.
-    pub largest: Ends,
+    pub largest: CallOutcomeCounts,
 }
 
-impl EndsBySize {
-    fn of(&mut self, size: SizeClass) -> &mut Ends {
+impl CallOutcomesBySize {
+    fn of(&mut self, size: SizeClass) -> &mut CallOutcomeCounts {
         match size {
             SizeClass::Usual => &mut self.usual,
             SizeClass::Large => &mut self.large,
@@ -162,7 +162,7 @@
 struct Kind {
     sizes: Vec<f64>,
     oldest: usize,
-    ends: EndsBySize,
+    ends: CallOutcomesBySize,
 }
 
 impl Kind {
@@ -249,7 +249,7 @@
     ///
     /// assert!(SizeStats::default().take_routes_with_unserved().is_empty());
     /// ```
-    pub fn take_routes_with_unserved(&mut self) -> Vec<(Arc<str>, EndsBySize)> {
+    pub fn take_routes_with_unserved(&mut self) -> Vec<(Arc<str>, CallOutcomesBySize)> {
         let taken = self
             .kinds
             .iter_mut()
