--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -36,8 +36,6 @@
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
 use crate::direct::rollout::table::RolloutTable;
-use crate::direct::rooms;
-use crate::direct::rooms::AskedDoor;
 use crate::direct::sharing::admission;
 use crate::direct::sharing::admission::AdmissionController;
 use crate::direct::sharing::admission::EntryRef;
@@ -49,6 +47,8 @@
 use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::sharing::size_fairness::SizeFairness;
 use crate::direct::sharing::size_stats::SizeStats;
+use crate::direct::slot_driver;
+use crate::direct::slot_driver::AskedDoor;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
@@ -473,7 +473,7 @@
     /// Waits for room at an upstream until the request's time is up.
     pub async fn turn(self: &Rc<Self>, job: Job) -> Turn {
         let began = Instant::now();
-        let turn = rooms::turn(self, job).await;
+        let turn = slot_driver::turn(self, job).await;
         let waited_ms = began.elapsed().as_secs_f64() * 1_000.0;
         self.figures.wait_ms.observe(waited_ms);
         turn
