--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -189,7 +189,7 @@
 }
 
 /// Waits for room at an upstream until the request's time is up.
-pub async fn turn(traffic: &Rc<Traffic>, job: Job) -> Turn {
+pub async fn acquire_slot(traffic: &Rc<Traffic>, job: Job) -> Turn {
     let until = traffic.instant_at(job.waits_until_ms());
     let (sender, mut replies) = mpsc::unbounded_channel();
     let mut waiting = Waiting {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -473,7 +473,7 @@
     /// Waits for room at an upstream until the request's time is up.
     pub async fn turn(self: &Rc<Self>, job: Job) -> Turn {
         let began = Instant::now();
-        let turn = slot_driver::turn(self, job).await;
+        let turn = slot_driver::acquire_slot(self, job).await;
         let waited_ms = began.elapsed().as_secs_f64() * 1_000.0;
         self.figures.wait_ms.observe(waited_ms);
         turn
