--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -42,7 +42,7 @@
 
 /// A question that has no grant yet.
 #[derive(Debug)]
-pub struct AskedDoor {
+pub struct PendingSlotRequest {
     replies: UnboundedSender<Reply>,
     /// The service that the request is for.
     pub service: Arc<str>,
@@ -93,14 +93,14 @@
             .question(id, instance, &dispatcher, traffic.now_ms());
         drop(dispatcher);
         let owner = traffic.owner(slot_request.upstream);
-        let open = AskedDoor {
+        let open = PendingSlotRequest {
             replies: self.replies.clone(),
             service: Arc::clone(&self.asking.job.service),
             instance: Arc::clone(instance),
             kept_tokens: self.asking.job.kept_tokens(instance),
             owner,
         };
-        traffic.asks.borrow_mut().insert(id, open);
+        traffic.pending_slot_requests.borrow_mut().insert(id, open);
         match owner {
             EntryRef::Local => traffic.asked(EntryRef::Local, slot_request),
             EntryRef::Peer(address) => {
@@ -111,7 +111,7 @@
 
     fn take_back(&self, id: PeerRequestId, instance: &str) {
         let traffic = &self.traffic;
-        let Some(open) = traffic.asks.borrow_mut().swap_remove(&id) else {
+        let Some(open) = traffic.pending_slot_requests.borrow_mut().swap_remove(&id) else {
             return;
         };
         let upstream = short_name(instance);
@@ -266,7 +266,10 @@
 
     /// Takes a grant in, or gives it back if nobody waits for it any more.
     pub fn granted(self: &Rc<Self>, request_id: PeerRequestId, upstream: u32) {
-        let asked = self.asks.borrow_mut().swap_remove(&request_id);
+        let asked = self
+            .pending_slot_requests
+            .borrow_mut()
+            .swap_remove(&request_id);
         let started = asked.and_then(|asked| {
             let mut dispatcher = self.dispatcher.borrow_mut();
             let upstream = dispatcher.began(&asked.instance, self.now_ms())?;
@@ -284,7 +287,7 @@
 
     /// Takes a door's reply that a question waits.
     pub fn busy(&self, request_id: PeerRequestId, wait_ms: u32) {
-        if let Some(asked) = self.asks.borrow().get(&request_id) {
+        if let Some(asked) = self.pending_slot_requests.borrow().get(&request_id) {
             // The receiver lives as long as the question is open.
             let _ = asked.replies.send(Reply::Busy {
                 request_id,
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -48,7 +48,7 @@
 use crate::direct::sharing::size_fairness::SizeFairness;
 use crate::direct::sharing::size_stats::SizeStats;
 use crate::direct::slot_driver;
-use crate::direct::slot_driver::AskedDoor;
+use crate::direct::slot_driver::PendingSlotRequest;
 use crate::direct::view::catalog::Catalog;
 use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
@@ -72,7 +72,7 @@
     /// The other entries.
     pub peers: RefCell<PeerTable>,
     /// What this entry has asked at doors.
-    pub asks: RefCell<IndexMap<PeerRequestId, AskedDoor>>,
+    pub pending_slot_requests: RefCell<IndexMap<PeerRequestId, PendingSlotRequest>>,
     /// Where messages to peers leave.
     pub socket: UdpSocket,
     /// What customers may spend.
@@ -267,7 +267,7 @@
             dispatcher: RefCell::default(),
             admission: RefCell::default(),
             peers: RefCell::new(peers),
-            asks: RefCell::default(),
+            pending_slot_requests: RefCell::default(),
             socket,
             quotas: RefCell::default(),
             pending_charges: PendingCharges::default(),
@@ -322,7 +322,7 @@
     /// get what a request would take.
     #[must_use]
     pub fn contention(&self, service: &str) -> Contention {
-        let asks = self.asks.borrow();
+        let asks = self.pending_slot_requests.borrow();
         if asks.values().any(|asked| &*asked.service == service) {
             Contention::Contended
         } else {
@@ -451,7 +451,9 @@
         let peers = self.peers.borrow();
         let heard = peers.live_peers(self.now_ms()).len();
         figures.open_requests.set(signed(self.open_requests.get()));
-        figures.open_asks.set(signed(self.asks.borrow().len()));
+        figures
+            .open_asks
+            .set(signed(self.pending_slot_requests.borrow().len()));
         figures.peers.set(signed(heard));
         figures
             .upstreams
