--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -56,7 +56,7 @@
         if changes.iter().any(Change::concerns_all) {
             self.tell_some_notices(self.notices_of(instance), usize::MAX);
             self.update_eligible_upstreams();
-            self.grant_rooms();
+            self.grant_slots();
         } else if !changes.is_empty() {
             self.place_notices();
         } else if !says_nothing && is_repeat_due {
@@ -84,7 +84,7 @@
         });
         self.tell_some_notices(news, gossip::FORWARD_PEERS);
         self.update_eligible_upstreams();
-        self.grant_rooms();
+        self.grant_slots();
     }
 
     /// Tells a peer what is known that has started, or was silent.
@@ -163,7 +163,7 @@
             sleep(Duration::from_millis(due_ms - now_ms)).await;
             if traffic.rate_wakes_ms.get() == Some(due_ms) {
                 traffic.rate_wakes_ms.set(None);
-                traffic.grant_rooms();
+                traffic.grant_slots();
             }
         });
     }
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -121,7 +121,7 @@
                     .admission
                     .borrow_mut()
                     .release(EntryRef::Peer(from), upstream, release);
-                traffic.grant_rooms();
+                traffic.grant_slots();
             }
             Some(PeerMessage::ChargeRequest(question)) => traffic.charge_for_peer(from, &question),
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
@@ -187,7 +187,7 @@
             .borrow()
             .peer_ahead_of(own_revisions, random, now_ms);
         set(&self.links.peer_ahead, peer_ahead);
-        traffic.grant_rooms();
+        traffic.grant_slots();
     }
 
     fn heartbeat(&mut self) {
@@ -214,7 +214,7 @@
         drop(peers);
         self.sequence += 1;
         self.tell_all();
-        traffic.grant_rooms();
+        traffic.grant_slots();
     }
 
     fn tell_all(&mut self) {
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -344,7 +344,7 @@
         traffic.upstreams_listed(&upstreams);
         traffic.rollouts.borrow_mut().set_upstreams(&upstreams);
         traffic.update_eligible_upstreams();
-        traffic.grant_rooms();
+        traffic.grant_slots();
         traffic.configured.notify_waiters();
     }
     Line::new(Level::Error, "the control thread has ended").send();
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -221,7 +221,7 @@
         self.admission
             .borrow_mut()
             .enqueue(from, slot_request, now_ms);
-        self.grant_rooms();
+        self.grant_slots();
         let wait_ms = self.admission.borrow().expected_wait_ms(
             from,
             slot_request.upstream,
@@ -244,7 +244,7 @@
     }
 
     /// Gives out what room the doors have.
-    pub fn grant_rooms(self: &Rc<Self>) {
+    pub fn grant_slots(self: &Rc<Self>) {
         loop {
             let grant = self.admission.borrow_mut().next_grant(self.now_ms());
             let Some(grant) = grant else {
@@ -303,7 +303,7 @@
                 self.admission
                     .borrow_mut()
                     .release(EntryRef::Local, upstream, release);
-                self.grant_rooms();
+                self.grant_slots();
             }
             EntryRef::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
         }
