--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -107,7 +107,7 @@
         while let Some(grant) = self.entries[entry].admission.next_grant(self.now_ms) {
             let (request_id, upstream) = (grant.request_id, grant.upstream);
             match grant.to {
-                EntryRef::Local => self.granted(entry, request_id, upstream),
+                EntryRef::Local => self.handle_grant(entry, request_id, upstream),
                 EntryRef::Peer(peer) => self.tell(
                     entry,
                     peer,
@@ -121,7 +121,7 @@
         self.grant_by_rate(entry);
     }
 
-    pub(super) fn granted(&mut self, entry: usize, request_id: PeerRequestId, upstream: u32) {
+    pub(super) fn handle_grant(&mut self, entry: usize, request_id: PeerRequestId, upstream: u32) {
         match self.entries[entry].asks.swap_remove(&request_id) {
             Some((request, instance, _)) => self.start(entry, request, &instance, true),
             None => self.give_back(entry, upstream, SlotRelease::Unused),
@@ -170,7 +170,7 @@
             PeerMessage::Grant {
                 request_id,
                 upstream,
-            } => self.granted(entry, request_id, upstream),
+            } => self.handle_grant(entry, request_id, upstream),
             PeerMessage::Queued {
                 request_id,
                 wait_ms,
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -111,7 +111,7 @@
             Some(PeerMessage::Grant {
                 request_id,
                 upstream,
-            }) => traffic.granted(request_id, upstream),
+            }) => traffic.handle_grant(request_id, upstream),
             Some(PeerMessage::Queued {
                 request_id,
                 wait_ms,
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -252,7 +252,7 @@
                 return;
             };
             match grant.to {
-                EntryRef::Local => self.granted(grant.request_id, grant.upstream),
+                EntryRef::Local => self.handle_grant(grant.request_id, grant.upstream),
                 EntryRef::Peer(peer) => self.tell(
                     peer,
                     &PeerMessage::Grant {
@@ -265,7 +265,7 @@
     }
 
     /// Takes a grant in, or gives it back if nobody waits for it any more.
-    pub fn granted(self: &Rc<Self>, request_id: PeerRequestId, upstream: u32) {
+    pub fn handle_grant(self: &Rc<Self>, request_id: PeerRequestId, upstream: u32) {
         let asked = self
             .pending_slot_requests
             .borrow_mut()
