--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -52,7 +52,7 @@
             .asks
             .insert(id, (request, Arc::clone(instance), owner));
         match owner {
-            EntryRef::Local => self.asked(entry, EntryRef::Local, slot_request),
+            EntryRef::Local => self.handle_slot_request(entry, EntryRef::Local, slot_request),
             EntryRef::Peer(peer) => self.tell(entry, peer, PeerMessage::RequestSlot(slot_request)),
         }
     }
@@ -77,7 +77,12 @@
         }
     }
 
-    pub(super) fn asked(&mut self, entry: usize, from: EntryRef, slot_request: SlotRequest) {
+    pub(super) fn handle_slot_request(
+        &mut self,
+        entry: usize,
+        from: EntryRef,
+        slot_request: SlotRequest,
+    ) {
         let now_ms = self.now_ms;
         self.entries[entry]
             .admission
@@ -158,7 +163,7 @@
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
             PeerMessage::RequestSlot(slot_request) => {
-                self.asked(entry, EntryRef::Peer(peer), slot_request)
+                self.handle_slot_request(entry, EntryRef::Peer(peer), slot_request)
             }
             PeerMessage::Cancel {
                 upstream,
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -97,7 +97,7 @@
         match PeerMessage::decode(bytes) {
             Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
             Some(PeerMessage::RequestSlot(slot_request)) => {
-                traffic.asked(EntryRef::Peer(from), slot_request)
+                traffic.handle_slot_request(EntryRef::Peer(from), slot_request)
             }
             Some(PeerMessage::Cancel {
                 upstream,
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -102,7 +102,7 @@
         };
         traffic.pending_slot_requests.borrow_mut().insert(id, open);
         match owner {
-            EntryRef::Local => traffic.asked(EntryRef::Local, slot_request),
+            EntryRef::Local => traffic.handle_slot_request(EntryRef::Local, slot_request),
             EntryRef::Peer(address) => {
                 traffic.tell(address, &PeerMessage::RequestSlot(slot_request))
             }
@@ -216,7 +216,7 @@
     }
 
     /// Takes a question to a door of ours.
-    pub fn asked(self: &Rc<Self>, from: EntryRef, slot_request: SlotRequest) {
+    pub fn handle_slot_request(self: &Rc<Self>, from: EntryRef, slot_request: SlotRequest) {
         let now_ms = self.now_ms();
         self.admission
             .borrow_mut()
