--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -96,7 +96,7 @@
         };
         let request_id = slot_request.id;
         match from {
-            EntryRef::Local => self.busy(entry, request_id, wait_ms),
+            EntryRef::Local => self.handle_queued(entry, request_id, wait_ms),
             EntryRef::Peer(peer) => self.tell(
                 entry,
                 peer,
@@ -133,12 +133,12 @@
         }
     }
 
-    pub(super) fn busy(&mut self, entry: usize, request_id: PeerRequestId, wait_ms: u32) {
+    pub(super) fn handle_queued(&mut self, entry: usize, request_id: PeerRequestId, wait_ms: u32) {
         let Some((request, _, _)) = self.entries[entry].asks.get(&request_id) else {
             return;
         };
         self.decide(entry, *request, |asking, dispatcher, now_ms, random| {
-            asking.busy(request_id, wait_ms, dispatcher, now_ms, || random.random())
+            asking.handle_queued(request_id, wait_ms, dispatcher, now_ms, || random.random())
         });
     }
 
@@ -179,7 +179,7 @@
             PeerMessage::Queued {
                 request_id,
                 wait_ms,
-            } => self.busy(entry, request_id, wait_ms),
+            } => self.handle_queued(entry, request_id, wait_ms),
             PeerMessage::Released { upstream, release } => {
                 let admission = &mut self.entries[entry].admission;
                 admission.release(EntryRef::Peer(peer), upstream, release);
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/asking.rs
@@ -121,10 +121,10 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let next = Asking::new(job).busy(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
+    /// let next = Asking::new(job).handle_queued(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
     /// assert!(next.is_empty());
     /// ```
-    pub fn busy(
+    pub fn handle_queued(
         &mut self,
         request_id: PeerRequestId,
         wait_ms: u32,
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -115,7 +115,7 @@
             Some(PeerMessage::Queued {
                 request_id,
                 wait_ms,
-            }) => traffic.busy(request_id, wait_ms),
+            }) => traffic.handle_queued(request_id, wait_ms),
             Some(PeerMessage::Released { upstream, release }) => {
                 traffic
                     .admission
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -173,7 +173,7 @@
                     request_id,
                     wait_ms,
                 })) => self.decide(|asking, dispatcher, now_ms| {
-                    asking.busy(request_id, wait_ms, dispatcher, now_ms, rand::random)
+                    asking.handle_queued(request_id, wait_ms, dispatcher, now_ms, rand::random)
                 }),
                 Ok(None) => Some(End::Refused),
                 Err(_) => self.decide(|asking, dispatcher, now_ms| {
@@ -232,7 +232,7 @@
             return;
         };
         match from {
-            EntryRef::Local => self.busy(slot_request.id, wait_ms),
+            EntryRef::Local => self.handle_queued(slot_request.id, wait_ms),
             EntryRef::Peer(peer) => self.tell(
                 peer,
                 &PeerMessage::Queued {
@@ -286,7 +286,7 @@
     }
 
     /// Takes a door's reply that a question waits.
-    pub fn busy(&self, request_id: PeerRequestId, wait_ms: u32) {
+    pub fn handle_queued(&self, request_id: PeerRequestId, wait_ms: u32) {
         if let Some(asked) = self.pending_slot_requests.borrow().get(&request_id) {
             // The receiver lives as long as the question is open.
             let _ = asked.replies.send(Reply::Busy {
--- a/lib/tests/test_direct_asking.rs
+++ b/lib/tests/test_direct_asking.rs
@@ -52,7 +52,13 @@
     let mut asks = asked(&asking.begin(&dispatcher, 0, &mut numbers));
     for _ in 0..4 {
         let (last, _) = asks[asks.len() - 1];
-        asks.extend(asked(&asking.busy(last, 5, &dispatcher, 1, &mut numbers)));
+        asks.extend(asked(&asking.handle_queued(
+            last,
+            5,
+            &dispatcher,
+            1,
+            &mut numbers,
+        )));
     }
     assert_eq!(asks.len(), 3);
     let engines: std::collections::BTreeSet<_> = asks.iter().map(|(_, engine)| engine).collect();
@@ -71,7 +77,7 @@
     let mut next = asking.begin(&dispatcher, 0, &mut numbers);
     let mut words = 0;
     while let Some((id, _)) = asked(&next).first().cloned() {
-        next = asking.busy(id, 60_000, &dispatcher, 1, &mut numbers);
+        next = asking.handle_queued(id, 60_000, &dispatcher, 1, &mut numbers);
         words += 1;
     }
     assert_eq!(words, 3);
@@ -124,7 +130,7 @@
     let mut numbers = numbers();
     let mut asking = Asking::new(job(1, 0));
     let first = asked(&asking.begin(&dispatcher, 0, &mut numbers));
-    asking.busy(first[0].0, 5, &dispatcher, 1, &mut numbers);
+    asking.handle_queued(first[0].0, 5, &dispatcher, 1, &mut numbers);
     let again: Vec<_> = (1..8)
         .flat_map(|beat| {
             let now_ms = beat * ANSWER_WITHIN_MS;
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_start.rs
@@ -130,7 +130,7 @@
         let Some(Next::RequestSlot { id, .. }) = next.first() else {
             panic!("nobody is asked");
         };
-        let next = asking.busy(*id, wait_ms, &entry, 2, draws(2));
+        let next = asking.handle_queued(*id, wait_ms, &entry, 2, draws(2));
         assert_eq!(asked(&next).len(), others, "{wait_ms}");
     }
 }
