--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -129,7 +129,7 @@
     pub(super) fn handle_grant(&mut self, entry: usize, request_id: PeerRequestId, upstream: u32) {
         match self.entries[entry].asks.swap_remove(&request_id) {
             Some((request, instance, _)) => self.start(entry, request, &instance, true),
-            None => self.give_back(entry, upstream, SlotRelease::Unused),
+            None => self.release_slot(entry, upstream, SlotRelease::Unused),
         }
     }
 
@@ -142,7 +142,7 @@
         });
     }
 
-    pub(super) fn give_back(&mut self, entry: usize, upstream: u32, release: SlotRelease) {
+    pub(super) fn release_slot(&mut self, entry: usize, upstream: u32, release: SlotRelease) {
         match self.owner(entry, upstream) {
             EntryRef::Local => {
                 let admission = &mut self.entries[entry].admission;
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -36,7 +36,7 @@
             || state.dispatcher.began(instance, self.now_ms).is_none()
         {
             if is_granted {
-                self.give_back(entry, short_name(instance), SlotRelease::Unused);
+                self.release_slot(entry, short_name(instance), SlotRelease::Unused);
             }
             return;
         }
@@ -165,7 +165,7 @@
                 },
                 _ => SlotRelease::Unanswered,
             };
-            self.give_back(entry, short_name(&instance), release);
+            self.release_slot(entry, short_name(&instance), release);
         }
     }
 
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -281,7 +281,7 @@
                 let lease = Lease::new(self, upstream, kept_tokens, true);
                 let _ = replies.send(Reply::Granted(lease));
             }
-            None => self.give_back(upstream, SlotRelease::Unused),
+            None => self.release_slot(upstream, SlotRelease::Unused),
         }
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Gives room back to its door.
-    pub fn give_back(self: &Rc<Self>, upstream: u32, release: SlotRelease) {
+    pub fn release_slot(self: &Rc<Self>, upstream: u32, release: SlotRelease) {
         match self.owner(upstream) {
             EntryRef::Local => {
                 self.admission
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -233,7 +233,7 @@
                 _ => SlotRelease::Unanswered,
             };
             let name = short_name(&self.upstream.instance);
-            self.traffic.give_back(name, release);
+            self.traffic.release_slot(name, release);
         }
     }
 }
