--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -4,11 +4,11 @@
 
 use rand::Rng;
 use rand::rngs::StdRng;
-use sardinewood::direct::placement::asking::ANSWER_WITHIN_MS;
-use sardinewood::direct::placement::asking::Asking;
-use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
+use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use sardinewood::direct::placement::slot_search::Asking;
+use sardinewood::direct::placement::slot_search::Next;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::SizeClass;
 
--- a/lib/src/direct/placement.rs
+++ b/lib/src/direct/placement.rs
@@ -1,10 +1,10 @@
 //! Where a request goes, and in which order: what it is worth, what an upstream costs it, which
 //! doors it asks, and how long it waits. All of it decides and knows no socket.
 
-pub mod asking;
 pub mod baseline;
 pub mod dispatch;
 pub mod health;
 pub mod job;
 pub mod place;
 pub mod shared_start;
+pub mod slot_search;
--- a/lib/src/direct/placement/asking.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -61,7 +61,7 @@
 /// A request that waits for room at an upstream, and the doors that it has asked.
 ///
 /// ```
-/// use sardinewood::direct::placement::asking::{Asking, Next};
+/// use sardinewood::direct::placement::slot_search::{Asking, Next};
 /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
 /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
 /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
@@ -93,7 +93,7 @@
     /// Asks a first door. `random` gives a new number at each call.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -116,7 +116,7 @@
     /// expect too long a wait.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -148,7 +148,7 @@
     /// What the time that has passed asks for: other doors, the same again, or no door at all.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -194,7 +194,7 @@
     /// The question to an upstream's door.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::Asking, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::Asking, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -229,7 +229,7 @@
     /// Takes all questions back, when the request has room or waits no more.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::asking::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -12,7 +12,7 @@
 
 use crate::direct::membership::peer_message::ChargeRequest;
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::placement::asking::ANSWER_WITHIN_MS;
+use crate::direct::placement::slot_search::ANSWER_WITHIN_MS;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::ChargeStep;
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -11,12 +11,12 @@
 use tokio::time::timeout_at;
 
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::placement::asking::ANSWER_WITHIN_MS;
-use crate::direct::placement::asking::Asking;
-use crate::direct::placement::asking::Next;
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
+use crate::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use crate::direct::placement::slot_search::Asking;
+use crate::direct::placement::slot_search::Next;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_start.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use sardinewood::direct::placement::asking::Asking;
-use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::shared_start::SharedStart;
+use sardinewood::direct::placement::slot_search::Asking;
+use sardinewood::direct::placement::slot_search::Next;
 use sardinewood::direct::view::directory::Upstream;
 
 use crate::direct_fixture::job;
--- a/lib/tests/test_direct_asking.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
-use sardinewood::direct::placement::asking::ANSWER_WITHIN_MS;
-use sardinewood::direct::placement::asking::Asking;
-use sardinewood::direct::placement::asking::Next;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use sardinewood::direct::placement::slot_search::Asking;
+use sardinewood::direct::placement::slot_search::Next;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::view::directory::Upstream;
 
