--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -22,7 +22,7 @@
 use sardinewood::direct::notices::book::Notices;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::health::Ended;
-use sardinewood::direct::placement::slot_search::Asking;
+use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::suspects::Suspects;
 use sardinewood::direct::sharing::admission::AdmissionController;
@@ -242,7 +242,7 @@
     admission: AdmissionController,
     peers: PeerTable,
     asks: IndexMap<PeerRequestId, (usize, Arc<str>, EntryRef)>,
-    waiting: IndexMap<usize, Asking>,
+    waiting: IndexMap<usize, SlotSearch>,
     sizes: SizeStats,
     floor: SizeFairness,
     suspects: Suspects,
--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -7,8 +7,8 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
-use sardinewood::direct::placement::slot_search::Asking;
 use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::SizeClass;
 
@@ -80,7 +80,7 @@
         self.size_classes[request] = size;
         let until_ms = job.waits_until_ms();
         let incarnation = self.entries[entry].incarnation;
-        let asking = Asking::new(job);
+        let asking = SlotSearch::new(job);
         self.entries[entry].waiting.insert(request, asking);
         self.at(
             until_ms,
@@ -104,7 +104,7 @@
         &mut self,
         entry: usize,
         request: usize,
-        decide: impl FnOnce(&mut Asking, &Dispatcher, u64, &mut StdRng) -> Vec<Next>,
+        decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64, &mut StdRng) -> Vec<Next>,
     ) {
         let state = &mut self.entries[entry];
         let Some(asking) = state.waiting.get_mut(&request) else {
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -61,7 +61,7 @@
 /// A request that waits for room at an upstream, and the doors that it has asked.
 ///
 /// ```
-/// use sardinewood::direct::placement::slot_search::{Asking, Next};
+/// use sardinewood::direct::placement::slot_search::{SlotSearch, Next};
 /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
 /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
 /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
@@ -69,19 +69,19 @@
 /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
 ///
 /// // There is no engine, so the request is refused at once.
-/// let mut asking = Asking::new(job);
+/// let mut asking = SlotSearch::new(job);
 /// let next = asking.begin(&Dispatcher::default(), 0, || 1);
 /// assert_eq!(next, [Next::Refuse]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Asking {
+pub struct SlotSearch {
     /// The request.
     pub job: Job,
     asks: Vec<Asked>,
 }
 
-impl Asking {
-    /// A request that has asked nobody yet; see [`Asking`].
+impl SlotSearch {
+    /// A request that has asked nobody yet; see [`SlotSearch`].
     #[must_use]
     pub fn new(job: Job) -> Self {
         Self {
@@ -93,12 +93,12 @@
     /// Asks a first door. `random` gives a new number at each call.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let next = Asking::new(job).begin(&Dispatcher::default(), 0, || 1);
+    /// let next = SlotSearch::new(job).begin(&Dispatcher::default(), 0, || 1);
     /// assert_eq!(next, [Next::Refuse]);
     /// ```
     pub fn begin(
@@ -116,12 +116,12 @@
     /// expect too long a wait.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let next = Asking::new(job).handle_queued(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
+    /// let next = SlotSearch::new(job).handle_queued(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
     /// assert!(next.is_empty());
     /// ```
     pub fn handle_queued(
@@ -148,12 +148,12 @@
     /// What the time that has passed asks for: other doors, the same again, or no door at all.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let next = Asking::new(job).silence(&Dispatcher::default(), 40, || 1);
+    /// let next = SlotSearch::new(job).silence(&Dispatcher::default(), 40, || 1);
     /// assert!(next.is_empty());
     /// ```
     pub fn silence(
@@ -194,12 +194,12 @@
     /// The question to an upstream's door.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::Asking, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::SlotSearch, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let slot_request = Asking::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
+    /// let slot_request = SlotSearch::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(slot_request.waited_ms, 60);
     /// assert!(slot_request.objective_in_ms < 40);
     /// ```
@@ -229,12 +229,12 @@
     /// Takes all questions back, when the request has room or waits no more.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{Asking, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// assert!(Asking::new(job).end().is_empty());
+    /// assert!(SlotSearch::new(job).end().is_empty());
     /// ```
     pub fn end(&mut self) -> Vec<Next> {
         self.asks.drain(..).map(take_back).collect()
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -15,8 +15,8 @@
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::slot_search::ANSWER_WITHIN_MS;
-use crate::direct::placement::slot_search::Asking;
 use crate::direct::placement::slot_search::Next;
+use crate::direct::placement::slot_search::SlotSearch;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
@@ -55,7 +55,7 @@
 /// A waiting request; dropping it takes its questions back.
 struct Waiting {
     traffic: Rc<Traffic>,
-    asking: Asking,
+    asking: SlotSearch,
     replies: UnboundedSender<Reply>,
 }
 
@@ -151,7 +151,7 @@
     /// Carrying it out may change the dispatcher, so that is not held meanwhile.
     fn decide(
         &mut self,
-        decide: impl FnOnce(&mut Asking, &Dispatcher, u64) -> Vec<Next>,
+        decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64) -> Vec<Next>,
     ) -> Option<End> {
         let dispatcher = self.traffic.dispatcher.borrow();
         let all = decide(&mut self.asking, &dispatcher, self.traffic.now_ms());
@@ -194,7 +194,7 @@
     let (sender, mut replies) = mpsc::unbounded_channel();
     let mut waiting = Waiting {
         traffic: Rc::clone(traffic),
-        asking: Asking::new(job),
+        asking: SlotSearch::new(job),
         replies: sender,
     };
     match waiting.wait(&mut replies, until).await {
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_start.rs
@@ -6,8 +6,8 @@
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::shared_start::SharedStart;
-use sardinewood::direct::placement::slot_search::Asking;
 use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::view::directory::Upstream;
 
 use crate::direct_fixture::job;
@@ -69,7 +69,7 @@
 }
 
 fn first_asked(dispatcher: &Dispatcher, request: Job, seed: u64) -> String {
-    let next = Asking::new(request).begin(dispatcher, 0, draws(seed));
+    let next = SlotSearch::new(request).begin(dispatcher, 0, draws(seed));
     asked(&next).remove(0)
 }
 
@@ -125,7 +125,7 @@
     // request waits for some times as long and asks nobody else; for longer it does not.
     let entry = entry(&engines(ENGINES));
     for (wait_ms, others) in [(100, 0), (2_000, 1)] {
-        let mut asking = Asking::new(request(7, LONG));
+        let mut asking = SlotSearch::new(request(7, LONG));
         let next = asking.begin(&entry, 0, draws(1));
         let Some(Next::RequestSlot { id, .. }) = next.first() else {
             panic!("nobody is asked");
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::placement::slot_search::Asking;
+use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::CallOutcome;
@@ -151,7 +151,7 @@
         ..job(1, 0)
     };
     let objective_in_ms = |job: Job| {
-        let asking = Asking::new(job);
+        let asking = SlotSearch::new(job);
         asking
             .question(PeerRequestId(1), "i-1", &dispatcher, 0)
             .objective_in_ms
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -6,8 +6,8 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
-use sardinewood::direct::placement::slot_search::Asking;
 use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::view::directory::Upstream;
 
@@ -48,7 +48,7 @@
 fn full_doors_make_it_ask_three() {
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let mut asks = asked(&asking.begin(&dispatcher, 0, &mut numbers));
     for _ in 0..4 {
         let (last, _) = asks[asks.len() - 1];
@@ -73,7 +73,7 @@
     // so now, while it can still come back, and not when its time is over.
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let mut next = asking.begin(&dispatcher, 0, &mut numbers);
     let mut words = 0;
     while let Some((id, _)) = asked(&next).first().cloned() {
@@ -89,7 +89,7 @@
     // The entries that keep the doors are gone, and nobody has noticed yet.
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let mut asks = asked(&asking.begin(&dispatcher, 0, &mut numbers)).len();
     let mut now_ms = 0;
     let unasked = loop {
@@ -110,7 +110,7 @@
 fn engine_that_leaves_is_asked_no_more() {
     let mut dispatcher = dispatcher(2);
     let mut numbers = numbers();
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let first = asked(&asking.begin(&dispatcher, 0, &mut numbers));
     let (_, engine) = first[0].clone();
     let left: Vec<Arc<Upstream>> = engines(2)
@@ -128,7 +128,7 @@
     // Its door may have passed to another entry meanwhile, which knows nothing of it.
     let dispatcher = dispatcher(1);
     let mut numbers = numbers();
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let first = asked(&asking.begin(&dispatcher, 0, &mut numbers));
     asking.handle_queued(first[0].0, 5, &dispatcher, 1, &mut numbers);
     let again: Vec<_> = (1..8)
@@ -145,7 +145,7 @@
     // Guards against callers that wait into their deadlines for upstreams that want nothing.
     let mut dispatcher = dispatcher(2);
     dispatcher.set_rests(&at_rest(&[("i-0", 4_000), ("i-1", 3_000)]));
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let next = asking.begin(&dispatcher, 100, numbers());
     assert_eq!(next, [Next::Refuse]);
     let rest_ms = dispatcher.all_rest_for_ms(&asking.job, 100);
@@ -158,7 +158,7 @@
     // Guards against a question that is granted, or waits, at an upstream that has asked for rest.
     let mut dispatcher = dispatcher(1);
     let mut numbers = numbers();
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     let (id, instance) = asked(&asking.begin(&dispatcher, 0, &mut numbers))[0].clone();
     dispatcher.set_rests(&at_rest(&[("i-0", 3_000)]));
     assert!(dispatcher.began(&instance, 40).is_none(), "a grant");
@@ -172,7 +172,7 @@
     dispatcher.set_rests(&at_rest(&[("i-1", 3_000)]));
     for first in 1..200 {
         let mut number = first;
-        let next = Asking::new(job(1, 0)).begin(&dispatcher, 0, || {
+        let next = SlotSearch::new(job(1, 0)).begin(&dispatcher, 0, || {
             number += 1;
             number
         });
@@ -186,7 +186,7 @@
     // Guards against entries that pass a silent door by, each with a whole limit.
     let mut dispatcher = dispatcher(1);
     dispatcher.set_limited(&[short_name("i-0")].into());
-    let mut asking = Asking::new(job(1, 0));
+    let mut asking = SlotSearch::new(job(1, 0));
     asking.begin(&dispatcher, 0, numbers());
     let next = asking.silence(&dispatcher, ANSWER_WITHIN_MS, numbers());
     assert!(next.is_empty(), "{next:?}");
