--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
-use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::SizeClass;
@@ -104,7 +104,7 @@
         &mut self,
         entry: usize,
         request: usize,
-        decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64, &mut StdRng) -> Vec<Next>,
+        decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64, &mut StdRng) -> Vec<SearchStep>,
     ) {
         let state = &mut self.entries[entry];
         let Some(asking) = state.waiting.get_mut(&request) else {
@@ -221,17 +221,19 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, entry: usize, request: usize, all: Vec<Next>) {
+    pub(super) fn carry_out(&mut self, entry: usize, request: usize, all: Vec<SearchStep>) {
         for next in all {
             match next {
-                Next::RequestSlot { id, instance } => {
+                SearchStep::RequestSlot { id, instance } => {
                     self.request_slot(entry, request, id, &instance)
                 }
-                Next::TakeBack { id, instance } => self.take_back(entry, id, &instance),
-                Next::GoUnasked { instance } => {
+                SearchStep::CancelSlotRequest { id, instance } => {
+                    self.take_back(entry, id, &instance)
+                }
+                SearchStep::StartWithoutGrant { instance } => {
                     return self.start(entry, request, &instance, false);
                 }
-                Next::Refuse => return self.refuse(request),
+                SearchStep::Refuse => return self.refuse(request),
             }
         }
     }
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -26,7 +26,7 @@
 
 /// What a waiting request does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum SearchStep {
     /// Asks the door of an engine, perhaps not for the first time.
     RequestSlot {
         /// Names the question.
@@ -35,14 +35,14 @@
         instance: Arc<str>,
     },
     /// Takes a question back.
-    TakeBack {
+    CancelSlotRequest {
         /// The question.
         id: PeerRequestId,
         /// The engine.
         instance: Arc<str>,
     },
     /// Goes to an engine whose door does not answer.
-    GoUnasked {
+    StartWithoutGrant {
         /// The engine.
         instance: Arc<str>,
     },
@@ -61,7 +61,7 @@
 /// A request that waits for room at an upstream, and the doors that it has asked.
 ///
 /// ```
-/// use sardinewood::direct::placement::slot_search::{SlotSearch, Next};
+/// use sardinewood::direct::placement::slot_search::{SlotSearch, SearchStep};
 /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
 /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
 /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
@@ -71,7 +71,7 @@
 /// // There is no engine, so the request is refused at once.
 /// let mut asking = SlotSearch::new(job);
 /// let next = asking.begin(&Dispatcher::default(), 0, || 1);
-/// assert_eq!(next, [Next::Refuse]);
+/// assert_eq!(next, [SearchStep::Refuse]);
 /// ```
 #[derive(Clone, Debug)]
 pub struct SlotSearch {
@@ -93,30 +93,30 @@
     /// Asks a first door. `random` gives a new number at each call.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// let next = SlotSearch::new(job).begin(&Dispatcher::default(), 0, || 1);
-    /// assert_eq!(next, [Next::Refuse]);
+    /// assert_eq!(next, [SearchStep::Refuse]);
     /// ```
     pub fn begin(
         &mut self,
         dispatcher: &Dispatcher,
         now_ms: u64,
         random: impl FnMut() -> u64,
-    ) -> Vec<Next> {
+    ) -> Vec<SearchStep> {
         self.job.kept_at = dispatcher.kept_at(&self.job, now_ms);
         let asked = self.ask_another(dispatcher, now_ms, random);
-        vec![asked.unwrap_or(Next::Refuse)]
+        vec![asked.unwrap_or(SearchStep::Refuse)]
     }
 
     /// Takes a door's reply that a question waits: others are asked as well, unless all of them
     /// expect too long a wait.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -131,12 +131,12 @@
         dispatcher: &Dispatcher,
         now_ms: u64,
         random: impl FnMut() -> u64,
-    ) -> Vec<Next> {
+    ) -> Vec<SearchStep> {
         if let Some(asked) = self.asks.iter_mut().find(|asked| asked.id == request_id) {
             asked.wait_ms = Some(wait_ms);
         }
         if self.is_hopeless(now_ms) {
-            return vec![Next::Refuse];
+            return vec![SearchStep::Refuse];
         }
         if self.waits_for_what_is_kept(dispatcher) {
             return Vec::new();
@@ -148,7 +148,7 @@
     /// What the time that has passed asks for: other doors, the same again, or no door at all.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
@@ -161,7 +161,7 @@
         dispatcher: &Dispatcher,
         now_ms: u64,
         mut random: impl FnMut() -> u64,
-    ) -> Vec<Next> {
+    ) -> Vec<SearchStep> {
         let mut next = self.drop_gone(dispatcher, now_ms);
         let is_silent =
             |asked: &Asked| asked.wait_ms.is_none() && now_ms >= asked.at_ms + ANSWER_WITHIN_MS;
@@ -175,7 +175,7 @@
         for asked in &mut self.asks {
             if now_ms >= asked.at_ms + ASK_AGAIN_MS {
                 asked.at_ms = now_ms;
-                next.push(Next::RequestSlot {
+                next.push(SearchStep::RequestSlot {
                     id: asked.id,
                     instance: Arc::clone(&asked.instance),
                 });
@@ -186,7 +186,7 @@
         }
         // Callers that wait for an upstream at rest would wait into their deadlines.
         if self.asks.is_empty() && dispatcher.all_rest_for_ms(&self.job, now_ms).is_some() {
-            next.push(Next::Refuse);
+            next.push(SearchStep::Refuse);
         }
         next
     }
@@ -229,14 +229,14 @@
     /// Takes all questions back, when the request has room or waits no more.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, Next}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
+    /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(SlotSearch::new(job).end().is_empty());
     /// ```
-    pub fn end(&mut self) -> Vec<Next> {
+    pub fn end(&mut self) -> Vec<SearchStep> {
         self.asks.drain(..).map(take_back).collect()
     }
 
@@ -246,7 +246,7 @@
         dispatcher: &Dispatcher,
         now_ms: u64,
         mut random: impl FnMut() -> u64,
-    ) -> Option<Next> {
+    ) -> Option<SearchStep> {
         if self.asks.len() >= usize::from(MAX_QUEUES_PER_REQUEST) {
             return None;
         }
@@ -263,7 +263,7 @@
             at_ms: now_ms,
             wait_ms: None,
         };
-        let next = Next::RequestSlot {
+        let next = SearchStep::RequestSlot {
             id: asked.id,
             instance: Arc::clone(&asked.instance),
         };
@@ -272,7 +272,7 @@
     }
 
     /// Gives up questions about upstreams that have left, so that others are asked.
-    fn drop_gone(&mut self, dispatcher: &Dispatcher, now_ms: u64) -> Vec<Next> {
+    fn drop_gone(&mut self, dispatcher: &Dispatcher, now_ms: u64) -> Vec<SearchStep> {
         let (kept, dropped): (Vec<Asked>, Vec<Asked>) = std::mem::take(&mut self.asks)
             .into_iter()
             .partition(|asked| dispatcher.is_there(&asked.instance, now_ms));
@@ -281,12 +281,12 @@
     }
 
     /// Goes to an engine whose door is silent, if there seems to be room.
-    fn unasked(&self, dispatcher: &Dispatcher, now_ms: u64) -> Option<Next> {
+    fn unasked(&self, dispatcher: &Dispatcher, now_ms: u64) -> Option<SearchStep> {
         let asked = self.asks.first()?;
         let instance = Arc::clone(&asked.instance);
         dispatcher
             .has_room(&instance, now_ms)
-            .then_some(Next::GoUnasked { instance })
+            .then_some(SearchStep::StartWithoutGrant { instance })
     }
 
     /// Whether to wait at an engine that keeps the start of the prompt is the better choice.
@@ -314,8 +314,8 @@
     }
 }
 
-fn take_back(asked: Asked) -> Next {
-    Next::TakeBack {
+fn take_back(asked: Asked) -> SearchStep {
+    SearchStep::CancelSlotRequest {
         id: asked.id,
         instance: asked.instance,
     }
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -15,7 +15,7 @@
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::slot_search::ANSWER_WITHIN_MS;
-use crate::direct::placement::slot_search::Next;
+use crate::direct::placement::slot_search::SearchStep;
 use crate::direct::placement::slot_search::SlotSearch;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::sharing::admission::PeerRequestId;
@@ -75,12 +75,14 @@
 
 impl Waiting {
     /// Carries out what was decided, and whether that ends the wait.
-    fn carry_out(&self, next: Next) -> Option<End> {
+    fn carry_out(&self, next: SearchStep) -> Option<End> {
         match next {
-            Next::RequestSlot { id, instance } => self.request_slot(id, &instance),
-            Next::TakeBack { id, instance } => self.take_back(id, &instance),
-            Next::GoUnasked { instance } => return self.go_unasked(&instance).map(End::Started),
-            Next::Refuse => return Some(End::Refused),
+            SearchStep::RequestSlot { id, instance } => self.request_slot(id, &instance),
+            SearchStep::CancelSlotRequest { id, instance } => self.take_back(id, &instance),
+            SearchStep::StartWithoutGrant { instance } => {
+                return self.go_unasked(&instance).map(End::Started);
+            }
+            SearchStep::Refuse => return Some(End::Refused),
         }
         None
     }
@@ -151,7 +153,7 @@
     /// Carrying it out may change the dispatcher, so that is not held meanwhile.
     fn decide(
         &mut self,
-        decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64) -> Vec<Next>,
+        decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64) -> Vec<SearchStep>,
     ) -> Option<End> {
         let dispatcher = self.traffic.dispatcher.borrow();
         let all = decide(&mut self.asking, &dispatcher, self.traffic.now_ms());
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::view::directory::Upstream;
 
@@ -48,7 +48,7 @@
 fn offer_without_upstream_refused_at_once() {
     let dispatcher = Dispatcher::default();
     let next = SlotSearch::new(job(1, 0)).begin(&dispatcher, 0, || 1);
-    assert_eq!(next, [Next::Refuse]);
+    assert_eq!(next, [SearchStep::Refuse]);
     assert!(job(1, 0).retry_after_ms(0) > 0);
 }
 
@@ -303,7 +303,7 @@
     // Nobody is left to try, so it does not wait either.
     assert_eq!(start(&mut dispatcher, &again, 0), None);
     let next = SlotSearch::new(again).begin(&dispatcher, 0, || 1);
-    assert_eq!(next, [Next::Refuse]);
+    assert_eq!(next, [SearchStep::Refuse]);
 }
 
 #[test]
@@ -365,7 +365,7 @@
     dispatcher.began("dead", 0);
     dispatcher.finished("dead", 1, Ended::Misdirected, 2, 10);
     let next = SlotSearch::new(job(1, 0)).begin(&dispatcher, 20, || 1);
-    assert_eq!(next, [Next::Refuse]);
+    assert_eq!(next, [SearchStep::Refuse]);
 }
 
 #[test]
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_start.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::shared_start::SharedStart;
-use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::view::directory::Upstream;
 
@@ -59,10 +59,10 @@
 }
 
 /// The engines that a request asks at once, in order.
-fn asked(next: &[Next]) -> Vec<String> {
+fn asked(next: &[SearchStep]) -> Vec<String> {
     next.iter()
         .filter_map(|next| match next {
-            Next::RequestSlot { instance, .. } => Some(instance.to_string()),
+            SearchStep::RequestSlot { instance, .. } => Some(instance.to_string()),
             _ => None,
         })
         .collect()
@@ -127,7 +127,7 @@
     for (wait_ms, others) in [(100, 0), (2_000, 1)] {
         let mut asking = SlotSearch::new(request(7, LONG));
         let next = asking.begin(&entry, 0, draws(1));
-        let Some(Next::RequestSlot { id, .. }) = next.first() else {
+        let Some(SearchStep::RequestSlot { id, .. }) = next.first() else {
             panic!("nobody is asked");
         };
         let next = asking.handle_queued(*id, wait_ms, &entry, 2, draws(2));
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::short_name;
 use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
-use sardinewood::direct::placement::slot_search::Next;
+use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::view::directory::Upstream;
@@ -35,10 +35,10 @@
     }
 }
 
-fn asked(next: &[Next]) -> Vec<(PeerRequestId, Arc<str>)> {
+fn asked(next: &[SearchStep]) -> Vec<(PeerRequestId, Arc<str>)> {
     next.iter()
         .filter_map(|next| match next {
-            Next::RequestSlot { id, instance } => Some((*id, Arc::clone(instance))),
+            SearchStep::RequestSlot { id, instance } => Some((*id, Arc::clone(instance))),
             _ => None,
         })
         .collect()
@@ -81,7 +81,7 @@
         words += 1;
     }
     assert_eq!(words, 3);
-    assert_eq!(next, [Next::Refuse]);
+    assert_eq!(next, [SearchStep::Refuse]);
 }
 
 #[test]
@@ -97,7 +97,7 @@
         assert!(now_ms < 1_000, "it waits for ever");
         let next = asking.silence(&dispatcher, now_ms, &mut numbers);
         asks += asked(&next).len();
-        if let Some(Next::GoUnasked { instance }) = next.last() {
+        if let Some(SearchStep::StartWithoutGrant { instance }) = next.last() {
             break Arc::clone(instance);
         }
     };
@@ -119,7 +119,9 @@
         .collect();
     dispatcher.set_upstreams(&left);
     let next = asking.silence(&dispatcher, ANSWER_WITHIN_MS, &mut numbers);
-    assert!(matches!(&next[0], Next::TakeBack { instance, .. } if *instance == engine));
+    assert!(
+        matches!(&next[0], SearchStep::CancelSlotRequest { instance, .. } if *instance == engine)
+    );
     assert_eq!(asked(&next)[0].1, left[0].instance);
 }
 
@@ -147,7 +149,7 @@
     dispatcher.set_rests(&at_rest(&[("i-0", 4_000), ("i-1", 3_000)]));
     let mut asking = SlotSearch::new(job(1, 0));
     let next = asking.begin(&dispatcher, 100, numbers());
-    assert_eq!(next, [Next::Refuse]);
+    assert_eq!(next, [SearchStep::Refuse]);
     let rest_ms = dispatcher.all_rest_for_ms(&asking.job, 100);
     assert_eq!(rest_ms, Some(2_900), "the first that is over");
     assert_eq!(dispatcher.all_rest_for_ms(&asking.job, 3_000), None);
@@ -163,7 +165,13 @@
     dispatcher.set_rests(&at_rest(&[("i-0", 3_000)]));
     assert!(dispatcher.began(&instance, 40).is_none(), "a grant");
     let next = asking.silence(&dispatcher, 40, &mut numbers);
-    assert_eq!(next, [Next::TakeBack { id, instance }, Next::Refuse]);
+    assert_eq!(
+        next,
+        [
+            SearchStep::CancelSlotRequest { id, instance },
+            SearchStep::Refuse
+        ]
+    );
 }
 
 #[test]
