--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -94,7 +94,7 @@
             return;
         }
         self.decide(entry, request, |asking, dispatcher, now_ms, random| {
-            asking.begin(dispatcher, now_ms, || random.random())
+            asking.start(dispatcher, now_ms, || random.random())
         });
         self.silence_later(request, incarnation);
     }
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -70,7 +70,7 @@
 ///
 /// // There is no engine, so the request is refused at once.
 /// let mut asking = SlotSearch::new(job);
-/// let next = asking.begin(&Dispatcher::default(), 0, || 1);
+/// let next = asking.start(&Dispatcher::default(), 0, || 1);
 /// assert_eq!(next, [SearchStep::Refuse]);
 /// ```
 #[derive(Clone, Debug)]
@@ -98,10 +98,10 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let next = SlotSearch::new(job).begin(&Dispatcher::default(), 0, || 1);
+    /// let next = SlotSearch::new(job).start(&Dispatcher::default(), 0, || 1);
     /// assert_eq!(next, [SearchStep::Refuse]);
     /// ```
-    pub fn begin(
+    pub fn start(
         &mut self,
         dispatcher: &Dispatcher,
         now_ms: u64,
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -163,7 +163,7 @@
 
     async fn wait(&mut self, replies: &mut UnboundedReceiver<Reply>, until: Instant) -> End {
         let begun = self
-            .decide(|asking, dispatcher, now_ms| asking.begin(dispatcher, now_ms, rand::random));
+            .decide(|asking, dispatcher, now_ms| asking.start(dispatcher, now_ms, rand::random));
         if let Some(end) = begun {
             return end;
         }
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -47,7 +47,7 @@
 #[test]
 fn offer_without_upstream_refused_at_once() {
     let dispatcher = Dispatcher::default();
-    let next = SlotSearch::new(job(1, 0)).begin(&dispatcher, 0, || 1);
+    let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 0, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
     assert!(job(1, 0).retry_after_ms(0) > 0);
 }
@@ -302,7 +302,7 @@
     };
     // Nobody is left to try, so it does not wait either.
     assert_eq!(start(&mut dispatcher, &again, 0), None);
-    let next = SlotSearch::new(again).begin(&dispatcher, 0, || 1);
+    let next = SlotSearch::new(again).start(&dispatcher, 0, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
 }
 
@@ -364,7 +364,7 @@
     dispatcher.set_upstreams(&[upstream("dead", 4)]);
     dispatcher.began("dead", 0);
     dispatcher.finished("dead", 1, Ended::Misdirected, 2, 10);
-    let next = SlotSearch::new(job(1, 0)).begin(&dispatcher, 20, || 1);
+    let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 20, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
 }
 
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_start.rs
@@ -69,7 +69,7 @@
 }
 
 fn first_asked(dispatcher: &Dispatcher, request: Job, seed: u64) -> String {
-    let next = SlotSearch::new(request).begin(dispatcher, 0, draws(seed));
+    let next = SlotSearch::new(request).start(dispatcher, 0, draws(seed));
     asked(&next).remove(0)
 }
 
@@ -126,7 +126,7 @@
     let entry = entry(&engines(ENGINES));
     for (wait_ms, others) in [(100, 0), (2_000, 1)] {
         let mut asking = SlotSearch::new(request(7, LONG));
-        let next = asking.begin(&entry, 0, draws(1));
+        let next = asking.start(&entry, 0, draws(1));
         let Some(SearchStep::RequestSlot { id, .. }) = next.first() else {
             panic!("nobody is asked");
         };
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -49,7 +49,7 @@
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
-    let mut asks = asked(&asking.begin(&dispatcher, 0, &mut numbers));
+    let mut asks = asked(&asking.start(&dispatcher, 0, &mut numbers));
     for _ in 0..4 {
         let (last, _) = asks[asks.len() - 1];
         asks.extend(asked(&asking.handle_queued(
@@ -74,7 +74,7 @@
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
-    let mut next = asking.begin(&dispatcher, 0, &mut numbers);
+    let mut next = asking.start(&dispatcher, 0, &mut numbers);
     let mut words = 0;
     while let Some((id, _)) = asked(&next).first().cloned() {
         next = asking.handle_queued(id, 60_000, &dispatcher, 1, &mut numbers);
@@ -90,7 +90,7 @@
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
-    let mut asks = asked(&asking.begin(&dispatcher, 0, &mut numbers)).len();
+    let mut asks = asked(&asking.start(&dispatcher, 0, &mut numbers)).len();
     let mut now_ms = 0;
     let unasked = loop {
         now_ms += ANSWER_WITHIN_MS;
@@ -111,7 +111,7 @@
     let mut dispatcher = dispatcher(2);
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
-    let first = asked(&asking.begin(&dispatcher, 0, &mut numbers));
+    let first = asked(&asking.start(&dispatcher, 0, &mut numbers));
     let (_, engine) = first[0].clone();
     let left: Vec<Arc<Upstream>> = engines(2)
         .into_iter()
@@ -131,7 +131,7 @@
     let dispatcher = dispatcher(1);
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
-    let first = asked(&asking.begin(&dispatcher, 0, &mut numbers));
+    let first = asked(&asking.start(&dispatcher, 0, &mut numbers));
     asking.handle_queued(first[0].0, 5, &dispatcher, 1, &mut numbers);
     let again: Vec<_> = (1..8)
         .flat_map(|beat| {
@@ -148,7 +148,7 @@
     let mut dispatcher = dispatcher(2);
     dispatcher.set_rests(&at_rest(&[("i-0", 4_000), ("i-1", 3_000)]));
     let mut asking = SlotSearch::new(job(1, 0));
-    let next = asking.begin(&dispatcher, 100, numbers());
+    let next = asking.start(&dispatcher, 100, numbers());
     assert_eq!(next, [SearchStep::Refuse]);
     let rest_ms = dispatcher.all_rest_for_ms(&asking.job, 100);
     assert_eq!(rest_ms, Some(2_900), "the first that is over");
@@ -161,7 +161,7 @@
     let mut dispatcher = dispatcher(1);
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
-    let (id, instance) = asked(&asking.begin(&dispatcher, 0, &mut numbers))[0].clone();
+    let (id, instance) = asked(&asking.start(&dispatcher, 0, &mut numbers))[0].clone();
     dispatcher.set_rests(&at_rest(&[("i-0", 3_000)]));
     assert!(dispatcher.began(&instance, 40).is_none(), "a grant");
     let next = asking.silence(&dispatcher, 40, &mut numbers);
@@ -180,7 +180,7 @@
     dispatcher.set_rests(&at_rest(&[("i-1", 3_000)]));
     for first in 1..200 {
         let mut number = first;
-        let next = SlotSearch::new(job(1, 0)).begin(&dispatcher, 0, || {
+        let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 0, || {
             number += 1;
             number
         });
@@ -195,7 +195,7 @@
     let mut dispatcher = dispatcher(1);
     dispatcher.set_limited(&[short_name("i-0")].into());
     let mut asking = SlotSearch::new(job(1, 0));
-    asking.begin(&dispatcher, 0, numbers());
+    asking.start(&dispatcher, 0, numbers());
     let next = asking.silence(&dispatcher, ANSWER_WITHIN_MS, numbers());
     assert!(next.is_empty(), "{next:?}");
 }
