--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -466,7 +466,7 @@
             Event::Silence {
                 request,
                 incarnation,
-            } => self.silence(request, incarnation),
+            } => self.handle_timeout(request, incarnation),
             Event::Look {
                 request,
                 incarnation,
--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -128,13 +128,13 @@
         entry.is_up && entry.incarnation == incarnation && entry.waiting.contains_key(&request)
     }
 
-    pub(super) fn silence(&mut self, request: usize, incarnation: u64) {
+    pub(super) fn handle_timeout(&mut self, request: usize, incarnation: u64) {
         if !self.waits(request, incarnation) {
             return;
         }
         let entry = self.offered[request].entry;
         self.decide(entry, request, |asking, dispatcher, now_ms, random| {
-            asking.silence(dispatcher, now_ms, || random.random())
+            asking.handle_timeout(dispatcher, now_ms, || random.random())
         });
         self.silence_later(request, incarnation);
     }
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -153,10 +153,10 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let next = SlotSearch::new(job).silence(&Dispatcher::default(), 40, || 1);
+    /// let next = SlotSearch::new(job).handle_timeout(&Dispatcher::default(), 40, || 1);
     /// assert!(next.is_empty());
     /// ```
-    pub fn silence(
+    pub fn handle_timeout(
         &mut self,
         dispatcher: &Dispatcher,
         now_ms: u64,
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -179,7 +179,7 @@
                 }),
                 Ok(None) => Some(End::Refused),
                 Err(_) => self.decide(|asking, dispatcher, now_ms| {
-                    asking.silence(dispatcher, now_ms, rand::random)
+                    asking.handle_timeout(dispatcher, now_ms, rand::random)
                 }),
             };
             if let Some(end) = end {
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -95,7 +95,7 @@
     let unasked = loop {
         now_ms += ANSWER_WITHIN_MS;
         assert!(now_ms < 1_000, "it waits for ever");
-        let next = asking.silence(&dispatcher, now_ms, &mut numbers);
+        let next = asking.handle_timeout(&dispatcher, now_ms, &mut numbers);
         asks += asked(&next).len();
         if let Some(SearchStep::StartWithoutGrant { instance }) = next.last() {
             break Arc::clone(instance);
@@ -118,7 +118,7 @@
         .filter(|upstream| upstream.instance != engine)
         .collect();
     dispatcher.set_upstreams(&left);
-    let next = asking.silence(&dispatcher, ANSWER_WITHIN_MS, &mut numbers);
+    let next = asking.handle_timeout(&dispatcher, ANSWER_WITHIN_MS, &mut numbers);
     assert!(
         matches!(&next[0], SearchStep::CancelSlotRequest { instance, .. } if *instance == engine)
     );
@@ -136,7 +136,7 @@
     let again: Vec<_> = (1..8)
         .flat_map(|beat| {
             let now_ms = beat * ANSWER_WITHIN_MS;
-            asked(&asking.silence(&dispatcher, now_ms, &mut numbers))
+            asked(&asking.handle_timeout(&dispatcher, now_ms, &mut numbers))
         })
         .collect();
     assert_eq!(again, first);
@@ -164,7 +164,7 @@
     let (id, instance) = asked(&asking.start(&dispatcher, 0, &mut numbers))[0].clone();
     dispatcher.set_rests(&at_rest(&[("i-0", 3_000)]));
     assert!(dispatcher.began(&instance, 40).is_none(), "a grant");
-    let next = asking.silence(&dispatcher, 40, &mut numbers);
+    let next = asking.handle_timeout(&dispatcher, 40, &mut numbers);
     assert_eq!(
         next,
         [
@@ -196,7 +196,7 @@
     dispatcher.set_limited(&[short_name("i-0")].into());
     let mut asking = SlotSearch::new(job(1, 0));
     asking.start(&dispatcher, 0, numbers());
-    let next = asking.silence(&dispatcher, ANSWER_WITHIN_MS, numbers());
+    let next = asking.handle_timeout(&dispatcher, ANSWER_WITHIN_MS, numbers());
     assert!(next.is_empty(), "{next:?}");
 }
 
