--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -43,7 +43,7 @@
         let Some(asking) = state.waiting.get(&request) else {
             return;
         };
-        let mut slot_request = asking.question(id, instance, &state.dispatcher, self.now_ms);
+        let mut slot_request = asking.slot_request(id, instance, &state.dispatcher, self.now_ms);
         if self.setup.variant == Variant::WithoutOrder {
             slot_request.worth_micros = EQUAL_WORTH;
             slot_request.objective_in_ms = i64::MAX / 2;
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -199,12 +199,12 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// let slot_request = SlotSearch::new(job).question(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
+    /// let slot_request = SlotSearch::new(job).slot_request(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(slot_request.waited_ms, 60);
     /// assert!(slot_request.objective_in_ms < 40);
     /// ```
     #[must_use]
-    pub fn question(
+    pub fn slot_request(
         &self,
         id: PeerRequestId,
         instance: &str,
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -92,7 +92,7 @@
         let dispatcher = traffic.dispatcher.borrow();
         let slot_request = self
             .asking
-            .question(id, instance, &dispatcher, traffic.now_ms());
+            .slot_request(id, instance, &dispatcher, traffic.now_ms());
         drop(dispatcher);
         let owner = traffic.owner(slot_request.upstream);
         let open = PendingSlotRequest {
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -153,7 +153,7 @@
     let objective_in_ms = |job: Job| {
         let asking = SlotSearch::new(job);
         asking
-            .question(PeerRequestId(1), "i-1", &dispatcher, 0)
+            .slot_request(PeerRequestId(1), "i-1", &dispatcher, 0)
             .objective_in_ms
     };
     assert!(objective_in_ms(long.clone()) < 0);
