--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -216,7 +216,7 @@
 
     pub(super) fn stop_waiting(&mut self, entry: usize, request: usize) {
         if let Some(mut asking) = self.entries[entry].waiting.swap_remove(&request) {
-            let next = asking.end();
+            let next = asking.cancel_all();
             self.carry_out(entry, request, next);
         }
     }
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -234,9 +234,9 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// assert!(SlotSearch::new(job).end().is_empty());
+    /// assert!(SlotSearch::new(job).cancel_all().is_empty());
     /// ```
-    pub fn end(&mut self) -> Vec<SearchStep> {
+    pub fn cancel_all(&mut self) -> Vec<SearchStep> {
         self.asks.drain(..).map(take_back).collect()
     }
 
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -61,7 +61,7 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        for next in self.asking.end() {
+        for next in self.asking.cancel_all() {
             self.carry_out(next);
         }
     }
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -63,8 +63,8 @@
     assert_eq!(asks.len(), 3);
     let engines: std::collections::BTreeSet<_> = asks.iter().map(|(_, engine)| engine).collect();
     assert_eq!(engines.len(), 3, "each asked once");
-    assert_eq!(asking.end().len(), 3, "all are taken back");
-    assert!(asking.end().is_empty());
+    assert_eq!(asking.cancel_all().len(), 3, "all are taken back");
+    assert!(asking.cancel_all().is_empty());
 }
 
 #[test]
