--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use sardinewood::direct::placement::slot_search::REPLY_TIMEOUT_MS;
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
@@ -119,7 +119,7 @@
             request,
             incarnation,
         };
-        self.at(self.now_ms + ANSWER_WITHIN_MS, event);
+        self.at(self.now_ms + REPLY_TIMEOUT_MS, event);
     }
 
     /// Whether the request still waits in that incarnation of its entry.
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -14,7 +14,7 @@
 
 /// Silence of a door after which another one is asked, and at last the engine itself. Doors
 /// answer within a round trip of a few milliseconds; a lost datagram is rarer than this.
-pub const ANSWER_WITHIN_MS: u64 = 40;
+pub const REPLY_TIMEOUT_MS: u64 = 40;
 /// Time after which a waiting question is sent again, in case its door has changed hands.
 const ASK_AGAIN_MS: u64 = 250;
 
@@ -164,7 +164,7 @@
     ) -> Vec<SearchStep> {
         let mut next = self.drop_gone(dispatcher, now_ms);
         let is_silent =
-            |asked: &Asked| asked.wait_ms.is_none() && now_ms >= asked.at_ms + ANSWER_WITHIN_MS;
+            |asked: &Asked| asked.wait_ms.is_none() && now_ms >= asked.at_ms + REPLY_TIMEOUT_MS;
         let all_silent = self.asks.iter().all(is_silent);
         if all_silent && !self.asks.is_empty() {
             match self.ask_another(dispatcher, now_ms, &mut random) {
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -12,7 +12,7 @@
 
 use crate::direct::membership::peer_message::ChargeRequest;
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use crate::direct::placement::slot_search::REPLY_TIMEOUT_MS;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::ChargeStep;
@@ -93,7 +93,7 @@
         contention,
     });
     traffic.tell(keeper, &question);
-    let within = Duration::from_millis(ANSWER_WITHIN_MS);
+    let within = Duration::from_millis(REPLY_TIMEOUT_MS);
     timeout(within, answer).await.ok()?.ok()
 }
 
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -14,7 +14,7 @@
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::short_name;
 use crate::direct::placement::job::Job;
-use crate::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use crate::direct::placement::slot_search::REPLY_TIMEOUT_MS;
 use crate::direct::placement::slot_search::SearchStep;
 use crate::direct::placement::slot_search::SlotSearch;
 use crate::direct::sharing::admission::EntryRef;
@@ -168,7 +168,7 @@
             return end;
         }
         while Instant::now() < until {
-            let pause = (Instant::now() + Duration::from_millis(ANSWER_WITHIN_MS)).min(until);
+            let pause = (Instant::now() + Duration::from_millis(REPLY_TIMEOUT_MS)).min(until);
             let end = match timeout_at(pause, replies.recv()).await {
                 Ok(Some(Reply::Granted(lease))) => Some(End::Started(lease)),
                 Ok(Some(Reply::Busy {
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::short_name;
-use sardinewood::direct::placement::slot_search::ANSWER_WITHIN_MS;
+use sardinewood::direct::placement::slot_search::REPLY_TIMEOUT_MS;
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::admission::PeerRequestId;
@@ -93,7 +93,7 @@
     let mut asks = asked(&asking.start(&dispatcher, 0, &mut numbers)).len();
     let mut now_ms = 0;
     let unasked = loop {
-        now_ms += ANSWER_WITHIN_MS;
+        now_ms += REPLY_TIMEOUT_MS;
         assert!(now_ms < 1_000, "it waits for ever");
         let next = asking.handle_timeout(&dispatcher, now_ms, &mut numbers);
         asks += asked(&next).len();
@@ -103,7 +103,7 @@
     };
     assert_eq!(asks, 3);
     assert!(dispatcher.has_room(&unasked, now_ms));
-    assert_eq!(now_ms, 3 * ANSWER_WITHIN_MS);
+    assert_eq!(now_ms, 3 * REPLY_TIMEOUT_MS);
 }
 
 #[test]
@@ -118,7 +118,7 @@
         .filter(|upstream| upstream.instance != engine)
         .collect();
     dispatcher.set_upstreams(&left);
-    let next = asking.handle_timeout(&dispatcher, ANSWER_WITHIN_MS, &mut numbers);
+    let next = asking.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, &mut numbers);
     assert!(
         matches!(&next[0], SearchStep::CancelSlotRequest { instance, .. } if *instance == engine)
     );
@@ -135,7 +135,7 @@
     asking.handle_queued(first[0].0, 5, &dispatcher, 1, &mut numbers);
     let again: Vec<_> = (1..8)
         .flat_map(|beat| {
-            let now_ms = beat * ANSWER_WITHIN_MS;
+            let now_ms = beat * REPLY_TIMEOUT_MS;
             asked(&asking.handle_timeout(&dispatcher, now_ms, &mut numbers))
         })
         .collect();
@@ -196,7 +196,7 @@
     dispatcher.set_limited(&[short_name("i-0")].into());
     let mut asking = SlotSearch::new(job(1, 0));
     asking.start(&dispatcher, 0, numbers());
-    let next = asking.handle_timeout(&dispatcher, ANSWER_WITHIN_MS, numbers());
+    let next = asking.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, numbers());
     assert!(next.is_empty(), "{next:?}");
 }
 
