--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -50,7 +50,7 @@
             give_up_at_ms: offered.at_ms + kind.deadline_ms,
             leaves_at_ms: self.now_ms + PATIENCE_MS,
             tried: Vec::new(),
-            shared_start: None,
+            shared_prefix: None,
             kept_at: Vec::new(),
             has_start_deficit: false,
             is_trial: false,
--- a/lib/src/direct/placement.rs
+++ b/lib/src/direct/placement.rs
@@ -6,5 +6,5 @@
 pub mod health;
 pub mod job;
 pub mod place;
-pub mod shared_start;
+pub mod shared_prefix;
 pub mod slot_search;
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -16,10 +16,10 @@
 use crate::direct::placement::health::Health;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::place::Place;
-use crate::direct::placement::shared_start;
-use crate::direct::placement::shared_start::Candidate;
-use crate::direct::placement::shared_start::KeptAt;
-use crate::direct::placement::shared_start::SharedStart;
+use crate::direct::placement::shared_prefix;
+use crate::direct::placement::shared_prefix::Candidate;
+use crate::direct::placement::shared_prefix::KeptAt;
+use crate::direct::placement::shared_prefix::SharedPrefix;
 use crate::direct::view::directory::Upstream;
 use crate::numbers;
 
@@ -206,7 +206,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert_eq!(Dispatcher::default().all_rest_for_ms(&job, 0), None);
     /// ```
     #[must_use]
@@ -305,7 +305,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(Dispatcher::default().choose(&job, &[], 0, || 1).is_none());
     /// ```
     pub fn choose(
@@ -352,7 +352,7 @@
     /// The home of a prompt's start, if a good part of a usual holding is saved there. Its door is
     /// asked first whatever its load seems to be: the door knows, and answers at once.
     fn home<'a>(&self, job: &Job, keeping: &[&'a Place], now_ms: u64) -> Option<&'a Place> {
-        let start = job.shared_start?;
+        let start = job.shared_prefix?;
         let baseline = self.baseline_of(&job.service);
         let is_home = |place: &&Place| {
             let tokens = job.kept_tokens(&place.upstream.instance);
@@ -374,12 +374,12 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(Dispatcher::default().kept_at(&job, 0).is_empty());
     /// ```
     #[must_use]
     pub fn kept_at(&self, job: &Job, now_ms: u64) -> Vec<KeptAt> {
-        let Some(start) = job.shared_start.filter(SharedStart::is_worth_placing) else {
+        let Some(start) = job.shared_prefix.filter(SharedPrefix::is_worth_placing) else {
             return Vec::new();
         };
         let baseline = self.baseline_of(&job.service);
@@ -391,7 +391,7 @@
                 name: place.name,
                 speed: place.speed(baseline),
             });
-        shared_start::homes(start, engines.collect())
+        shared_prefix::homes(start, engines.collect())
     }
 
     /// Time that is saved at an engine since it is likely to keep a part of a request's prompt.
@@ -401,7 +401,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert_eq!(Dispatcher::default().saved_ms("i-1", &job), 0);
     /// ```
     #[must_use]
@@ -423,7 +423,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 8_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_start: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(Dispatcher::default().lead_ms("i-1", &job) > 0);
     /// ```
     #[must_use]
--- a/lib/src/direct/placement/shared_start.rs
+++ b/lib/src/direct/placement/shared_prefix.rs
@@ -31,7 +31,7 @@
 /// The start of a prompt that other requests have as well: all of its parts but the last, which
 /// is the request's own.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SharedStart {
+pub struct SharedPrefix {
     /// Names the chain of its parts; the same parts in another order have another name.
     pub name: u64,
     /// Tokens in all of its parts.
@@ -40,16 +40,16 @@
     pub share: f64,
 }
 
-impl SharedStart {
+impl SharedPrefix {
     /// Reads parts, of which each has a name and its tokens; none if only one is given, or if they
     /// have more tokens than can be counted.
     ///
     /// ```
-    /// use sardinewood::direct::placement::shared_start::SharedStart;
+    /// use sardinewood::direct::placement::shared_prefix::SharedPrefix;
     ///
-    /// let start = SharedStart::of(&[("a1", 800), ("b2", 410), ("c3", 250)]).unwrap();
+    /// let start = SharedPrefix::of(&[("a1", 800), ("b2", 410), ("c3", 250)]).unwrap();
     /// assert_eq!(start.tokens, 1_210);
-    /// assert_eq!(SharedStart::of(&[("a1", 800)]), None);
+    /// assert_eq!(SharedPrefix::of(&[("a1", 800)]), None);
     /// ```
     #[must_use]
     pub fn of(parts: &[(&str, u32)]) -> Option<Self> {
@@ -73,9 +73,9 @@
     /// Whether it is long enough for engines to be preferred that keep it.
     ///
     /// ```
-    /// use sardinewood::direct::placement::shared_start::SharedStart;
+    /// use sardinewood::direct::placement::shared_prefix::SharedPrefix;
     ///
-    /// assert!(!SharedStart::of(&[("a1", 60), ("b2", 800)]).unwrap().is_worth_placing());
+    /// assert!(!SharedPrefix::of(&[("a1", 60), ("b2", 800)]).unwrap().is_worth_placing());
     /// ```
     #[must_use]
     pub fn is_worth_placing(&self) -> bool {
@@ -108,16 +108,16 @@
 /// Slow engines are chosen for fewer starts, and the slowest for none.
 ///
 /// ```
-/// use sardinewood::direct::placement::shared_start::{Candidate, SharedStart, homes};
+/// use sardinewood::direct::placement::shared_prefix::{Candidate, SharedPrefix, homes};
 ///
 /// let engine = |name: u32| Candidate { instance: format!("i-{name}").into(), name, speed: 1.0 };
-/// let start = SharedStart { name: 7, tokens: 4_000, share: 0.0 };
+/// let start = SharedPrefix { name: 7, tokens: 4_000, share: 0.0 };
 /// let homes = homes(start, (0..20).map(engine).collect());
 /// assert_eq!(homes[0].tokens, 4_000);
 /// assert!(homes[1].tokens < 4_000);
 /// ```
 #[must_use]
-pub fn homes(start: SharedStart, engines: Vec<Candidate>) -> Vec<KeptAt> {
+pub fn homes(start: SharedPrefix, engines: Vec<Candidate>) -> Vec<KeptAt> {
     let engines: Vec<Candidate> = engines
         .into_iter()
         .filter(|engine| weight(engine.speed) > 0.0)
@@ -174,7 +174,7 @@
 /// How many of the recent requests began with each start, as far as one entry has seen.
 ///
 /// ```
-/// use sardinewood::direct::placement::shared_start::Popularity;
+/// use sardinewood::direct::placement::shared_prefix::Popularity;
 ///
 /// let mut popularity = Popularity::default();
 /// assert!(popularity.note(7) < 1e-9);
@@ -192,7 +192,7 @@
     /// Notes a request that begins with a start; the part of recent requests that did before.
     ///
     /// ```
-    /// # use sardinewood::direct::placement::shared_start::Popularity;
+    /// # use sardinewood::direct::placement::shared_prefix::Popularity;
     /// assert!(Popularity::default().note(7) < 1e-9);
     /// ```
     pub fn note(&mut self, start: u64) -> f64 {
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -22,7 +22,7 @@
 use crate::caller::headers::HOP_BY_HOP;
 use crate::caller::headers::connection_names;
 use crate::direct::placement::job::Job;
-use crate::direct::placement::shared_start::SharedStart;
+use crate::direct::placement::shared_prefix::SharedPrefix;
 use crate::direct::quarantine::fingerprint::Asked;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantining::HeldRequest;
@@ -94,7 +94,7 @@
     /// Its expected time at an engine in relation to the mean of its route.
     pub relative_hold: f64,
     /// The start of its prompt, if other requests may have it as well.
-    pub shared_start: Option<SharedStart>,
+    pub shared_prefix: Option<SharedPrefix>,
     /// The last event that its caller has.
     pub last_event_id: Option<u64>,
     /// When it arrived.
@@ -185,7 +185,7 @@
                     self.arrived_ms + patience_ms
                 }),
             tried: self.tried.clone(),
-            shared_start: self.shared_start,
+            shared_prefix: self.shared_prefix,
             kept_at: Vec::new(),
             has_start_deficit: self.ending.has_start_deficit(),
             is_trial: false,
@@ -289,7 +289,7 @@
         expected_output_tokens: headers.expected_output_tokens,
         relative_size: traffic.relative_size(&route.name, headers.size()),
         relative_hold: traffic.relative_hold(&route.name, headers.hold()),
-        shared_start: headers.shared_start.map(|start| SharedStart {
+        shared_prefix: headers.shared_prefix.map(|start| SharedPrefix {
             share: traffic.starts.borrow_mut().note(start.name),
             ..start
         }),
--- a/lib/src/direct/request/caller.rs
+++ b/lib/src/direct/request/caller.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 
 use crate::direct::notices::notice::Notice;
-use crate::direct::placement::shared_start::SharedStart;
+use crate::direct::placement::shared_prefix::SharedPrefix;
 
 /// What a caller's headers say of its request.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -25,7 +25,7 @@
     /// Tokens that the caller expects of the answer; right at the median, often far off.
     pub expected_output_tokens: Option<u32>,
     /// The start of the prompt that other requests may have as well.
-    pub shared_start: Option<SharedStart>,
+    pub shared_prefix: Option<SharedPrefix>,
     /// Whether the parts of the prompt were given and make no sense.
     pub has_bad_parts: bool,
     /// Whether the two counts of tokens were given.
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -28,7 +28,7 @@
 use crate::direct::placement::health::Health;
 use crate::direct::placement::health::Moving;
 use crate::direct::placement::job::Job;
-use crate::direct::placement::shared_start::Popularity;
+use crate::direct::placement::shared_prefix::Popularity;
 use crate::direct::quarantine::ends::Breaks;
 use crate::direct::quarantine::recent::RecentSuccesses;
 use crate::direct::quarantine::suspects::Suspects;
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -46,7 +46,7 @@
         give_up_at_ms: 10_000,
         leaves_at_ms: 2_400,
         tried: Vec::new(),
-        shared_start: None,
+        shared_prefix: None,
         kept_at: Vec::new(),
         has_start_deficit: false,
         is_trial: false,
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -29,7 +29,7 @@
 mod test_direct_quota_owners;
 mod test_direct_replica;
 mod test_direct_rollout;
-mod test_direct_shared_start;
+mod test_direct_shared_prefix;
 mod test_direct_sharing;
 mod test_direct_size_fairness;
 mod test_direct_slot_search;
--- a/lib/tests/test_direct_shared_start.rs
+++ b/lib/tests/test_direct_shared_prefix.rs
@@ -5,7 +5,7 @@
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::placement::shared_start::SharedStart;
+use sardinewood::direct::placement::shared_prefix::SharedPrefix;
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::view::directory::Upstream;
@@ -42,7 +42,7 @@
     Job {
         prompt_tokens: tokens + 1_000,
         objective_at_ms: 800,
-        shared_start: Some(SharedStart {
+        shared_prefix: Some(SharedPrefix {
             name: start,
             tokens,
             share: 0.0,
@@ -152,7 +152,7 @@
     // load of the others; its requests spread over as many engines as they keep busy.
     let mut entry = entry(&engines(ENGINES));
     let mut hot = request(7, LONG);
-    hot.shared_start.as_mut().expect("a start").share = 0.1;
+    hot.shared_prefix.as_mut().expect("a start").share = 0.1;
     let mut homes = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let home = first_asked(&entry, hot.clone(), seed);
@@ -167,7 +167,7 @@
     // Half of all requests begin with the same long instructions, so every engine keeps them.
     let entry = entry(&engines(ENGINES));
     let mut common = request(7, LONG);
-    common.shared_start.as_mut().expect("a start").share = 0.5;
+    common.shared_prefix.as_mut().expect("a start").share = 0.5;
     let asked: std::collections::BTreeSet<String> = (0..100)
         .map(|seed| first_asked(&entry, common.clone(), seed))
         .collect();
