--- a/lib/src/direct/placement/shared_prefix.rs
+++ b/lib/src/direct/placement/shared_prefix.rs
@@ -174,26 +174,26 @@
 /// How many of the recent requests began with each start, as far as one entry has seen.
 ///
 /// ```
-/// use sardinewood::direct::placement::shared_prefix::Popularity;
+/// use sardinewood::direct::placement::shared_prefix::PrefixPopularity;
 ///
-/// let mut popularity = Popularity::default();
+/// let mut popularity = PrefixPopularity::default();
 /// assert!(popularity.note(7) < 1e-9);
 /// popularity.note(8);
 /// assert!((popularity.note(7) - 1.0 / 3.0).abs() < 1e-9);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Popularity {
+pub struct PrefixPopularity {
     counts: IndexMap<u64, f64>,
     all: f64,
     since_halved: u32,
 }
 
-impl Popularity {
+impl PrefixPopularity {
     /// Notes a request that begins with a start; the part of recent requests that did before.
     ///
     /// ```
-    /// # use sardinewood::direct::placement::shared_prefix::Popularity;
-    /// assert!(Popularity::default().note(7) < 1e-9);
+    /// # use sardinewood::direct::placement::shared_prefix::PrefixPopularity;
+    /// assert!(PrefixPopularity::default().note(7) < 1e-9);
     /// ```
     pub fn note(&mut self, start: u64) -> f64 {
         self.since_halved += 1;
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -28,7 +28,7 @@
 use crate::direct::placement::health::Health;
 use crate::direct::placement::health::Moving;
 use crate::direct::placement::job::Job;
-use crate::direct::placement::shared_prefix::Popularity;
+use crate::direct::placement::shared_prefix::PrefixPopularity;
 use crate::direct::quarantine::ends::Breaks;
 use crate::direct::quarantine::recent::RecentSuccesses;
 use crate::direct::quarantine::suspects::Suspects;
@@ -98,7 +98,7 @@
     /// Told when the first configuration and the first upstreams are there.
     pub configured: Notify,
     /// How many requests begin with the same parts.
-    pub starts: RefCell<Popularity>,
+    pub prefix_popularity: RefCell<PrefixPopularity>,
     /// How requests ended, by kind and size.
     pub size_stats: RefCell<SizeStats>,
     /// What is owed to the sizes of each kind.
@@ -280,7 +280,7 @@
             open_requests: Cell::new(0),
             figures,
             configured: Notify::new(),
-            starts: RefCell::default(),
+            prefix_popularity: RefCell::default(),
             size_stats: RefCell::default(),
             size_fairness: RefCell::default(),
             breaks: RefCell::default(),
