--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -51,7 +51,7 @@
             leaves_at_ms: self.now_ms + PATIENCE_MS,
             tried: Vec::new(),
             shared_prefix: None,
-            kept_at: Vec::new(),
+            cached_at: Vec::new(),
             has_start_deficit: false,
             is_trial: false,
         }
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -206,7 +206,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert_eq!(Dispatcher::default().all_rest_for_ms(&job, 0), None);
     /// ```
     #[must_use]
@@ -305,7 +305,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(Dispatcher::default().choose(&job, &[], 0, || 1).is_none());
     /// ```
     pub fn choose(
@@ -374,11 +374,11 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// assert!(Dispatcher::default().kept_at(&job, 0).is_empty());
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// assert!(Dispatcher::default().cached_at(&job, 0).is_empty());
     /// ```
     #[must_use]
-    pub fn kept_at(&self, job: &Job, now_ms: u64) -> Vec<KeptAt> {
+    pub fn cached_at(&self, job: &Job, now_ms: u64) -> Vec<KeptAt> {
         let Some(start) = job.shared_prefix.filter(SharedPrefix::is_worth_placing) else {
             return Vec::new();
         };
@@ -401,7 +401,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert_eq!(Dispatcher::default().saved_ms("i-1", &job), 0);
     /// ```
     #[must_use]
@@ -423,7 +423,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 8_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, kept_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
     /// assert!(Dispatcher::default().lead_ms("i-1", &job) > 0);
     /// ```
     #[must_use]
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -186,7 +186,7 @@
                 }),
             tried: self.tried.clone(),
             shared_prefix: self.shared_prefix,
-            kept_at: Vec::new(),
+            cached_at: Vec::new(),
             has_start_deficit: self.ending.has_start_deficit(),
             is_trial: false,
         }
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -47,7 +47,7 @@
         leaves_at_ms: 2_400,
         tried: Vec::new(),
         shared_prefix: None,
-        kept_at: Vec::new(),
+        cached_at: Vec::new(),
         has_start_deficit: false,
         is_trial: false,
     }
