--- a/lib/src/direct/figures.rs
+++ b/lib/src/direct/figures.rs
@@ -39,7 +39,7 @@
     /// Tokens of the prompts that were sent, by service.
     pub prompt_tokens: IntCounterVec,
     /// Tokens of them that the upstream was likely to keep, by service.
-    pub kept_tokens: IntCounterVec,
+    pub cached_tokens: IntCounterVec,
     /// Upstreams that ended in the middle of this entry's runs, by service.
     pub upstream_ends: IntCounterVec,
     /// Changes of what upstreams say of themselves, by kind.
@@ -140,7 +140,7 @@
                 "Tokens of prompts sent.",
                 &["service"],
             )?,
-            kept_tokens: counters("kept_tokens_total", "Of them, likely kept.", &["service"])?,
+            cached_tokens: counters("kept_tokens_total", "Of them, likely kept.", &["service"])?,
             upstream_ends: counters(
                 "upstream_ends_total",
                 "Upstreams that ended in the middle of runs.",
@@ -183,7 +183,7 @@
             &self.ended,
             &self.failed_attempts,
             &self.prompt_tokens,
-            &self.kept_tokens,
+            &self.cached_tokens,
             &self.upstream_ends,
             &self.notices,
             &self.trials,
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -317,7 +317,7 @@
     ) -> Option<Arc<Upstream>> {
         let mut places = self.open_places(job, now_ms);
         places.retain(|place| !asked.contains(&place.upstream.instance));
-        let keeps = |place: &&Place| job.kept_tokens(&place.upstream.instance) > 0;
+        let keeps = |place: &&Place| job.cached_tokens(&place.upstream.instance) > 0;
         let mut drawn: Vec<&Place> = places.iter().copied().filter(keeps).collect();
         if asked.is_empty()
             && let Some(home) = self.home(job, &drawn, now_ms)
@@ -355,7 +355,7 @@
         let start = job.shared_prefix?;
         let baseline = self.baseline_of(&job.service);
         let is_home = |place: &&Place| {
-            let tokens = job.kept_tokens(&place.upstream.instance);
+            let tokens = job.cached_tokens(&place.upstream.instance);
             let saved_ms = place.read_ms(tokens, baseline);
             tokens == start.tokens
                 && place.works(now_ms)
@@ -406,7 +406,7 @@
     /// ```
     #[must_use]
     pub fn saved_ms(&self, instance: &str, job: &Job) -> u64 {
-        let tokens = job.kept_tokens(instance);
+        let tokens = job.cached_tokens(instance);
         let saved_ms = self.places.get(instance).map_or(0.0, |place| {
             place.read_ms(tokens, self.baseline_of(&place.upstream.service))
         });
--- a/lib/src/direct/placement/job.rs
+++ b/lib/src/direct/placement/job.rs
@@ -82,10 +82,10 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 9_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
-    /// assert_eq!(job.kept_tokens("i-1"), 0);
+    /// assert_eq!(job.cached_tokens("i-1"), 0);
     /// ```
     #[must_use]
-    pub fn kept_tokens(&self, instance: &str) -> u32 {
+    pub fn cached_tokens(&self, instance: &str) -> u32 {
         self.cached_at
             .iter()
             .find(|kept| &*kept.instance == instance)
@@ -104,7 +104,7 @@
     /// ```
     #[must_use]
     pub fn unread_tokens(&self, instance: &str) -> u32 {
-        self.prompt_tokens - self.kept_tokens(instance)
+        self.prompt_tokens - self.cached_tokens(instance)
     }
 
     /// What it is worth if it is in time, in millionths of one of the first tier and of
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -258,8 +258,8 @@
     let service: &[&str] = &[&call.service];
     let sent = figures.prompt_tokens.with_label_values(service);
     sent.inc_by(call.prompt_tokens.into());
-    let kept = figures.kept_tokens.with_label_values(service);
-    kept.inc_by(lease.kept_tokens.into());
+    let kept = figures.cached_tokens.with_label_values(service);
+    kept.inc_by(lease.cached_tokens.into());
 }
 
 fn not_reached(traffic: &Rc<Traffic>, call: &Call, lease: &Lease, error: ConnectError) {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -310,7 +310,7 @@
                 self.first_ms = Some(self.traffic.now_ms() - self.call.arrived_ms);
                 // What is kept is a guess. Where it may be most of the prompt, the time says little
                 // of the engine's reading.
-                let unread_tokens = prompt_tokens.saturating_sub(source.lease.kept_tokens);
+                let unread_tokens = prompt_tokens.saturating_sub(source.lease.cached_tokens);
                 if unread_tokens >= prompt_tokens / 2 {
                     source
                         .lease
@@ -362,7 +362,7 @@
             .log_of(success, Level::Info, "streamed", |line| {
                 self.call
                     .fields(line)
-                    .field("kept_tokens", source.lease.kept_tokens)
+                    .field("kept_tokens", source.lease.cached_tokens)
                     .field("first_ms", self.first_ms)
                     .field("held_ms", self.traffic.now_ms() - source.lease.since_ms())
                     .field("last_event", self.scan.last_id())
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -48,7 +48,7 @@
     pub service: Arc<str>,
     instance: Arc<str>,
     /// Tokens of the prompt that the upstream is likely to keep.
-    kept_tokens: u32,
+    cached_tokens: u32,
     owner: EntryRef,
 }
 
@@ -99,7 +99,7 @@
             replies: self.replies.clone(),
             service: Arc::clone(&self.asking.job.service),
             instance: Arc::clone(instance),
-            kept_tokens: self.asking.job.kept_tokens(instance),
+            cached_tokens: self.asking.job.cached_tokens(instance),
             owner,
         };
         traffic.pending_slot_requests.borrow_mut().insert(id, open);
@@ -144,8 +144,8 @@
             "door is silent, engine called unasked",
             |line| line.field("upstream", instance),
         );
-        let kept_tokens = self.asking.job.kept_tokens(instance);
-        Some(Lease::new(traffic, upstream, kept_tokens, false))
+        let cached_tokens = self.asking.job.cached_tokens(instance);
+        Some(Lease::new(traffic, upstream, cached_tokens, false))
     }
 
     /// Lets the request decide, and carries out what it decided; whether that ends the wait.
@@ -275,12 +275,12 @@
         let started = asked.and_then(|asked| {
             let mut dispatcher = self.dispatcher.borrow_mut();
             let upstream = dispatcher.began(&asked.instance, self.now_ms())?;
-            Some((asked.replies, asked.kept_tokens, upstream))
+            Some((asked.replies, asked.cached_tokens, upstream))
         });
         match started {
             // A request that has just ended drops the lease, which gives the room back.
-            Some((replies, kept_tokens, upstream)) => {
-                let lease = Lease::new(self, upstream, kept_tokens, true);
+            Some((replies, cached_tokens, upstream)) => {
+                let lease = Lease::new(self, upstream, cached_tokens, true);
                 let _ = replies.send(Reply::Granted(lease));
             }
             None => self.release_slot(upstream, SlotRelease::Unused),
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -133,7 +133,7 @@
     /// How the call ended, as far as it has.
     pub ended: Ended,
     /// Tokens of the prompt that the upstream is likely to keep.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
     /// Whether the upstream's door granted the room.
     is_granted: bool,
     /// Whether it is counted as a request that can't be moved to another upstream.
@@ -151,14 +151,14 @@
     pub fn new(
         traffic: &Rc<Traffic>,
         upstream: Arc<Upstream>,
-        kept_tokens: u32,
+        cached_tokens: u32,
         is_granted: bool,
     ) -> Self {
         Self {
             traffic: Rc::clone(traffic),
             upstream,
             ended: Ended::Left,
-            kept_tokens,
+            cached_tokens,
             is_granted,
             is_pinned: false,
             id: traffic.next_id(),
@@ -181,7 +181,7 @@
         self.traffic.dispatcher.borrow_mut().sent(
             &self.upstream.instance,
             self.id,
-            prompt_tokens.saturating_sub(self.kept_tokens),
+            prompt_tokens.saturating_sub(self.cached_tokens),
             self.traffic.now_ms(),
         );
     }
