--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::Heartbeat;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
@@ -38,7 +38,7 @@
         id: PeerRequestId,
         instance: &Arc<str>,
     ) {
-        let owner = self.owner(entry, short_name(instance));
+        let owner = self.owner(entry, upstream_hash(instance));
         let state = &mut self.entries[entry];
         let Some(asking) = state.waiting.get(&request) else {
             return;
@@ -61,7 +61,7 @@
         let Some((_, _, owner)) = self.entries[entry].asks.swap_remove(&id) else {
             return;
         };
-        let upstream = short_name(instance);
+        let upstream = upstream_hash(instance);
         match owner {
             EntryRef::Local => self.entries[entry]
                 .admission
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use sardinewood::direct::membership::gossip;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
@@ -130,7 +130,7 @@
         }
         let engine = self.runs[run].engine;
         self.outcome.deadly.ends_ms.push(self.now_ms);
-        let upstream = short_name(&self.upstreams[engine].instance);
+        let upstream = upstream_hash(&self.upstreams[engine].instance);
         for run in self.engines[engine].lose_all() {
             let request = self.fingerprint(self.runs[run].request);
             let proven = Event::Proven {
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use rand::Rng;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
@@ -36,7 +36,7 @@
             || state.dispatcher.began(instance, self.now_ms).is_none()
         {
             if is_granted {
-                self.release_slot(entry, short_name(instance), SlotRelease::Unused);
+                self.release_slot(entry, upstream_hash(instance), SlotRelease::Unused);
             }
             return;
         }
@@ -165,7 +165,7 @@
                 },
                 _ => SlotRelease::Unanswered,
             };
-            self.release_slot(entry, short_name(&instance), release);
+            self.release_slot(entry, upstream_hash(&instance), release);
         }
     }
 
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::sharing::admission;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
@@ -159,7 +159,7 @@
         };
         let mut admission = AdmissionController::default();
         admission.set_upstreams([(UPSTREAM.into(), SLOTS)]);
-        let limit = (short_name(UPSTREAM), self.limit_per_1000_s());
+        let limit = (upstream_hash(UPSTREAM), self.limit_per_1000_s());
         admission.set_limits([limit].into_iter().collect(), now_ms);
         Entry {
             died_ms: None,
@@ -247,7 +247,7 @@
         let entries = self.entries.iter().enumerate();
         let believed = entries.filter(|(_, entry)| believed(entry));
         let addresses = believed.map(|(number, _)| address(number));
-        let owner = admission::owner(short_name(UPSTREAM), addresses)?;
+        let owner = admission::owner(upstream_hash(UPSTREAM), addresses)?;
         Some(entry_address::number(owner))
     }
 
@@ -319,7 +319,7 @@
                 Sent::SlotRequest(request) => {
                     let slot_request = SlotRequest {
                         id: PeerRequestId(request),
-                        upstream: short_name(UPSTREAM),
+                        upstream: upstream_hash(UPSTREAM),
                         worth_micros: 1,
                         objective_in_ms: 500,
                         waited_ms: 0,
@@ -333,7 +333,7 @@
                 Sent::Unused => {
                     let asker = EntryRef::Peer(address(from));
                     let admission = &mut self.entries[to].admission;
-                    admission.release(asker, short_name(UPSTREAM), SlotRelease::Unused);
+                    admission.release(asker, upstream_hash(UPSTREAM), SlotRelease::Unused);
                 }
             }
         }
--- a/lib/src/direct/notices/book.rs
+++ b/lib/src/direct/notices/book.rs
@@ -12,7 +12,7 @@
 use crate::direct::notices::record::Record;
 use crate::direct::notices::record::Shown;
 use crate::direct::notices::record::Told;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::numbers::signed;
 
 /// Upstreams of which something is known, at most, and how many of them by peers alone: what an
@@ -130,7 +130,7 @@
 
     /// Takes what an answer says; see [`Notices`].
     pub fn said(&mut self, instance: &str, notice: &Notice, now_ms: u64) -> Vec<Change> {
-        let name = short_name(instance);
+        let name = upstream_hash(instance);
         // Nearly all answers say nothing, of upstreams that never said anything.
         if *notice == Notice::default() && !self.by_upstream.contains_key(&name) {
             return Vec::new();
@@ -200,7 +200,7 @@
     /// assert!(!sardinewood::direct::notices::book::Notices::default().take_due_repeat("i-1", 0));
     /// ```
     pub fn take_due_repeat(&mut self, instance: &str, now_ms: u64) -> bool {
-        let Some(record) = self.by_upstream.get_mut(&short_name(instance)) else {
+        let Some(record) = self.by_upstream.get_mut(&upstream_hash(instance)) else {
             return false;
         };
         let is_due = signed(now_ms) >= record.repeated_at_ms + REPEAT_MS;
@@ -213,7 +213,7 @@
     /// What peers are told of an upstream; see [`Notices`].
     #[must_use]
     pub fn told(&self, instance: &str, now_ms: u64) -> Vec<Told> {
-        self.told_of(&[short_name(instance)], now_ms)
+        self.told_of(&[upstream_hash(instance)], now_ms)
     }
 
     /// What is told in the next repetition: as much as fits into a message, others each time.
@@ -258,7 +258,7 @@
     /// ```
     #[must_use]
     pub fn is_leaving(&self, instance: &str) -> bool {
-        let record = self.by_upstream.get(&short_name(instance));
+        let record = self.by_upstream.get(&upstream_hash(instance));
         record.is_some_and(|record| record.is_leaving)
     }
 
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -16,7 +16,7 @@
 use crate::direct::notices::book::Change;
 use crate::direct::notices::notice::Notice;
 use crate::direct::notices::record::Told;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::request::call::Call;
 use crate::direct::request::caller::AnswerHeaders;
 use crate::direct::sharing::admission::EntryRef;
@@ -139,7 +139,7 @@
     fn upstream_name(&self, short: u32) -> String {
         let book = self.rollouts.borrow();
         let mut listed = book.upstreams().iter();
-        let upstream = listed.find(|upstream| short_name(&upstream.instance) == short);
+        let upstream = listed.find(|upstream| upstream_hash(&upstream.instance) == short);
         upstream.map_or_else(|| short.to_string(), |found| found.instance.to_string())
     }
 
@@ -178,7 +178,7 @@
     fn tell_keeper(&self, instance: &str) {
         let told = self.notices_of(instance);
         if !told.is_empty()
-            && let EntryRef::Peer(keeper) = self.owner(short_name(instance))
+            && let EntryRef::Peer(keeper) = self.owner(upstream_hash(instance))
         {
             self.tell(keeper, &PeerMessage::Notices(told));
         }
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -75,12 +75,12 @@
 /// The short name under which entries tell each other of an upstream.
 ///
 /// ```
-/// use sardinewood::direct::placement::dispatch::short_name;
+/// use sardinewood::direct::placement::dispatch::upstream_hash;
 ///
-/// assert_ne!(short_name("i-1"), short_name("i-2"));
+/// assert_ne!(upstream_hash("i-1"), upstream_hash("i-2"));
 /// ```
 #[must_use]
-pub fn short_name(instance: &str) -> u32 {
+pub fn upstream_hash(instance: &str) -> u32 {
     twox_hash::XxHash32::oneshot(0, instance.as_bytes())
 }
 
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -7,7 +7,7 @@
 use crate::direct::membership::peer_message::UpstreamCondition;
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Ended;
 use crate::direct::placement::health::Health;
 use crate::direct::placement::job::Job;
@@ -75,7 +75,7 @@
     pub fn new(upstream: &Arc<Upstream>) -> Self {
         Self {
             upstream: Arc::clone(upstream),
-            name: short_name(&upstream.instance),
+            name: upstream_hash(&upstream.instance),
             is_listed: true,
             is_on_trial: false,
             is_limited: false,
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::direct::placement::dispatch::Dispatcher;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::job::Job;
 use crate::direct::sharing::admission::MAX_QUEUES_PER_REQUEST;
 use crate::direct::sharing::admission::PeerRequestId;
@@ -219,7 +219,7 @@
         };
         SlotRequest {
             id,
-            upstream: short_name(instance),
+            upstream: upstream_hash(instance),
             worth_micros: self.job.worth_micros(),
             objective_in_ms: signed(self.job.objective_at_ms) - signed(now_ms) - signed(lead_ms),
             waited_ms: now_ms.saturating_sub(self.job.arrived_ms),
--- a/lib/src/direct/quarantine/ends.rs
+++ b/lib/src/direct/quarantine/ends.rs
@@ -9,7 +9,7 @@
 
 use indexmap::IndexMap;
 
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::view::directory::Upstream;
 
@@ -186,7 +186,7 @@
     /// assert!(Breaks::default().told(&[7]).is_empty());
     /// ```
     pub fn told(&mut self, ended: &[u32]) -> Vec<End> {
-        let is_told = |instance: &str, _: &Break| ended.contains(&short_name(instance));
+        let is_told = |instance: &str, _: &Break| ended.contains(&upstream_hash(instance));
         self.prove_where(Proof::Told, is_told)
     }
 
--- a/lib/src/direct/quarantining.rs
+++ b/lib/src/direct/quarantining.rs
@@ -14,7 +14,7 @@
 
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::quarantine::ends::End;
 use crate::direct::quarantine::ends::Next;
 use crate::direct::quarantine::ends::PROBE_PAUSES_MS;
@@ -207,7 +207,7 @@
             .filter(|run| !run.is_trusted)
             .map(|run| (run.request, run.began_ms))
             .collect();
-        let upstream = short_name(&end.instance);
+        let upstream = upstream_hash(&end.instance);
         let change =
             self.suspects
                 .borrow_mut()
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::rollout::message::RolloutPhase;
@@ -178,7 +178,7 @@
     pub fn upstream_names(&self) -> IndexSet<u32> {
         self.upstreams
             .iter()
-            .map(|upstream| short_name(&upstream.instance))
+            .map(|upstream| upstream_hash(&upstream.instance))
             .collect()
     }
 
@@ -359,7 +359,10 @@
         for (service, mut all) in services {
             // The same order at all entries, and another one for each service.
             all.sort_by_cached_key(|upstream| {
-                (short_name(&upstream.instance), Arc::clone(&upstream.name))
+                (
+                    upstream_hash(&upstream.instance),
+                    Arc::clone(&upstream.name),
+                )
             });
             let serving = self.versions.serving(&service);
             let rollout = self.rollouts.get(&service);
@@ -374,7 +377,7 @@
                 .collect();
             let control = old.iter().take(CONTROL_UPSTREAMS);
             self.control
-                .extend(control.map(|up| short_name(&up.instance)));
+                .extend(control.map(|up| upstream_hash(&up.instance)));
             match rollout.map(RolloutProgress::phase) {
                 None | Some(RolloutPhase::Rejected) => placement.upstreams.extend(old),
                 Some(RolloutPhase::Shifting) => placement.upstreams.extend(new),
@@ -402,7 +405,7 @@
     ) -> RequestTarget {
         let progress = self.rollouts.get_mut(service);
         progress.map_or(RequestTarget::Serving, |progress| {
-            progress.choose_target(short_name(route), is_pinned, now_ms, random)
+            progress.choose_target(upstream_hash(route), is_pinned, now_ms, random)
         })
     }
 
@@ -410,7 +413,7 @@
     pub fn record_dispatch(&mut self, upstream: &Upstream, route: &str, is_pinned: bool) {
         if let Some(progress) = self.rollouts.get_mut(&upstream.service) {
             let is_new = upstream.version == progress.rollout().id.to;
-            progress.record_dispatch(short_name(route), is_new, is_pinned);
+            progress.record_dispatch(upstream_hash(route), is_new, is_pinned);
         }
     }
 
@@ -435,8 +438,8 @@
         if !self.tracks_versions() {
             return;
         }
-        let route = short_name(route);
-        let name = short_name(&upstream.instance);
+        let route = upstream_hash(route);
+        let name = upstream_hash(&upstream.instance);
         let progress = self.rollouts.get_mut(&upstream.service);
         let progress = progress.filter(|progress| !progress.is_over());
         let is_new = progress
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::job::Job;
 use crate::direct::replication::rollout_follower::RolloutView;
 use crate::direct::request::call::Call;
@@ -296,7 +296,7 @@
             .by_route()
             .into_iter()
             .map(|(route, (new, old))| {
-                let known = names.iter().find(|name| short_name(name) == route);
+                let known = names.iter().find(|name| upstream_hash(name) == route);
                 let name = known.map_or_else(|| route.to_string(), ToString::to_string);
                 (name, json!({"new": part(new), "old": part(old)}))
             })
@@ -411,6 +411,6 @@
     upstreams
         .iter()
         .filter(|upstream| service_of(upstream).is_some_and(|service| !service.is_engine))
-        .map(|upstream| short_name(&upstream.instance))
+        .map(|upstream| upstream_hash(&upstream.instance))
         .collect()
 }
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -21,7 +21,7 @@
 use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::placement::baseline::FIRST_HOLD_MS;
 use crate::direct::placement::dispatch::WAY_MS;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Moving;
 use crate::direct::sharing::rate::Rate;
 use crate::numbers;
@@ -243,7 +243,7 @@
 ///
 /// let mut admission = AdmissionController::default();
 /// admission.set_upstreams([("i-1".into(), 1)]);
-/// let upstream = sardinewood::direct::placement::dispatch::short_name("i-1");
+/// let upstream = sardinewood::direct::placement::dispatch::upstream_hash("i-1");
 /// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, objective_in_ms: 9, waited_ms: 0 };
 /// admission.enqueue(EntryRef::Local, slot_request(1), 0);
 /// admission.enqueue(EntryRef::Local, slot_request(2), 0);
@@ -273,7 +273,7 @@
     pub fn set_upstreams(&mut self, upstreams: impl IntoIterator<Item = (Arc<str>, u32)>) {
         let mut before = std::mem::take(&mut self.by_upstream);
         for (instance, slots) in upstreams {
-            let name = short_name(&instance);
+            let name = upstream_hash(&instance);
             let mut door = before.swap_remove(&name).unwrap_or_default();
             door.slots = slots;
             self.changed.push(name);
@@ -307,10 +307,10 @@
     /// knows what the others send. Its door does: every start goes through it.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::short_name, sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController}};
+    /// # use sardinewood::direct::{placement::dispatch::upstream_hash, sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController}};
     /// let mut admission = AdmissionController::default();
     /// admission.set_upstreams([("i-1".into(), 9)]);
-    /// let upstream = short_name("i-1");
+    /// let upstream = upstream_hash("i-1");
     /// admission.set_limits([(upstream, 1_000)].into_iter().collect(), 0);
     /// let slot_request = |id| SlotRequest { id: PeerRequestId(id), upstream, worth_micros: 1_000, objective_in_ms: 9, waited_ms: 0 };
     /// admission.enqueue(EntryRef::Local, slot_request(1), 0);
--- a/lib/src/direct/sharing/quota/fleet.rs
+++ b/lib/src/direct/sharing/quota/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::direct::membership::peer_table::QuotaOwners;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::sharing::admission;
 use crate::numbers;
 
@@ -84,7 +84,7 @@
 
     /// The peer that keeps a customer; none if this entry does.
     pub(super) fn keeper(&self, customer: &str) -> Option<SocketAddr> {
-        let keeper = admission::owner(short_name(customer), self.quota_owners.iter().copied())?;
+        let keeper = admission::owner(upstream_hash(customer), self.quota_owners.iter().copied())?;
         (Some(keeper) != self.own).then_some(keeper)
     }
 }
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -12,7 +12,7 @@
 
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::dispatch::Dispatcher;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::slot_search::REPLY_TIMEOUT_MS;
 use crate::direct::placement::slot_search::SearchStep;
@@ -116,7 +116,7 @@
         let Some(open) = traffic.pending_slot_requests.borrow_mut().swap_remove(&id) else {
             return;
         };
-        let upstream = short_name(instance);
+        let upstream = upstream_hash(instance);
         match open.owner {
             EntryRef::Local => traffic
                 .admission
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -23,7 +23,7 @@
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::notices::book::Notices;
 use crate::direct::placement::dispatch::Dispatcher;
-use crate::direct::placement::dispatch::short_name;
+use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Ended;
 use crate::direct::placement::health::Health;
 use crate::direct::placement::health::Moving;
@@ -232,7 +232,7 @@
                 },
                 _ => SlotRelease::Unanswered,
             };
-            let name = short_name(&self.upstream.instance);
+            let name = upstream_hash(&self.upstream.instance);
             self.traffic.release_slot(name, release);
         }
     }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use sardinewood::direct::membership::heartbeat_payload::LoadChunk;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
@@ -16,7 +16,7 @@
 const SLOTS: u32 = 3;
 
 fn engine() -> u32 {
-    short_name("i-1")
+    upstream_hash("i-1")
 }
 
 fn admission() -> AdmissionController {
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::membership::peer_message::UpstreamCondition;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::Dispatcher;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::placement::health::Ended;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::slot_search::SearchStep;
@@ -66,7 +66,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 2)]);
     let running = UpstreamLoad {
-        upstream: short_name("i-1"),
+        upstream: upstream_hash("i-1"),
         requests: 2,
         ..UpstreamLoad::default()
     };
@@ -179,7 +179,7 @@
         health.next_event(12.0, 0);
     });
     let told = UpstreamLoad {
-        upstream: short_name("told"),
+        upstream: upstream_hash("told"),
         requests: 1,
         event_us: 48_000,
         condition: UpstreamCondition::Healthy,
@@ -375,7 +375,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1@1", 2)]);
     let running = UpstreamLoad {
-        upstream: short_name("i-1@1"),
+        upstream: upstream_hash("i-1@1"),
         requests: 1,
         ..UpstreamLoad::default()
     };
--- a/lib/tests/test_direct_ends.rs
+++ b/lib/tests/test_direct_ends.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::quarantine::ends::Breaks;
 use sardinewood::direct::quarantine::ends::Next;
 use sardinewood::direct::quarantine::ends::Proof;
@@ -117,8 +117,8 @@
 #[test]
 fn peers_word_proves_the_end() {
     let (mut breaks, one) = one_broken();
-    assert!(breaks.told(&[short_name("i-7")]).is_empty());
-    let ends = breaks.told(&[short_name(&one.instance)]);
+    assert!(breaks.told(&[upstream_hash("i-7")]).is_empty());
+    let ends = breaks.told(&[upstream_hash(&one.instance)]);
     assert_eq!(ends[0].proof, Proof::Told);
 }
 
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -12,7 +12,7 @@
 use sardinewood::direct::membership::peer_message::UpstreamCondition;
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
@@ -45,7 +45,7 @@
 fn running() -> Vec<UpstreamLoad> {
     (0..ENGINES)
         .map(|number| UpstreamLoad {
-            upstream: short_name(&engine(number)),
+            upstream: upstream_hash(&engine(number)),
             requests: u16::MAX,
             event_us: u32::MAX,
             condition: UpstreamCondition::Healthy,
@@ -125,7 +125,7 @@
         .map(|sequence| LoadChunk::of(running(), sequence))
         .collect();
     for number in 0..ENGINES + 50 {
-        let name = short_name(&engine(number));
+        let name = upstream_hash(&engine(number));
         let covering = parts.iter().filter(|part| part.covers(name));
         assert_eq!(covering.count(), 1);
     }
@@ -147,7 +147,7 @@
     for number in 0..ENGINES {
         let ask = SlotRequest {
             id: PeerRequestId(number.into()),
-            upstream: short_name(&engine(number)),
+            upstream: upstream_hash(&engine(number)),
             worth_micros: 1,
             objective_in_ms: 9,
             waited_ms: 0,
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -10,7 +10,7 @@
 use sardinewood::direct::notices::notice::Said;
 use sardinewood::direct::notices::record::Told;
 use sardinewood::direct::notices::record::ToldLimit;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 
 fn limited(limit_per_1000_s: u32) -> Notice {
     Notice {
@@ -35,7 +35,7 @@
         notices.said("i-1", &limited(700), 1_000),
         [Change::Limited(700)]
     );
-    assert_eq!(notices.limits()[&short_name("i-1")], 700);
+    assert_eq!(notices.limits()[&upstream_hash("i-1")], 700);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     notices.said("i-1@5", &limited(1_400), 0);
     assert_eq!(notices.said("i-1@6", &Notice::default(), 10), []);
     assert_eq!(notices.limits().len(), 1);
-    assert!(!notices.limits().contains_key(&short_name("i-1@6")));
+    assert!(!notices.limits().contains_key(&upstream_hash("i-1@6")));
 }
 
 #[test]
@@ -71,14 +71,14 @@
     let mut notices = Notices::default();
     notices.said("i-1", &limited(1_400), 1_000);
     notices.said("i-1", &Notice::default(), 5_000);
-    let old = told(short_name("i-1"), Some(1_400), 3_000);
+    let old = told(upstream_hash("i-1"), Some(1_400), 3_000);
     assert!(notices.hear(&[old], 6_000).is_empty());
     assert_eq!(notices.limited(), 0);
 }
 
 #[test]
 fn hear_in_any_order_the_latest_answer_holds() {
-    let name = short_name("i-1");
+    let name = upstream_hash("i-1");
     for seed in 0..50 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut all = [
@@ -122,7 +122,7 @@
     }
     assert!(notices.limited() <= 4_096);
     notices.said("i-1", &limited(700), 20);
-    assert_eq!(notices.limits()[&short_name("i-1")], 700, "its own word");
+    assert_eq!(notices.limits()[&upstream_hash("i-1")], 700, "its own word");
     notices.sweep(&[7].into_iter().collect(), 70_000);
     assert_eq!(notices.limited(), 1);
 }
@@ -132,7 +132,7 @@
     // Guards against a limit that is forgotten since no answer came for some time.
     let mut notices = Notices::default();
     notices.said("i-1", &limited(400), 0);
-    let listed = [short_name("i-1")].into_iter().collect();
+    let listed = [upstream_hash("i-1")].into_iter().collect();
     notices.sweep(&listed, 3_600_000);
     assert_eq!(notices.limited(), 1);
 }
@@ -200,7 +200,7 @@
     other.said("i-1", &leaving(), 5);
     assert_eq!(one.hear(&other.told("i-1", 10), 10).len(), 1);
     other.hear(&one.told("i-1", 20), 20);
-    one.hear(&[told(short_name("i-1"), None, 0)], 30);
+    one.hear(&[told(upstream_hash("i-1"), None, 0)], 30);
     assert!(one.is_leaving("i-1") && other.is_leaving("i-1"));
 }
 
@@ -209,7 +209,7 @@
     // Guards against an upstream that is used again since nobody has asked it for some time.
     let mut notices = Notices::default();
     notices.said("i-1", &leaving(), 0);
-    notices.sweep(&[short_name("i-1")].into_iter().collect(), 3_600_000);
+    notices.sweep(&[upstream_hash("i-1")].into_iter().collect(), 3_600_000);
     assert!(notices.is_leaving("i-1"));
     notices.sweep(&[7].into_iter().collect(), 3_600_000);
     assert!(!notices.is_leaving("i-1"));
@@ -226,7 +226,7 @@
 fn said_rest_again_longer() {
     // Guards against a later, shorter rest that ends the one before.
     let mut notices = Notices::default();
-    let name = short_name("i-1");
+    let name = upstream_hash("i-1");
     assert_eq!(notices.said("i-1", &rest(3_000), 0), [Change::Rests(3_000)]);
     assert_eq!(notices.said("i-1", &rest(500), 1_000), []);
     assert_eq!(notices.rests(1_000)[&name], 3_000);
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::rollout::exposure::ExposureBudget;
 use sardinewood::direct::rollout::exposure::ExposureLimit;
 use sardinewood::direct::rollout::message::DecisionReason;
@@ -494,7 +494,7 @@
     for up in both(4) {
         for route in 0..40 {
             let name = format!("route-{route}");
-            assert_ne!(short_name(&name), 0);
+            assert_ne!(upstream_hash(&name), 0);
             table.record_run_outcome(&up, &name, RunOutcome::Failed);
         }
     }
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use sardinewood::direct::placement::dispatch::Dispatcher;
-use sardinewood::direct::placement::dispatch::short_name;
+use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::placement::slot_search::REPLY_TIMEOUT_MS;
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
@@ -193,7 +193,7 @@
 fn limited_upstream_not_called_unasked() {
     // Guards against entries that pass a silent door by, each with a whole limit.
     let mut dispatcher = dispatcher(1);
-    dispatcher.set_limited(&[short_name("i-0")].into());
+    dispatcher.set_limited(&[upstream_hash("i-0")].into());
     let mut asking = SlotSearch::new(job(1, 0));
     asking.start(&dispatcher, 0, numbers());
     let next = asking.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, numbers());
@@ -203,6 +203,6 @@
 fn at_rest(upstreams: &[(&str, u64)]) -> IndexMap<u32, u64> {
     let rests = upstreams.iter();
     rests
-        .map(|(instance, until_ms)| (short_name(instance), *until_ms))
+        .map(|(instance, until_ms)| (upstream_hash(instance), *until_ms))
         .collect()
 }
