--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -43,7 +43,7 @@
 use crate::entry_address;
 
 /// Time of a message between two hosts of a region.
-const WAY_MS: u64 = 1;
+const ROUND_TRIP_MS: u64 = 1;
 /// Port of all entries.
 const PORT: u16 = 7_000;
 const SERVICE: &str = "pool";
@@ -456,7 +456,7 @@
             from,
             message,
         };
-        self.at(self.now_ms + WAY_MS, event);
+        self.at(self.now_ms + ROUND_TRIP_MS, event);
     }
 
     fn take(&mut self, event: Event) {
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -13,8 +13,8 @@
 use super::End;
 use super::Event;
 use super::Fleet;
+use super::ROUND_TRIP_MS;
 use super::Variant;
-use super::WAY_MS;
 
 /// Of so many engines one is in need, in the middle third of a run.
 const IN_NEED_ONE_IN: usize = 3;
@@ -63,7 +63,7 @@
         self.engine_said(entry, engine);
         self.free_room(run, Ended::Declined);
         let retry_after_ms = self.job(request).retry_after_ms(self.now_ms);
-        self.come_back(request, self.now_ms + 2 * WAY_MS + retry_after_ms);
+        self.come_back(request, self.now_ms + 2 * ROUND_TRIP_MS + retry_after_ms);
         true
     }
 
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -13,9 +13,9 @@
 use super::End;
 use super::Event;
 use super::Fleet;
+use super::ROUND_TRIP_MS;
 use super::Run;
 use super::SERVICE;
-use super::WAY_MS;
 use crate::direct::load::STEP_MS;
 
 /// Tokens in one event of a stream.
@@ -62,7 +62,7 @@
             first_at_ms: None,
             is_over: false,
         });
-        self.at(self.now_ms + WAY_MS, Event::Reach { run });
+        self.at(self.now_ms + ROUND_TRIP_MS, Event::Reach { run });
         self.at(give_up_at_ms.max(self.now_ms), Event::TimeUp { run });
     }
 
@@ -96,7 +96,7 @@
         if self.runs[run].is_over {
             return;
         }
-        let now_ms = self.now_ms + WAY_MS;
+        let now_ms = self.now_ms + ROUND_TRIP_MS;
         self.runs[run].first_at_ms = Some(now_ms);
         let after_ms = numbers::as_f64(now_ms - self.runs[run].since_ms);
         let prompt_tokens = self.offered[self.runs[run].request].prompt_tokens;
--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -30,7 +30,7 @@
 /// How long one waits for it.
 const PATIENCE_MS: u64 = 500;
 /// Time of a message between two entries, and the part of them that is lost.
-const WAY_MS: u64 = 1;
+const ROUND_TRIP_MS: u64 = 1;
 const LOST_PART: f64 = 0.01;
 /// How long it takes until a dead entry is believed to be dead, and until it is back.
 const BELIEVED_MS: u64 = 1_000;
@@ -303,7 +303,8 @@
     fn send(&mut self, now_ms: u64, to: usize, from: usize, sent: Sent) {
         let is_lost = to != from && self.random.random::<f64>() < LOST_PART;
         if !is_lost {
-            self.messages.push_back((now_ms + WAY_MS, to, from, sent));
+            self.messages
+                .push_back((now_ms + ROUND_TRIP_MS, to, from, sent));
         }
     }
 
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -33,7 +33,7 @@
 /// of a prompt, for its door to be asked first. Below it, load decides more than what is kept.
 const HOME_FIRST_PART: f64 = 0.1;
 /// Time on the way to an upstream and back, and for a new connection, within one region.
-pub const WAY_MS: u64 = 15;
+pub const ROUND_TRIP_MS: u64 = 15;
 /// How much longer than usual a first event may take beside other prompts.
 const LEAD_FACTOR: f64 = 1.3;
 /// How long the load that a peer reported is believed.
@@ -434,7 +434,7 @@
                 self.baseline_of(&place.upstream.service),
             )
         });
-        WAY_MS + whole_wait(first_ms * LEAD_FACTOR)
+        ROUND_TRIP_MS + whole_wait(first_ms * LEAD_FACTOR)
     }
 
     /// Whether an upstream has room, as far as this entry knows by itself. Of one that limits its
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -20,7 +20,7 @@
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::placement::baseline::FIRST_HOLD_MS;
-use crate::direct::placement::dispatch::WAY_MS;
+use crate::direct::placement::dispatch::ROUND_TRIP_MS;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Moving;
 use crate::direct::sharing::rate::Rate;
@@ -155,7 +155,7 @@
             return self.slots;
         }
         let hold_ms = self.hold.value().unwrap_or(FIRST_HOLD_MS).max(1.0);
-        let ahead = f64::from(self.slots) * numbers::as_f64(WAY_MS) / hold_ms;
+        let ahead = f64::from(self.slots) * numbers::as_f64(ROUND_TRIP_MS) / hold_ms;
         self.slots + numbers::whole_u32(ahead.round()).min(self.slots / 2)
     }
 
