--- a/lib/src/direct/placement/baseline.rs
+++ b/lib/src/direct/placement/baseline.rs
@@ -4,7 +4,7 @@
 use crate::direct::placement::health::Moving;
 
 /// Expected holding of a slot before any request has ended.
-pub const FIRST_HOLD_MS: f64 = 300.0;
+pub const DEFAULT_HOLD_MS: f64 = 300.0;
 /// Events that a stream is expected to have where nothing is known of it.
 const EXPECTED_EVENTS: f64 = 20.0;
 /// Part of what is known of lengths that each answer's own length replaces.
@@ -92,7 +92,7 @@
     /// ```
     #[must_use]
     pub fn hold_ms(&self) -> f64 {
-        self.hold_ms.value().unwrap_or(FIRST_HOLD_MS)
+        self.hold_ms.value().unwrap_or(DEFAULT_HOLD_MS)
     }
 
     /// Time between two events, if one was seen.
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
-use crate::direct::placement::baseline::FIRST_HOLD_MS;
+use crate::direct::placement::baseline::DEFAULT_HOLD_MS;
 use crate::direct::placement::dispatch::ROUND_TRIP_MS;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Moving;
@@ -154,7 +154,7 @@
         if !self.is_plain {
             return self.slots;
         }
-        let hold_ms = self.hold.value().unwrap_or(FIRST_HOLD_MS).max(1.0);
+        let hold_ms = self.hold.value().unwrap_or(DEFAULT_HOLD_MS).max(1.0);
         let ahead = f64::from(self.slots) * numbers::as_f64(ROUND_TRIP_MS) / hold_ms;
         self.slots + numbers::whole_u32(ahead.round()).min(self.slots / 2)
     }
@@ -591,7 +591,7 @@
             .filter(|queued| worth_of(queued) >= worth_of(own))
             .count();
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX));
-        let hold_ms = door.hold.value().unwrap_or(FIRST_HOLD_MS);
+        let hold_ms = door.hold.value().unwrap_or(DEFAULT_HOLD_MS);
         // Of those ahead, most start elsewhere.
         let ahead = ahead / f64::from(MAX_QUEUES_PER_REQUEST);
         let wait_ms = numbers::whole_u32(ahead * hold_ms / f64::from(door.slots.max(1)));
