--- a/lib/src/direct/placement/baseline.rs
+++ b/lib/src/direct/placement/baseline.rs
@@ -1,7 +1,7 @@
 //! The baseline of a service, over all its upstreams: lengths, times, speeds.
 
 use crate::direct::placement::health::Health;
-use crate::direct::placement::health::Moving;
+use crate::direct::placement::health::MovingAverage;
 
 /// Expected holding of a slot before any request has ended.
 pub const DEFAULT_HOLD_MS: f64 = 300.0;
@@ -21,10 +21,10 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Baseline {
-    hold_ms: Moving,
-    event_ms: Moving,
+    hold_ms: MovingAverage,
+    event_ms: MovingAverage,
     /// Time to read a token of a prompt, in relation to the time between two events.
-    prefill_per_event: Moving,
+    prefill_per_event: MovingAverage,
     /// Events that answers had; fades.
     events: f64,
     /// Tokens that their callers expected; fades likewise.
@@ -34,9 +34,9 @@
 impl Baseline {
     /// A service that nobody has called yet.
     pub const UNKNOWN: Self = Self {
-        hold_ms: Moving::NONE,
-        event_ms: Moving::NONE,
-        prefill_per_event: Moving::NONE,
+        hold_ms: MovingAverage::NONE,
+        event_ms: MovingAverage::NONE,
+        prefill_per_event: MovingAverage::NONE,
         events: 0.0,
         tokens: 0.0,
     };
--- a/lib/src/direct/placement/health.rs
+++ b/lib/src/direct/placement/health.rs
@@ -16,18 +16,18 @@
 
 /// A moving average that begins with its first sample.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moving {
+pub struct MovingAverage {
     value: Option<f64>,
 }
 
-impl Moving {
+impl MovingAverage {
     /// An average without samples.
     pub const NONE: Self = Self { value: None };
 
     /// Takes a sample in.
     ///
     /// ```
-    /// let mut average = sardinewood::direct::placement::health::Moving::default();
+    /// let mut average = sardinewood::direct::placement::health::MovingAverage::default();
     /// average.observe(4.0);
     /// assert_eq!(average.value(), Some(4.0));
     /// ```
@@ -41,7 +41,7 @@
     /// The average, if there was a sample.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::placement::health::Moving::default().value(), None);
+    /// assert_eq!(sardinewood::direct::placement::health::MovingAverage::default().value(), None);
     /// ```
     #[must_use]
     pub fn value(&self) -> Option<f64> {
@@ -97,8 +97,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     reading: Reading,
-    pause_ms: Moving,
-    answer_ms: Moving,
+    pause_ms: MovingAverage,
+    answer_ms: MovingAverage,
     sampled_at_ms: u64,
     failures: f64,
     strikes: u32,
@@ -145,7 +145,7 @@
         let is_news =
             self.pause_ms.value().is_none() || now_ms > self.sampled_at_ms + OWN_SAMPLE_MS;
         if is_news {
-            self.pause_ms = Moving::default();
+            self.pause_ms = MovingAverage::default();
             self.pause_ms.observe(event_ms);
         }
         is_news
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -22,7 +22,7 @@
 use crate::direct::placement::baseline::DEFAULT_HOLD_MS;
 use crate::direct::placement::dispatch::ROUND_TRIP_MS;
 use crate::direct::placement::dispatch::upstream_hash;
-use crate::direct::placement::health::Moving;
+use crate::direct::placement::health::MovingAverage;
 use crate::direct::sharing::rate::Rate;
 use crate::numbers;
 
@@ -134,7 +134,7 @@
     own: u32,
     peers: IndexMap<SocketAddr, Tracked>,
     queue: Vec<Queued>,
-    hold: Moving,
+    hold: MovingAverage,
     /// Whether it is the door of a plain service.
     is_plain: bool,
     /// How fast it may grant, if the upstream limits its requests.
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -26,7 +26,7 @@
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Ended;
 use crate::direct::placement::health::Health;
-use crate::direct::placement::health::Moving;
+use crate::direct::placement::health::MovingAverage;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::shared_prefix::PrefixPopularity;
 use crate::direct::quarantine::ends::Breaks;
@@ -117,8 +117,8 @@
     pub rollouts_changed: Notify,
     /// When doors are looked at again for the rate of a limited upstream.
     pub rate_wakes_ms: Cell<Option<u64>>,
-    sizes: RefCell<IndexMap<Arc<str>, Moving>>,
-    expected_holds: RefCell<IndexMap<Arc<str>, Moving>>,
+    sizes: RefCell<IndexMap<Arc<str>, MovingAverage>>,
+    expected_holds: RefCell<IndexMap<Arc<str>, MovingAverage>>,
     log: RefCell<LogBudget>,
     next_id: Cell<u64>,
     began: Instant,
@@ -483,7 +483,11 @@
 }
 
 /// A figure in relation to the mean of its kind, which it becomes part of.
-fn relative(means: &mut IndexMap<Arc<str>, Moving>, kind: &Arc<str>, figure: Option<f64>) -> f64 {
+fn relative(
+    means: &mut IndexMap<Arc<str>, MovingAverage>,
+    kind: &Arc<str>,
+    figure: Option<f64>,
+) -> f64 {
     let Some(figure) = figure.filter(|figure| *figure > 0.0) else {
         return 1.0;
     };
