--- a/lib/src/direct/placement/baseline.rs
+++ b/lib/src/direct/placement/baseline.rs
@@ -1,7 +1,7 @@
 //! The baseline of a service, over all its upstreams: lengths, times, speeds.
 
-use crate::direct::placement::health::Health;
 use crate::direct::placement::health::MovingAverage;
+use crate::direct::placement::health::ObservedHealth;
 
 /// Expected holding of a slot before any request has ended.
 pub const DEFAULT_HOLD_MS: f64 = 300.0;
@@ -72,10 +72,10 @@
     /// Notes the speeds of one of its upstreams.
     ///
     /// ```
-    /// # use sardinewood::direct::placement::health::Health;
-    /// sardinewood::direct::placement::baseline::Baseline::default().observe_speed(&Health::default());
+    /// # use sardinewood::direct::placement::health::ObservedHealth;
+    /// sardinewood::direct::placement::baseline::Baseline::default().observe_speed(&ObservedHealth::default());
     /// ```
-    pub fn observe_speed(&mut self, health: &Health) {
+    pub fn observe_speed(&mut self, health: &ObservedHealth) {
         let Some(event_ms) = health.event_ms().filter(|event_ms| *event_ms > 0.0) else {
             return;
         };
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::health::Ended;
-use crate::direct::placement::health::Health;
+use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::place::Place;
 use crate::direct::placement::shared_prefix;
@@ -528,7 +528,7 @@
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// dispatcher.learn("i-1", |health| health.answered_after(30.0));
     /// ```
-    pub fn learn(&mut self, instance: &str, learn: impl FnOnce(&mut Health)) {
+    pub fn learn(&mut self, instance: &str, learn: impl FnOnce(&mut ObservedHealth)) {
         let Some(place) = self.places.get_mut(instance) else {
             return;
         };
--- a/lib/src/direct/placement/health.rs
+++ b/lib/src/direct/placement/health.rs
@@ -88,14 +88,14 @@
 /// One upstream as this entry sees it.
 ///
 /// ```
-/// use sardinewood::direct::placement::health::{Ended, Health};
+/// use sardinewood::direct::placement::health::{Ended, ObservedHealth};
 ///
-/// let mut health = Health::default();
+/// let mut health = ObservedHealth::default();
 /// health.ended(Ended::Broken, 0);
 /// assert!(health.is_paused(100) && !health.is_paused(400));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Health {
+pub struct ObservedHealth {
     reading: Reading,
     pause_ms: MovingAverage,
     answer_ms: MovingAverage,
@@ -105,11 +105,11 @@
     paused_until_ms: u64,
 }
 
-impl Health {
+impl ObservedHealth {
     /// Notes when the first event came.
     ///
     /// ```
-    /// sardinewood::direct::placement::health::Health::default().first_event(1_000, 20.0);
+    /// sardinewood::direct::placement::health::ObservedHealth::default().first_event(1_000, 20.0);
     /// ```
     pub fn first_event(&mut self, prompt_tokens: u32, after_ms: f64) {
         if prompt_tokens < MIN_PROMPT_TOKENS {
@@ -126,7 +126,7 @@
     /// Notes the time between two events.
     ///
     /// ```
-    /// sardinewood::direct::placement::health::Health::default().next_event(15.0, 0);
+    /// sardinewood::direct::placement::health::ObservedHealth::default().next_event(15.0, 0);
     /// ```
     pub fn next_event(&mut self, pause_ms: f64, now_ms: u64) {
         self.sampled_at_ms = now_ms;
@@ -137,7 +137,7 @@
     /// whether it did.
     ///
     /// ```
-    /// let mut health = sardinewood::direct::placement::health::Health::default();
+    /// let mut health = sardinewood::direct::placement::health::ObservedHealth::default();
     /// assert!(health.hear_event_ms(15.0, 0));
     /// assert_eq!(health.event_ms(), Some(15.0));
     /// ```
@@ -154,7 +154,7 @@
     /// Notes how long a whole answer took.
     ///
     /// ```
-    /// sardinewood::direct::placement::health::Health::default().answered_after(30.0);
+    /// sardinewood::direct::placement::health::ObservedHealth::default().answered_after(30.0);
     /// ```
     pub fn answered_after(&mut self, answer_ms: f64) {
         self.answer_ms.observe(answer_ms);
@@ -163,8 +163,8 @@
     /// Notes how a call ended.
     ///
     /// ```
-    /// # use sardinewood::direct::placement::health::{Ended, Health};
-    /// Health::default().ended(Ended::Answered, 0);
+    /// # use sardinewood::direct::placement::health::{Ended, ObservedHealth};
+    /// ObservedHealth::default().ended(Ended::Answered, 0);
     /// ```
     pub fn ended(&mut self, ended: Ended, now_ms: u64) {
         let failed = match ended {
@@ -185,7 +185,7 @@
     /// Whether the upstream is left alone for now.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::placement::health::Health::default().is_paused(0));
+    /// assert!(!sardinewood::direct::placement::health::ObservedHealth::default().is_paused(0));
     /// ```
     #[must_use]
     pub fn is_paused(&self, now_ms: u64) -> bool {
@@ -195,7 +195,7 @@
     /// Whether so many answers fail that others are to be preferred.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::placement::health::Health::default().is_bad());
+    /// assert!(!sardinewood::direct::placement::health::ObservedHealth::default().is_bad());
     /// ```
     #[must_use]
     pub fn is_bad(&self) -> bool {
@@ -205,7 +205,7 @@
     /// Time to read a token of a prompt, if that was seen.
     ///
     /// ```
-    /// let mut health = sardinewood::direct::placement::health::Health::default();
+    /// let mut health = sardinewood::direct::placement::health::ObservedHealth::default();
     /// health.first_event(1_000, 20.0);
     /// assert_eq!(health.prefill_ms_per_token(), Some(0.02));
     /// ```
@@ -218,7 +218,7 @@
     /// counts as fast, so that it is tried.
     ///
     /// ```
-    /// assert!(sardinewood::direct::placement::health::Health::default().answer_ms() < 1e-9);
+    /// assert!(sardinewood::direct::placement::health::ObservedHealth::default().answer_ms() < 1e-9);
     /// ```
     #[must_use]
     pub fn answer_ms(&self) -> f64 {
@@ -228,7 +228,7 @@
     /// Time between two events, if it is known.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::placement::health::Health::default().event_ms(), None);
+    /// assert_eq!(sardinewood::direct::placement::health::ObservedHealth::default().event_ms(), None);
     /// ```
     #[must_use]
     pub fn event_ms(&self) -> Option<f64> {
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -9,7 +9,7 @@
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Ended;
-use crate::direct::placement::health::Health;
+use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::view::directory::Upstream;
 use crate::numbers;
@@ -58,7 +58,7 @@
     /// Requests of this entry that run there.
     pub running: u32,
     /// What its answers have told.
-    pub health: Health,
+    pub health: ObservedHealth,
     /// When a request there that has no answer yet becomes suspicious, by its number.
     unanswered: IndexMap<u64, u64>,
     /// Until when a peer's word that it answers nothing is believed.
@@ -81,7 +81,7 @@
             is_limited: false,
             rests_until_ms: 0,
             running: 0,
-            health: Health::default(),
+            health: ObservedHealth::default(),
             unanswered: IndexMap::new(),
             peer_stalled_until_ms: 0,
             gone_until_ms: 0,
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -25,8 +25,8 @@
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::Ended;
-use crate::direct::placement::health::Health;
 use crate::direct::placement::health::MovingAverage;
+use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::shared_prefix::PrefixPopularity;
 use crate::direct::quarantine::ends::Breaks;
@@ -169,7 +169,7 @@
     }
 
     /// Adds to what is known of the upstream.
-    pub fn learn(&self, learn: impl FnOnce(&mut Health)) {
+    pub fn learn(&self, learn: impl FnOnce(&mut ObservedHealth)) {
         let mut dispatcher = self.traffic.dispatcher.borrow_mut();
         dispatcher.learn(&self.upstream.instance, learn);
     }
