--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -21,7 +21,7 @@
 use sardinewood::direct::membership::peer_table::PeerTable;
 use sardinewood::direct::notices::book::Notices;
 use sardinewood::direct::placement::dispatch::Dispatcher;
-use sardinewood::direct::placement::health::Ended;
+use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::suspects::Suspects;
@@ -478,7 +478,7 @@
             Event::Reach { run } => self.reach(run),
             Event::First { run } => self.first(run),
             Event::Last { run } => self.last(run),
-            Event::TimeUp { run } => self.end_run(run, Ended::Failed, End::Cut),
+            Event::TimeUp { run } => self.end_run(run, AttemptOutcome::Failed, End::Cut),
             Event::Heartbeat { entry } => self.heartbeat(entry),
             Event::Kill => self.kill(),
             Event::Restart { entry } => {
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::membership::gossip;
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::upstream_hash;
-use sardinewood::direct::placement::health::Ended;
+use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::record::Told;
@@ -141,7 +141,7 @@
                 broke_at_ms: self.now_ms,
             };
             self.at(self.now_ms + PROVEN_AFTER_MS, proven);
-            self.end_run(run, Ended::Broken, End::Lost);
+            self.end_run(run, AttemptOutcome::Broken, End::Lost);
         }
         self.gone.push(engine);
         self.list_engines();
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
 use sardinewood::direct::notices::record::Told;
-use sardinewood::direct::placement::health::Ended;
+use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::view::directory::Upstream;
 
 use super::End;
@@ -61,7 +61,7 @@
         }
         let (entry, request) = (self.runs[run].entry, self.runs[run].request);
         self.engine_said(entry, engine);
-        self.free_room(run, Ended::Declined);
+        self.free_room(run, AttemptOutcome::Declined);
         let retry_after_ms = self.job(request).retry_after_ms(self.now_ms);
         self.come_back(request, self.now_ms + 2 * ROUND_TRIP_MS + retry_after_ms);
         true
@@ -148,7 +148,7 @@
         let is_leaving = |number: &usize| number.is_multiple_of(IN_NEED_ONE_IN);
         for engine in (0..self.engines.len()).filter(is_leaving) {
             for run in self.engines[engine].lose_all() {
-                self.end_run(run, Ended::Broken, End::Lost);
+                self.end_run(run, AttemptOutcome::Broken, End::Lost);
             }
         }
         let left: Vec<Arc<Upstream>> = self
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use sardinewood::direct::placement::dispatch::upstream_hash;
-use sardinewood::direct::placement::health::Ended;
+use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::view::directory::Upstream;
@@ -124,10 +124,10 @@
             dispatcher.learn_length(&SERVICE.into(), offered.hint_tokens, events);
             self.succeeded(self.runs[run].entry, self.runs[run].request);
         }
-        self.end_run(run, Ended::Answered, end);
+        self.end_run(run, AttemptOutcome::Answered, end);
     }
 
-    pub(super) fn end_run(&mut self, run: usize, ended: Ended, end: End) {
+    pub(super) fn end_run(&mut self, run: usize, ended: AttemptOutcome, end: End) {
         if self.runs[run].is_over {
             return;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Ends a run and frees its room, whatever becomes of its request.
-    pub(super) fn free_room(&mut self, run: usize, ended: Ended) {
+    pub(super) fn free_room(&mut self, run: usize, ended: AttemptOutcome) {
         self.runs[run].is_over = true;
         let Run {
             entry,
@@ -160,7 +160,7 @@
             .finished(&instance, run as u64, ended, held_ms, self.now_ms);
         if is_granted {
             let release = match ended {
-                Ended::Answered => SlotRelease::Answered {
+                AttemptOutcome::Answered => SlotRelease::Answered {
                     held_ms: u32::try_from(held_ms).unwrap_or(u32::MAX),
                 },
                 _ => SlotRelease::Unanswered,
@@ -197,7 +197,7 @@
     pub(super) fn lose_engines(&mut self) {
         for engine in (0..self.engines.len()).step_by(2) {
             for run in self.engines[engine].lose_all() {
-                self.end_run(run, Ended::Broken, End::Lost);
+                self.end_run(run, AttemptOutcome::Broken, End::Lost);
             }
         }
         let left: Vec<Arc<Upstream>> = self.upstreams.iter().skip(1).step_by(2).cloned().collect();
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::direct::membership::peer_message::UpstreamCondition;
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
-use crate::direct::placement::health::Ended;
+use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::place::Place;
@@ -493,15 +493,22 @@
     /// Frees the room of a request that had started.
     ///
     /// ```
-    /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::health::Ended};
-    /// Dispatcher::default().finished("i-1", 1, Ended::Answered, 40, 0);
+    /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::health::AttemptOutcome};
+    /// Dispatcher::default().finished("i-1", 1, AttemptOutcome::Answered, 40, 0);
     /// ```
-    pub fn finished(&mut self, instance: &str, id: u64, ended: Ended, held_ms: u64, now_ms: u64) {
+    pub fn finished(
+        &mut self,
+        instance: &str,
+        id: u64,
+        ended: AttemptOutcome,
+        held_ms: u64,
+        now_ms: u64,
+    ) {
         let Some(place) = self.places.get_mut(instance) else {
             return;
         };
         let ended = place.finished(id, ended, now_ms);
-        if ended == Ended::Answered {
+        if ended == AttemptOutcome::Answered {
             let service = Arc::clone(&place.upstream.service);
             let baseline = self.baseline.entry(service).or_default();
             baseline.observe_hold(numbers::as_f64(held_ms));
--- a/lib/src/direct/placement/health.rs
+++ b/lib/src/direct/placement/health.rs
@@ -51,7 +51,7 @@
 
 /// How a call at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// It answered whole, whatever the answer said.
     Answered,
     /// It answered with a failure of its own.
@@ -63,7 +63,7 @@
     /// The connection could not be had or broke.
     Broken,
     /// We left, so the upstream is not to blame.
-    Left,
+    Abandoned,
 }
 
 /// How fast an engine reads, over its latest prompts. Each counts by its length, since short ones
@@ -88,10 +88,10 @@
 /// One upstream as this entry sees it.
 ///
 /// ```
-/// use sardinewood::direct::placement::health::{Ended, ObservedHealth};
+/// use sardinewood::direct::placement::health::{AttemptOutcome, ObservedHealth};
 ///
 /// let mut health = ObservedHealth::default();
-/// health.ended(Ended::Broken, 0);
+/// health.ended(AttemptOutcome::Broken, 0);
 /// assert!(health.is_paused(100) && !health.is_paused(400));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -163,17 +163,19 @@
     /// Notes how a call ended.
     ///
     /// ```
-    /// # use sardinewood::direct::placement::health::{Ended, ObservedHealth};
-    /// ObservedHealth::default().ended(Ended::Answered, 0);
+    /// # use sardinewood::direct::placement::health::{AttemptOutcome, ObservedHealth};
+    /// ObservedHealth::default().ended(AttemptOutcome::Answered, 0);
     /// ```
-    pub fn ended(&mut self, ended: Ended, now_ms: u64) {
+    pub fn ended(&mut self, ended: AttemptOutcome, now_ms: u64) {
         let failed = match ended {
-            Ended::Answered => 0.0,
-            Ended::Failed | Ended::Broken => 1.0,
-            Ended::Declined | Ended::Misdirected | Ended::Left => return,
+            AttemptOutcome::Answered => 0.0,
+            AttemptOutcome::Failed | AttemptOutcome::Broken => 1.0,
+            AttemptOutcome::Declined | AttemptOutcome::Misdirected | AttemptOutcome::Abandoned => {
+                return;
+            }
         };
         self.failures += (failed - self.failures) * SAMPLE_PART;
-        if ended == Ended::Broken {
+        if ended == AttemptOutcome::Broken {
             let pause_ms = (FIRST_PAUSE_MS << self.strikes.min(8)).min(MOST_PAUSE_MS);
             self.strikes += 1;
             self.paused_until_ms = now_ms + pause_ms;
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -8,7 +8,7 @@
 use crate::direct::membership::peer_message::UpstreamLoad;
 use crate::direct::placement::baseline::Baseline;
 use crate::direct::placement::dispatch::upstream_hash;
-use crate::direct::placement::health::Ended;
+use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::view::directory::Upstream;
@@ -172,12 +172,16 @@
     }
 
     /// Frees the room of a request; how it ended, which is badly if it had stalled.
-    pub fn finished(&mut self, id: u64, ended: Ended, now_ms: u64) -> Ended {
+    pub fn finished(&mut self, id: u64, ended: AttemptOutcome, now_ms: u64) -> AttemptOutcome {
         self.running = self.running.saturating_sub(1);
         let stalls_at_ms = self.unanswered.swap_remove(&id);
         let has_stalled = stalls_at_ms.is_some_and(|at_ms| now_ms >= at_ms);
-        let ended = if has_stalled { Ended::Broken } else { ended };
-        if ended == Ended::Misdirected {
+        let ended = if has_stalled {
+            AttemptOutcome::Broken
+        } else {
+            ended
+        };
+        if ended == AttemptOutcome::Misdirected {
             self.gone_until_ms = now_ms + GONE_MS;
         }
         self.health.ended(ended, now_ms);
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout_at;
 
 use crate::direct::log_budget::Outcome;
-use crate::direct::placement::health::Ended;
+use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::answer_body::AnswerBody;
 use crate::direct::request::call::Call;
 use crate::direct::request::call::end_to_end;
@@ -205,7 +205,7 @@
     let mut connection = match connection {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
-            lease.ended = Ended::Broken;
+            lease.ended = AttemptOutcome::Broken;
             not_reached(traffic, call, &lease, error);
             return Attempt::NotRun;
         }
@@ -228,7 +228,7 @@
     count_tokens(traffic, call, &lease);
     match timeout_at(until, connection.send(request)).await {
         Err(_) => {
-            lease.ended = Ended::Failed;
+            lease.ended = AttemptOutcome::Failed;
             traffic.record_version_outcome(call, &lease, RunOutcome::Failed);
             log_attempt(traffic, call, &lease, "no answer from upstream in time");
             Attempt::TimeUp
@@ -240,7 +240,7 @@
         Ok(Err(SendError::Broken)) => {
             // A kept connection may just have been closed as idle, which says nothing.
             if connection.uses == 1 {
-                lease.ended = Ended::Broken;
+                lease.ended = AttemptOutcome::Broken;
             }
             log_attempt(traffic, call, &lease, "connection to upstream broke");
             traffic.run_broke(call, &lease);
@@ -339,9 +339,9 @@
     traffic.upstream_said(call, &lease.upstream, &headers);
     if headers.is_not_run {
         let (ended, why) = if headers.is_misdirected {
-            (Ended::Misdirected, MISDIRECTED)
+            (AttemptOutcome::Misdirected, MISDIRECTED)
         } else {
-            (Ended::Declined, DECLINED)
+            (AttemptOutcome::Declined, DECLINED)
         };
         lease.ended = ended;
         log_attempt(traffic, call, &lease, why);
@@ -350,7 +350,7 @@
     // An extra answer to an earlier request may lie on a kept connection. It names that
     // request; passed on, one caller would read another's answer.
     if !headers.is_signed || headers.request_id != call.request_id {
-        lease.ended = Ended::Failed;
+        lease.ended = AttemptOutcome::Failed;
         log_attempt(traffic, call, &lease, "answer belongs to no request");
         return Attempt::Unknown;
     }
@@ -456,13 +456,13 @@
     let body = match timeout_at(until, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
-            lease.ended = Ended::Failed;
+            lease.ended = AttemptOutcome::Failed;
             log_attempt(traffic, call, &lease, "answer broke off");
             traffic.run_broke(call, &lease);
             return Finished::Not(next_step(traffic, call, &Attempt::Unknown));
         }
         Err(_) => {
-            lease.ended = Ended::Failed;
+            lease.ended = AttemptOutcome::Failed;
             return Finished::Not(Next::AnswerTimeUp);
         }
     };
@@ -471,9 +471,9 @@
     traffic.succeeded(call);
     let has_failed = parts.status.is_server_error();
     lease.ended = if has_failed {
-        Ended::Failed
+        AttemptOutcome::Failed
     } else {
-        Ended::Answered
+        AttemptOutcome::Answered
     };
     let held_ms = traffic.now_ms() - lease.since_ms();
     let came = if has_failed {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -19,7 +19,7 @@
 
 use crate::answer::event_scan::EventScan;
 use crate::direct::log_budget::Outcome;
-use crate::direct::placement::health::Ended;
+use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::call::Call;
 use crate::direct::request::connections::Connection;
 use crate::direct::request::exchange::Answer;
@@ -334,7 +334,7 @@
         let Some(mut source) = self.source.take() else {
             return;
         };
-        source.lease.ended = Ended::Answered;
+        source.lease.ended = AttemptOutcome::Answered;
         self.pace.end(&self.traffic, &self.call, &source.lease);
         self.traffic.succeeded(&self.call);
         if let (Some(tokens), Some(events)) =
@@ -480,7 +480,7 @@
 /// Closes the connection to an upstream, so that it stops its work.
 fn leave(source: &mut Option<Source>) -> Option<Arc<str>> {
     let mut source = source.take()?;
-    source.lease.ended = Ended::Broken;
+    source.lease.ended = AttemptOutcome::Broken;
     Some(Arc::clone(&source.lease.upstream.instance))
 }
 
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -24,7 +24,7 @@
 use crate::direct::notices::book::Notices;
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::upstream_hash;
-use crate::direct::placement::health::Ended;
+use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::MovingAverage;
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
@@ -131,7 +131,7 @@
     /// Where the room is.
     pub upstream: Arc<Upstream>,
     /// How the call ended, as far as it has.
-    pub ended: Ended,
+    pub ended: AttemptOutcome,
     /// Tokens of the prompt that the upstream is likely to keep.
     pub cached_tokens: u32,
     /// Whether the upstream's door granted the room.
@@ -157,7 +157,7 @@
         Self {
             traffic: Rc::clone(traffic),
             upstream,
-            ended: Ended::Left,
+            ended: AttemptOutcome::Abandoned,
             cached_tokens,
             is_granted,
             is_pinned: false,
@@ -227,7 +227,7 @@
         if self.is_granted {
             let release = match self.ended {
                 _ if !self.is_sent.get() => SlotRelease::Unused,
-                Ended::Answered => SlotRelease::Answered {
+                AttemptOutcome::Answered => SlotRelease::Answered {
                     held_ms: u32::try_from(held_ms).unwrap_or(u32::MAX),
                 },
                 _ => SlotRelease::Unanswered,
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::membership::peer_message::UpstreamLoad;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::dispatch::upstream_hash;
-use sardinewood::direct::placement::health::Ended;
+use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
@@ -57,7 +57,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 2)]);
     assert_eq!(starts(&mut dispatcher, 3, 0).len(), 2);
-    dispatcher.finished("i-1", 1, Ended::Answered, 50, 10);
+    dispatcher.finished("i-1", 1, AttemptOutcome::Answered, 50, 10);
     assert_eq!(starts(&mut dispatcher, 3, 10).len(), 1);
 }
 
@@ -145,7 +145,7 @@
             health.first_event(1_000, first_ms);
         });
         dispatcher.began(name, 0);
-        dispatcher.finished(name, 0, Ended::Answered, 600, 0);
+        dispatcher.finished(name, 0, AttemptOutcome::Answered, 600, 0);
     }
     for _ in 0..4 {
         dispatcher.began("fast", 0);
@@ -258,7 +258,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
     dispatcher.began("i-1", 0);
-    dispatcher.finished("i-1", 1, Ended::Broken, 5, 100);
+    dispatcher.finished("i-1", 1, AttemptOutcome::Broken, 5, 100);
     let places = starts(&mut dispatcher, 5, 150);
     assert_eq!(places, ["i-2"; 5]);
 }
@@ -317,7 +317,7 @@
     dispatcher.set_upstreams(&[]);
     assert_eq!(lead_ms(&dispatcher), known_ms);
     assert_eq!(dispatcher.running(0).count(), 1);
-    dispatcher.finished("i-1", 1, Ended::Answered, 5, 1);
+    dispatcher.finished("i-1", 1, AttemptOutcome::Answered, 5, 1);
     assert_eq!(dispatcher.running(1).count(), 0);
     assert!(lead_ms(&dispatcher) < known_ms);
 }
@@ -329,7 +329,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("dead", 4), upstream("live", 4)]);
     dispatcher.began("dead", 0);
-    dispatcher.finished("dead", 1, Ended::Misdirected, 2, 10);
+    dispatcher.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     assert_eq!(starts(&mut dispatcher, 4, 10), ["live"; 4]);
     assert_eq!(dispatcher.began("dead", 10), None);
     // The entry may after all be one of a live upstream: it is tried again later.
@@ -346,7 +346,7 @@
         dispatcher.set_upstreams(&[upstream("dead", 4)]);
     }
     first.began("dead", 0);
-    first.finished("dead", 1, Ended::Misdirected, 2, 10);
+    first.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     let told: Vec<UpstreamLoad> = first.running(20).collect();
     assert_eq!(told[0].condition, UpstreamCondition::Replaced);
     second.set_peer_load(1, &LoadChunk::whole(told), 20);
@@ -363,7 +363,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("dead", 4)]);
     dispatcher.began("dead", 0);
-    dispatcher.finished("dead", 1, Ended::Misdirected, 2, 10);
+    dispatcher.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 20, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
 }
--- a/lib/tests/test_direct_shared_prefix.rs
+++ b/lib/tests/test_direct_shared_prefix.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::Dispatcher;
-use sardinewood::direct::placement::health::Ended;
+use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::placement::shared_prefix::SharedPrefix;
 use sardinewood::direct::placement::slot_search::SearchStep;
@@ -33,7 +33,7 @@
             health.first_event(1_000, 20.0);
         });
         dispatcher.began(&engine.instance, 0);
-        dispatcher.finished(&engine.instance, 0, Ended::Answered, 300, 0);
+        dispatcher.finished(&engine.instance, 0, AttemptOutcome::Answered, 300, 0);
     }
     dispatcher
 }
@@ -180,7 +180,7 @@
     let mut entry = entry(&engines(ENGINES));
     let home = first_asked(&entry, request(7, LONG), 1);
     entry.began(&home, 0);
-    entry.finished(&home, 9, Ended::Broken, 5, 0);
+    entry.finished(&home, 9, AttemptOutcome::Broken, 5, 0);
     assert_ne!(first_asked(&entry, request(7, LONG), 1), home);
 }
 
