--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -53,7 +53,7 @@
             shared_prefix: None,
             cached_at: Vec::new(),
             has_start_deficit: false,
-            is_trial: false,
+            is_canary: false,
         }
     }
 
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -166,9 +166,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::Dispatcher;
-    /// Dispatcher::default().set_trials(&["i-1".into()].into());
+    /// Dispatcher::default().set_canaries(&["i-1".into()].into());
     /// ```
-    pub fn set_trials(&mut self, trials: &IndexSet<Arc<str>>) {
+    pub fn set_canaries(&mut self, trials: &IndexSet<Arc<str>>) {
         for (instance, place) in &mut self.places {
             place.is_on_trial = trials.contains(instance);
         }
@@ -206,7 +206,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(Dispatcher::default().all_rest_for_ms(&job, 0), None);
     /// ```
     #[must_use]
@@ -284,9 +284,9 @@
 
     /// The upstreams that take a request of this kind.
     fn places_for(&self, job: &Job) -> impl Iterator<Item = &Place> {
-        let is_trial = job.is_trial;
+        let is_canary = job.is_canary;
         self.places_of(&job.service)
-            .filter(move |place| place.is_on_trial == is_trial)
+            .filter(move |place| place.is_on_trial == is_canary)
     }
 
     fn places_of(&self, service: &str) -> impl Iterator<Item = &Place> {
@@ -305,7 +305,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(Dispatcher::default().choose(&job, &[], 0, || 1).is_none());
     /// ```
     pub fn choose(
@@ -374,7 +374,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(Dispatcher::default().cached_at(&job, 0).is_empty());
     /// ```
     #[must_use]
@@ -401,7 +401,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(Dispatcher::default().saved_ms("i-1", &job), 0);
     /// ```
     #[must_use]
@@ -423,7 +423,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 8_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(Dispatcher::default().lead_ms("i-1", &job) > 0);
     /// ```
     #[must_use]
--- a/lib/src/direct/placement/job.rs
+++ b/lib/src/direct/placement/job.rs
@@ -70,7 +70,7 @@
     /// Whether its size is owed a start, so that it goes first of its kind.
     pub has_start_deficit: bool,
     /// Whether it judges the version of the upstream that it goes to.
-    pub is_trial: bool,
+    pub is_canary: bool,
 }
 
 impl Job {
@@ -81,7 +81,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 9_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.cached_tokens("i-1"), 0);
     /// ```
     #[must_use]
@@ -99,7 +99,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 9,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 9_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.unread_tokens("i-1"), 9);
     /// ```
     #[must_use]
@@ -118,7 +118,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 9_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.worth_micros(), 1_000_000);
     /// ```
     #[must_use]
@@ -146,7 +146,7 @@
     /// # let job = |tier| Job { id: 1, service: "s".into(), tier, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 9_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job(0).waits_until_ms(), 850);
     /// assert!(job(2).waits_until_ms() < 100);
     /// ```
@@ -168,7 +168,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
     /// #     give_up_at_ms: 8_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.retry_after_ms(0), 800);
     /// ```
     #[must_use]
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -66,7 +66,7 @@
 /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
 /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
 /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-/// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+/// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
 ///
 /// // There is no engine, so the request is refused at once.
 /// let mut asking = SlotSearch::new(job);
@@ -97,7 +97,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let next = SlotSearch::new(job).start(&Dispatcher::default(), 0, || 1);
     /// assert_eq!(next, [SearchStep::Refuse]);
     /// ```
@@ -120,7 +120,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let next = SlotSearch::new(job).handle_queued(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
     /// assert!(next.is_empty());
     /// ```
@@ -152,7 +152,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let next = SlotSearch::new(job).handle_timeout(&Dispatcher::default(), 40, || 1);
     /// assert!(next.is_empty());
     /// ```
@@ -198,7 +198,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let slot_request = SlotSearch::new(job).slot_request(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(slot_request.waited_ms, 60);
     /// assert!(slot_request.objective_in_ms < 40);
@@ -233,7 +233,7 @@
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
-    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_trial: false };
+    /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(SlotSearch::new(job).cancel_all().is_empty());
     /// ```
     pub fn cancel_all(&mut self) -> Vec<SearchStep> {
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -188,7 +188,7 @@
             shared_prefix: self.shared_prefix,
             cached_at: Vec::new(),
             has_start_deficit: self.ending.has_start_deficit(),
-            is_trial: false,
+            is_canary: false,
         }
     }
 
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -339,7 +339,7 @@
         drop(notices);
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.set_upstreams(&placement.upstreams);
-        dispatcher.set_trials(&placement.canaries);
+        dispatcher.set_canaries(&placement.canaries);
         drop(dispatcher);
         let slots = placement
             .upstreams
@@ -368,7 +368,7 @@
         if target == RequestTarget::Canary {
             let job = call.job();
             let trial = Job {
-                is_trial: true,
+                is_canary: true,
                 give_up_at_ms: job.give_up_at_ms.min(self.now_ms() + TRIAL_WAIT_MS),
                 ..job
             };
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -49,6 +49,6 @@
         shared_prefix: None,
         cached_at: Vec::new(),
         has_start_deficit: false,
-        is_trial: false,
+        is_canary: false,
     }
 }
