--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -177,7 +177,7 @@
         };
         let rest_ms = self.entries[entry]
             .dispatcher
-            .all_rest_for_ms(&asking.job, self.now_ms);
+            .all_backed_off_for_ms(&asking.job, self.now_ms);
         let retry_after_ms = rest_ms.unwrap_or_else(|| asking.job.retry_after_ms(self.now_ms));
         let comes_back_ms = self.now_ms + retry_after_ms;
         self.account(entry, request, SizeFairness::record_refusal);
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -114,7 +114,7 @@
         let limited: IndexSet<u32> = limits.keys().copied().collect();
         state.dispatcher.set_upstreams(&there);
         state.dispatcher.set_limited(&limited);
-        state.dispatcher.set_rests(&state.notices.rests(now_ms));
+        state.dispatcher.set_backoffs(&state.notices.rests(now_ms));
         let slots = there.iter().map(|up| (Arc::clone(&up.instance), up.slots));
         state.admission.set_upstreams(slots);
         state.admission.set_limits(limits, now_ms);
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -119,7 +119,7 @@
         let limited: IndexSet<u32> = limits.keys().copied().collect();
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.set_limited(&limited);
-        dispatcher.set_rests(&notices.rests(self.now_ms()));
+        dispatcher.set_backoffs(&notices.rests(self.now_ms()));
         drop(dispatcher);
         let mut admission = self.admission.borrow_mut();
         admission.set_limits(limits, self.now_ms());
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -53,7 +53,7 @@
     /// Of these, they neither break nor hang.
     pub working: usize,
     /// They have asked this entry for rest.
-    pub at_rest: usize,
+    pub backed_off: usize,
     /// They limit their requests.
     pub limited: usize,
 }
@@ -190,9 +190,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::Dispatcher;
-    /// Dispatcher::default().set_rests(&[(7, 3_000)].into());
+    /// Dispatcher::default().set_backoffs(&[(7, 3_000)].into());
     /// ```
-    pub fn set_rests(&mut self, rests: &IndexMap<u32, u64>) {
+    pub fn set_backoffs(&mut self, rests: &IndexMap<u32, u64>) {
         for place in self.places.values_mut() {
             place.rests_until_ms = rests.get(&place.name).copied().unwrap_or_default();
         }
@@ -207,10 +207,10 @@
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
     /// #     objective_at_ms: 100, give_up_at_ms: 1_000, leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
-    /// assert_eq!(Dispatcher::default().all_rest_for_ms(&job, 0), None);
+    /// assert_eq!(Dispatcher::default().all_backed_off_for_ms(&job, 0), None);
     /// ```
     #[must_use]
-    pub fn all_rest_for_ms(&self, job: &Job, now_ms: u64) -> Option<u64> {
+    pub fn all_backed_off_for_ms(&self, job: &Job, now_ms: u64) -> Option<u64> {
         let mut soonest_ms = None;
         for place in self.places_for(job) {
             if place.is_open(now_ms) {
@@ -276,7 +276,7 @@
         for place in self.places_of(service) {
             counts.listed += 1;
             counts.working += usize::from(place.works(now_ms));
-            counts.at_rest += usize::from(place.is_at_rest(now_ms));
+            counts.backed_off += usize::from(place.is_at_rest(now_ms));
             counts.limited += usize::from(place.is_limited);
         }
         counts
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -185,7 +185,11 @@
             next.extend(self.ask_another(dispatcher, now_ms, random));
         }
         // Callers that wait for an upstream at rest would wait into their deadlines.
-        if self.asks.is_empty() && dispatcher.all_rest_for_ms(&self.job, now_ms).is_some() {
+        if self.asks.is_empty()
+            && dispatcher
+                .all_backed_off_for_ms(&self.job, now_ms)
+                .is_some()
+        {
             next.push(SearchStep::Refuse);
         }
         next
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -35,7 +35,7 @@
             "worth_micros": job.worth_micros(),
             "upstreams_listed": counts.listed,
             "upstreams_working": counts.working,
-            "upstreams_at_rest": counts.at_rest,
+            "upstreams_at_rest": counts.backed_off,
             "upstreams_limited": counts.limited,
         });
         return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no room in time", id)
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -213,7 +213,7 @@
     #[must_use]
     pub fn retry_after_ms(&self, job: &Job) -> u64 {
         let now_ms = self.now_ms();
-        let rest_ms = self.dispatcher.borrow().all_rest_for_ms(job, now_ms);
+        let rest_ms = self.dispatcher.borrow().all_backed_off_for_ms(job, now_ms);
         rest_ms.unwrap_or_else(|| job.retry_after_ms(now_ms))
     }
 
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -146,13 +146,13 @@
 fn all_at_rest_refused_at_once() {
     // Guards against callers that wait into their deadlines for upstreams that want nothing.
     let mut dispatcher = dispatcher(2);
-    dispatcher.set_rests(&at_rest(&[("i-0", 4_000), ("i-1", 3_000)]));
+    dispatcher.set_backoffs(&at_rest(&[("i-0", 4_000), ("i-1", 3_000)]));
     let mut asking = SlotSearch::new(job(1, 0));
     let next = asking.start(&dispatcher, 100, numbers());
     assert_eq!(next, [SearchStep::Refuse]);
-    let rest_ms = dispatcher.all_rest_for_ms(&asking.job, 100);
+    let rest_ms = dispatcher.all_backed_off_for_ms(&asking.job, 100);
     assert_eq!(rest_ms, Some(2_900), "the first that is over");
-    assert_eq!(dispatcher.all_rest_for_ms(&asking.job, 3_000), None);
+    assert_eq!(dispatcher.all_backed_off_for_ms(&asking.job, 3_000), None);
 }
 
 #[test]
@@ -162,7 +162,7 @@
     let mut numbers = numbers();
     let mut asking = SlotSearch::new(job(1, 0));
     let (id, instance) = asked(&asking.start(&dispatcher, 0, &mut numbers))[0].clone();
-    dispatcher.set_rests(&at_rest(&[("i-0", 3_000)]));
+    dispatcher.set_backoffs(&at_rest(&[("i-0", 3_000)]));
     assert!(dispatcher.began(&instance, 40).is_none(), "a grant");
     let next = asking.handle_timeout(&dispatcher, 40, &mut numbers);
     assert_eq!(
@@ -177,7 +177,7 @@
 #[test]
 fn rest_of_one_upstream_the_others_are_asked() {
     let mut dispatcher = dispatcher(4);
-    dispatcher.set_rests(&at_rest(&[("i-1", 3_000)]));
+    dispatcher.set_backoffs(&at_rest(&[("i-1", 3_000)]));
     for first in 1..200 {
         let mut number = first;
         let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 0, || {
