--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -63,7 +63,7 @@
 /// ```
 /// use sardinewood::direct::placement::dispatch::Dispatcher;
 ///
-/// assert_eq!(Dispatcher::default().listed(), 0);
+/// assert_eq!(Dispatcher::default().listed_count(), 0);
 /// ```
 #[derive(Debug, Default)]
 pub struct Dispatcher {
@@ -257,10 +257,10 @@
     /// How many upstreams take new work.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::placement::dispatch::Dispatcher::default().listed(), 0);
+    /// assert_eq!(sardinewood::direct::placement::dispatch::Dispatcher::default().listed_count(), 0);
     /// ```
     #[must_use]
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.places.values().filter(|place| place.is_listed).count()
     }
 
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -457,7 +457,7 @@
         figures.peers.set(signed(heard));
         figures
             .upstreams
-            .set(signed(self.dispatcher.borrow().listed()));
+            .set(signed(self.dispatcher.borrow().listed_count()));
         let notices = self.notices.borrow();
         figures.limited_upstreams.set(signed(notices.limited()));
         figures.leaving_upstreams.set(signed(notices.leaving()));
