--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -268,10 +268,10 @@
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::{ServiceCounts, Dispatcher};
-    /// assert_eq!(Dispatcher::default().counts_for("s", 0), ServiceCounts::default());
+    /// assert_eq!(Dispatcher::default().service_counts("s", 0), ServiceCounts::default());
     /// ```
     #[must_use]
-    pub fn counts_for(&self, service: &str, now_ms: u64) -> ServiceCounts {
+    pub fn service_counts(&self, service: &str, now_ms: u64) -> ServiceCounts {
         let mut counts = ServiceCounts::default();
         for place in self.places_of(service) {
             counts.listed += 1;
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -20,7 +20,7 @@
         let counts = traffic
             .dispatcher
             .borrow()
-            .counts_for(&call.service, traffic.now_ms());
+            .service_counts(&call.service, traffic.now_ms());
         let inputs = json!({
             "route": call.route.name,
             "service": call.service,
