--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -245,10 +245,10 @@
     /// Whether an upstream takes new work and is there.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::placement::dispatch::Dispatcher::default().is_there("i-1", 0));
+    /// assert!(!sardinewood::direct::placement::dispatch::Dispatcher::default().is_available("i-1", 0));
     /// ```
     #[must_use]
-    pub fn is_there(&self, instance: &str, now_ms: u64) -> bool {
+    pub fn is_available(&self, instance: &str, now_ms: u64) -> bool {
         self.places
             .get(instance)
             .is_some_and(|place| place.is_listed && place.is_open(now_ms))
@@ -457,7 +457,7 @@
     /// assert!(sardinewood::direct::placement::dispatch::Dispatcher::default().began("i-1", 0).is_none());
     /// ```
     pub fn began(&mut self, instance: &str, now_ms: u64) -> Option<Arc<Upstream>> {
-        if !self.is_there(instance, now_ms) {
+        if !self.is_available(instance, now_ms) {
             return None;
         }
         let place = self.places.get_mut(instance)?;
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -279,7 +279,7 @@
     fn drop_gone(&mut self, dispatcher: &Dispatcher, now_ms: u64) -> Vec<SearchStep> {
         let (kept, dropped): (Vec<Asked>, Vec<Asked>) = std::mem::take(&mut self.asks)
             .into_iter()
-            .partition(|asked| dispatcher.is_there(&asked.instance, now_ms));
+            .partition(|asked| dispatcher.is_available(&asked.instance, now_ms));
         self.asks = kept;
         dropped.into_iter().map(take_back).collect()
     }
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -216,7 +216,7 @@
     if !traffic
         .dispatcher
         .borrow()
-        .is_there(instance, traffic.now_ms())
+        .is_available(instance, traffic.now_ms())
     {
         keep(traffic, &lease, connection, None);
         return Attempt::NotRun;
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -350,10 +350,10 @@
     let told: Vec<UpstreamLoad> = first.running(20).collect();
     assert_eq!(told[0].condition, UpstreamCondition::Replaced);
     second.set_peer_load(1, &LoadChunk::whole(told), 20);
-    assert!(!second.is_there("dead", 30));
+    assert!(!second.is_available("dead", 30));
     assert_eq!(second.running(30).count(), 0);
     assert!(
-        second.is_there("dead", 1_000),
+        second.is_available("dead", 1_000),
         "the peer has stopped saying so"
     );
 }
