--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -33,7 +33,10 @@
     ) {
         let state = &mut self.entries[entry];
         if !state.waiting.contains_key(&request)
-            || state.dispatcher.began(instance, self.now_ms).is_none()
+            || state
+                .dispatcher
+                .occupy_slot(instance, self.now_ms)
+                .is_none()
         {
             if is_granted {
                 self.release_slot(entry, upstream_hash(instance), SlotRelease::Unused);
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -454,9 +454,9 @@
     /// Counts a request that starts at an upstream; none if the upstream is not there.
     ///
     /// ```
-    /// assert!(sardinewood::direct::placement::dispatch::Dispatcher::default().began("i-1", 0).is_none());
+    /// assert!(sardinewood::direct::placement::dispatch::Dispatcher::default().occupy_slot("i-1", 0).is_none());
     /// ```
-    pub fn began(&mut self, instance: &str, now_ms: u64) -> Option<Arc<Upstream>> {
+    pub fn occupy_slot(&mut self, instance: &str, now_ms: u64) -> Option<Arc<Upstream>> {
         if !self.is_available(instance, now_ms) {
             return None;
         }
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -138,7 +138,10 @@
     fn go_unasked(&self, instance: &Arc<str>) -> Option<Lease> {
         let traffic = &self.traffic;
         let now_ms = traffic.now_ms();
-        let upstream = traffic.dispatcher.borrow_mut().began(instance, now_ms)?;
+        let upstream = traffic
+            .dispatcher
+            .borrow_mut()
+            .occupy_slot(instance, now_ms)?;
         traffic.log(
             Level::Warn,
             "door is silent, engine called unasked",
@@ -274,7 +277,7 @@
             .swap_remove(&request_id);
         let started = asked.and_then(|asked| {
             let mut dispatcher = self.dispatcher.borrow_mut();
-            let upstream = dispatcher.began(&asked.instance, self.now_ms())?;
+            let upstream = dispatcher.occupy_slot(&asked.instance, self.now_ms())?;
             Some((asked.replies, asked.cached_tokens, upstream))
         });
         match started {
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -22,7 +22,7 @@
     if !dispatcher.has_room(&chosen.instance, now_ms) {
         return None;
     }
-    let begun = dispatcher.began(&chosen.instance, now_ms);
+    let begun = dispatcher.occupy_slot(&chosen.instance, now_ms);
     begun.map(|upstream| upstream.instance.to_string())
 }
 
@@ -144,11 +144,11 @@
             health.next_event(event_ms, 0);
             health.first_event(1_000, first_ms);
         });
-        dispatcher.began(name, 0);
+        dispatcher.occupy_slot(name, 0);
         dispatcher.finished(name, 0, AttemptOutcome::Answered, 600, 0);
     }
     for _ in 0..4 {
-        dispatcher.began("fast", 0);
+        dispatcher.occupy_slot("fast", 0);
     }
     let brief = Job {
         expected_output_tokens: Some(6),
@@ -257,7 +257,7 @@
 fn broken_upstream_left_alone_for_a_while() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
-    dispatcher.began("i-1", 0);
+    dispatcher.occupy_slot("i-1", 0);
     dispatcher.finished("i-1", 1, AttemptOutcome::Broken, 5, 100);
     let places = starts(&mut dispatcher, 5, 150);
     assert_eq!(places, ["i-2"; 5]);
@@ -269,7 +269,7 @@
     // answer for far too long, the next ones go elsewhere, also those of peers.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
-    dispatcher.began("i-1", 0);
+    dispatcher.occupy_slot("i-1", 0);
     dispatcher.sent("i-1", 1, 1_000, 0);
     let told: Vec<UpstreamLoad> = dispatcher.running(2_000).collect();
     assert_eq!(told[0].condition, UpstreamCondition::Stalled);
@@ -287,7 +287,7 @@
     // A service's only upstream is slow for a moment. Shutting it out would refuse everybody.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5)]);
-    dispatcher.began("i-1", 0);
+    dispatcher.occupy_slot("i-1", 0);
     dispatcher.sent("i-1", 1, 1_000, 0);
     assert_eq!(starts(&mut dispatcher, 1, 2_000).len(), 1);
 }
@@ -310,7 +310,7 @@
 fn removed_upstream_forgotten_when_its_last_request_ends() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5)]);
-    dispatcher.began("i-1", 0);
+    dispatcher.occupy_slot("i-1", 0);
     dispatcher.learn("i-1", |health| health.answered_after(400.0));
     let lead_ms = |dispatcher: &Dispatcher| dispatcher.lead_ms("i-1", &job(1, 0));
     let known_ms = lead_ms(&dispatcher);
@@ -328,12 +328,12 @@
     // nothing, so it looks like the best place of all: without this, each request would go there.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("dead", 4), upstream("live", 4)]);
-    dispatcher.began("dead", 0);
+    dispatcher.occupy_slot("dead", 0);
     dispatcher.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     assert_eq!(starts(&mut dispatcher, 4, 10), ["live"; 4]);
-    assert_eq!(dispatcher.began("dead", 10), None);
+    assert_eq!(dispatcher.occupy_slot("dead", 10), None);
     // The entry may after all be one of a live upstream: it is tried again later.
-    assert!(dispatcher.began("dead", 5_000).is_some());
+    assert!(dispatcher.occupy_slot("dead", 5_000).is_some());
 }
 
 #[test]
@@ -345,7 +345,7 @@
     for dispatcher in [&mut first, &mut second] {
         dispatcher.set_upstreams(&[upstream("dead", 4)]);
     }
-    first.began("dead", 0);
+    first.occupy_slot("dead", 0);
     first.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     let told: Vec<UpstreamLoad> = first.running(20).collect();
     assert_eq!(told[0].condition, UpstreamCondition::Replaced);
@@ -362,7 +362,7 @@
 fn only_upstream_misdirected_refused_at_once() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("dead", 4)]);
-    dispatcher.began("dead", 0);
+    dispatcher.occupy_slot("dead", 0);
     dispatcher.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 20, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
@@ -379,7 +379,7 @@
         requests: 1,
         ..UpstreamLoad::default()
     };
-    dispatcher.began("i-1@1", 0);
+    dispatcher.occupy_slot("i-1@1", 0);
     dispatcher.set_peer_load(1, &LoadChunk::whole(vec![running]), 0);
     dispatcher.set_upstreams(&[upstream("i-1@2", 2)]);
     assert_eq!(starts(&mut dispatcher, 3, 10).len(), 2);
--- a/lib/tests/test_direct_shared_prefix.rs
+++ b/lib/tests/test_direct_shared_prefix.rs
@@ -32,7 +32,7 @@
             health.next_event(12.0, 0);
             health.first_event(1_000, 20.0);
         });
-        dispatcher.began(&engine.instance, 0);
+        dispatcher.occupy_slot(&engine.instance, 0);
         dispatcher.finished(&engine.instance, 0, AttemptOutcome::Answered, 300, 0);
     }
     dispatcher
@@ -156,7 +156,7 @@
     let mut homes = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let home = first_asked(&entry, hot.clone(), seed);
-        entry.began(&home, 0);
+        entry.occupy_slot(&home, 0);
         homes.insert(home);
     }
     assert!((3..=6).contains(&homes.len()), "{homes:?}");
@@ -179,7 +179,7 @@
     // The home's connections break. Its callers are served at once by others, which read the start.
     let mut entry = entry(&engines(ENGINES));
     let home = first_asked(&entry, request(7, LONG), 1);
-    entry.began(&home, 0);
+    entry.occupy_slot(&home, 0);
     entry.finished(&home, 9, AttemptOutcome::Broken, 5, 0);
     assert_ne!(first_asked(&entry, request(7, LONG), 1), home);
 }
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -163,7 +163,7 @@
     let mut asking = SlotSearch::new(job(1, 0));
     let (id, instance) = asked(&asking.start(&dispatcher, 0, &mut numbers))[0].clone();
     dispatcher.set_backoffs(&at_rest(&[("i-0", 3_000)]));
-    assert!(dispatcher.began(&instance, 40).is_none(), "a grant");
+    assert!(dispatcher.occupy_slot(&instance, 40).is_none(), "a grant");
     let next = asking.handle_timeout(&dispatcher, 40, &mut numbers);
     assert_eq!(
         next,
