--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -124,7 +124,7 @@
             let events = f64::from(offered.output_tokens) / EVENT_TOKENS;
             let dispatcher = &mut self.entries[self.runs[run].entry].dispatcher;
             let events = numbers::whole_u64(events.ceil());
-            dispatcher.learn_length(&SERVICE.into(), offered.hint_tokens, events);
+            dispatcher.record_answer_length(&SERVICE.into(), offered.hint_tokens, events);
             self.succeeded(self.runs[run].entry, self.runs[run].request);
         }
         self.end_run(run, AttemptOutcome::Answered, end);
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -522,9 +522,9 @@
     ///
     /// ```
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
-    /// dispatcher.learn_length(&"s".into(), 60, 20);
+    /// dispatcher.record_answer_length(&"s".into(), 60, 20);
     /// ```
-    pub fn learn_length(&mut self, service: &Arc<str>, tokens: u32, events: u64) {
+    pub fn record_answer_length(&mut self, service: &Arc<str>, tokens: u32, events: u64) {
         let baseline = self.baseline.entry(Arc::clone(service)).or_default();
         baseline.observe_length(tokens, events);
     }
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -340,10 +340,11 @@
         if let (Some(tokens), Some(events)) =
             (self.call.expected_output_tokens, self.scan.last_id())
         {
-            self.traffic
-                .dispatcher
-                .borrow_mut()
-                .learn_length(&self.call.service, tokens, events);
+            self.traffic.dispatcher.borrow_mut().record_answer_length(
+                &self.call.service,
+                tokens,
+                events,
+            );
         }
         keep(
             &self.traffic,
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -138,7 +138,7 @@
     // slow engine then; a long one would be cut at its deadline there.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("fast", 5), upstream("slow", 5)]);
-    dispatcher.learn_length(&"pool".into(), 30, 10);
+    dispatcher.record_answer_length(&"pool".into(), 30, 10);
     for (name, event_ms, first_ms) in [("fast", 12.0, 20.0), ("slow", 55.0, 80.0)] {
         dispatcher.learn(name, |health| {
             health.next_event(event_ms, 0);
