--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -48,7 +48,7 @@
             arrived_ms: self.now_ms,
             objective_at_ms: self.now_ms + kind.objective_ms,
             give_up_at_ms: offered.at_ms + kind.deadline_ms,
-            leaves_at_ms: self.now_ms + PATIENCE_MS,
+            caller_leaves_at_ms: self.now_ms + PATIENCE_MS,
             tried: Vec::new(),
             shared_prefix: None,
             cached_at: Vec::new(),
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -178,7 +178,7 @@
             arrived_ms: self.arrived_ms,
             objective_at_ms: self.arrived_ms + self.route.objective_ms,
             give_up_at_ms: self.give_up_at_ms,
-            leaves_at_ms: self
+            caller_leaves_at_ms: self
                 .route
                 .patience_ms
                 .map_or(self.give_up_at_ms, |patience_ms| {
@@ -197,11 +197,11 @@
     #[must_use]
     pub fn resume_job(&self, now_ms: u64) -> Job {
         let job = self.job();
-        let patience_ms = job.leaves_at_ms.saturating_sub(job.arrived_ms);
+        let patience_ms = job.caller_leaves_at_ms.saturating_sub(job.arrived_ms);
         Job {
             arrived_ms: now_ms,
             objective_at_ms: now_ms + self.route.pause_ms.unwrap_or(self.route.objective_ms),
-            leaves_at_ms: now_ms + patience_ms / 2,
+            caller_leaves_at_ms: now_ms + patience_ms / 2,
             ..job
         }
     }
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -44,7 +44,7 @@
         arrived_ms: 0,
         objective_at_ms: 500,
         give_up_at_ms: 10_000,
-        leaves_at_ms: 2_400,
+        caller_leaves_at_ms: 2_400,
         tried: Vec::new(),
         shared_prefix: None,
         cached_at: Vec::new(),
