--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -47,7 +47,7 @@
             relative_hold: known(own_hold / usual_hold),
             arrived_ms: self.now_ms,
             objective_at_ms: self.now_ms + kind.objective_ms,
-            give_up_at_ms: offered.at_ms + kind.deadline_ms,
+            deadline_at_ms: offered.at_ms + kind.deadline_ms,
             caller_leaves_at_ms: self.now_ms + PATIENCE_MS,
             tried: Vec::new(),
             shared_prefix: None,
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -48,7 +48,7 @@
         state
             .dispatcher
             .sent(instance, run as u64, prompt_tokens, self.now_ms);
-        let give_up_at_ms = state.waiting[&request].job.give_up_at_ms;
+        let deadline_at_ms = state.waiting[&request].job.deadline_at_ms;
         self.account(entry, request, SizeFairness::record_start);
         self.stop_waiting(entry, request);
         let engine = self
@@ -66,7 +66,7 @@
             is_over: false,
         });
         self.at(self.now_ms + ROUND_TRIP_MS, Event::Reach { run });
-        self.at(give_up_at_ms.max(self.now_ms), Event::TimeUp { run });
+        self.at(deadline_at_ms.max(self.now_ms), Event::TimeUp { run });
     }
 
     pub(super) fn reach(&mut self, run: usize) {
--- a/lib/src/direct/placement/job.rs
+++ b/lib/src/direct/placement/job.rs
@@ -58,7 +58,7 @@
     /// Until when its answer is worth most.
     pub objective_at_ms: u64,
     /// When its caller gets an answer in any case.
-    pub give_up_at_ms: u64,
+    pub deadline_at_ms: u64,
     /// When its caller leaves if nothing has come yet.
     pub caller_leaves_at_ms: u64,
     /// Upstreams that have had it.
@@ -80,7 +80,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     give_up_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.cached_tokens("i-1"), 0);
     /// ```
@@ -98,7 +98,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 9,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     give_up_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.unread_tokens("i-1"), 9);
     /// ```
@@ -117,7 +117,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     give_up_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.worth_micros(), 1_000_000);
     /// ```
@@ -145,7 +145,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = |tier| Job { id: 1, service: "s".into(), tier, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     give_up_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job(0).waits_until_ms(), 850);
     /// assert!(job(2).waits_until_ms() < 100);
@@ -153,7 +153,7 @@
     #[must_use]
     pub fn waits_until_ms(&self) -> u64 {
         let least_ms = (self.objective_at_ms - self.arrived_ms) * LEAST_WAIT_PERCENT / 100;
-        let caller_leaves_at_ms = self.caller_leaves_at_ms.min(self.give_up_at_ms);
+        let caller_leaves_at_ms = self.caller_leaves_at_ms.min(self.deadline_at_ms);
         let most_ms = caller_leaves_at_ms.saturating_sub(self.arrived_ms) * MOST_WAIT_PERCENT / 100;
         let beyond_ms =
             numbers::as_f64(most_ms.saturating_sub(least_ms)) * admission::tier_worth(self.tier);
@@ -167,12 +167,12 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     give_up_at_ms: 8_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 8_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.retry_after_ms(0), 800);
     /// ```
     #[must_use]
     pub fn retry_after_ms(&self, now_ms: u64) -> u64 {
-        (self.give_up_at_ms.saturating_sub(now_ms) / COME_BACK_PARTS).max(MIN_RETRY_AFTER_MS)
+        (self.deadline_at_ms.saturating_sub(now_ms) / COME_BACK_PARTS).max(MIN_RETRY_AFTER_MS)
     }
 }
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -281,6 +281,6 @@
 
 /// Whether an answer of so much work is likely to be cut when the request's time is up.
 fn is_cut(alone_ms: f64, job: &Job, now_ms: u64) -> bool {
-    let ends_in_ms = numbers::as_f64(job.give_up_at_ms.saturating_sub(now_ms));
+    let ends_in_ms = numbers::as_f64(job.deadline_at_ms.saturating_sub(now_ms));
     alone_ms * LENGTH_DOUBT > ends_in_ms
 }
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -100,7 +100,7 @@
     /// When it arrived.
     pub arrived_ms: u64,
     /// When its caller gets an answer in any case.
-    pub give_up_at_ms: u64,
+    pub deadline_at_ms: u64,
     /// Upstreams that were sent it.
     pub tried: Vec<Arc<str>>,
     /// Whether one of them may have run it.
@@ -177,11 +177,11 @@
             relative_hold: self.relative_hold,
             arrived_ms: self.arrived_ms,
             objective_at_ms: self.arrived_ms + self.route.objective_ms,
-            give_up_at_ms: self.give_up_at_ms,
+            deadline_at_ms: self.deadline_at_ms,
             caller_leaves_at_ms: self
                 .route
                 .patience_ms
-                .map_or(self.give_up_at_ms, |patience_ms| {
+                .map_or(self.deadline_at_ms, |patience_ms| {
                     self.arrived_ms + patience_ms
                 }),
             tried: self.tried.clone(),
@@ -295,7 +295,7 @@
         }),
         last_event_id: headers.last_event_id,
         arrived_ms,
-        give_up_at_ms: arrived_ms + answer_within_ms,
+        deadline_at_ms: arrived_ms + answer_within_ms,
         tried: Vec::new(),
         may_have_run: false,
         waited_ms: 0,
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -200,7 +200,7 @@
     mut lease: Lease,
     last_event_id: Option<u64>,
 ) -> Attempt {
-    let until = traffic.instant_at(call.give_up_at_ms);
+    let until = traffic.instant_at(call.deadline_at_ms);
     let connection = timeout_at(until, traffic.connections.get(&lease.upstream)).await;
     let mut connection = match connection {
         Ok(Ok(connection)) => connection,
@@ -295,7 +295,7 @@
             )
             .field(
                 "left_ms",
-                call.give_up_at_ms.saturating_sub(traffic.now_ms()),
+                call.deadline_at_ms.saturating_sub(traffic.now_ms()),
             )
             .field("held_ms", traffic.now_ms() - lease.since_ms());
         fill(line)
@@ -313,7 +313,7 @@
     *request.uri_mut() = call.uri.clone();
     let mut headers = call.headers.clone();
     let ours = UpstreamHeaders {
-        remaining_ms: call.give_up_at_ms.saturating_sub(traffic.now_ms()).max(1),
+        remaining_ms: call.deadline_at_ms.saturating_sub(traffic.now_ms()).max(1),
         name: Arc::clone(&lease.upstream.name),
         customer: call
             .customer
@@ -385,7 +385,7 @@
 
 /// Whether a request may be sent to one more upstream.
 pub fn may_try_another(traffic: &Traffic, call: &Call) -> bool {
-    if traffic.now_ms() >= call.give_up_at_ms {
+    if traffic.now_ms() >= call.deadline_at_ms {
         return false;
     }
     if call.tried.is_empty() {
@@ -452,7 +452,7 @@
         connection,
         mut lease,
     } = answer;
-    let until = traffic.instant_at(call.give_up_at_ms);
+    let until = traffic.instant_at(call.deadline_at_ms);
     let body = match timeout_at(until, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -191,7 +191,7 @@
         let Some(source) = self.source.as_mut() else {
             return Came::Broke("no upstream");
         };
-        let give_up = self.traffic.instant_at(self.call.give_up_at_ms);
+        let give_up = self.traffic.instant_at(self.call.deadline_at_ms);
         let silent = Instant::now() + SILENCE;
         let until = if may_move {
             silent.min(give_up)
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -369,7 +369,7 @@
             let job = call.job();
             let trial = Job {
                 is_canary: true,
-                give_up_at_ms: job.give_up_at_ms.min(self.now_ms() + TRIAL_WAIT_MS),
+                deadline_at_ms: job.deadline_at_ms.min(self.now_ms() + TRIAL_WAIT_MS),
                 ..job
             };
             if let Turn::Start(lease) = self.turn(trial).await {
