--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -49,7 +49,7 @@
             objective_at_ms: self.now_ms + kind.objective_ms,
             deadline_at_ms: offered.at_ms + kind.deadline_ms,
             caller_leaves_at_ms: self.now_ms + PATIENCE_MS,
-            tried: Vec::new(),
+            tried_upstreams: Vec::new(),
             shared_prefix: None,
             cached_at: Vec::new(),
             has_start_deficit: false,
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -205,7 +205,7 @@
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(Dispatcher::default().all_backed_off_for_ms(&job, 0), None);
     /// ```
@@ -227,7 +227,7 @@
     fn untried(&self, job: &Job, now_ms: u64) -> impl Iterator<Item = &Place> {
         self.places_for(job)
             .filter(move |place| place.is_open(now_ms))
-            .filter(|place| !job.tried.contains(&place.upstream.instance))
+            .filter(|place| !job.tried_upstreams.contains(&place.upstream.instance))
     }
 
     /// Whether an upstream takes new work.
@@ -304,7 +304,7 @@
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(Dispatcher::default().choose(&job, &[], 0, || 1).is_none());
     /// ```
@@ -373,7 +373,7 @@
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(Dispatcher::default().cached_at(&job, 0).is_empty());
     /// ```
@@ -400,7 +400,7 @@
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(Dispatcher::default().saved_ms("i-1", &job), 0);
     /// ```
@@ -422,7 +422,7 @@
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     deadline_at_ms: 8_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 8_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(Dispatcher::default().lead_ms("i-1", &job) > 0);
     /// ```
--- a/lib/src/direct/placement/job.rs
+++ b/lib/src/direct/placement/job.rs
@@ -62,7 +62,7 @@
     /// When its caller leaves if nothing has come yet.
     pub caller_leaves_at_ms: u64,
     /// Upstreams that have had it.
-    pub tried: Vec<Arc<str>>,
+    pub tried_upstreams: Vec<Arc<str>>,
     /// The start of its prompt, if other requests may have it as well.
     pub shared_prefix: Option<SharedPrefix>,
     /// Engines that are likely to keep that start, the likeliest first.
@@ -80,7 +80,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.cached_tokens("i-1"), 0);
     /// ```
@@ -98,7 +98,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 9,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.unread_tokens("i-1"), 9);
     /// ```
@@ -117,7 +117,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.worth_micros(), 1_000_000);
     /// ```
@@ -145,7 +145,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = |tier| Job { id: 1, service: "s".into(), tier, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 9_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job(0).waits_until_ms(), 850);
     /// assert!(job(2).waits_until_ms() < 100);
@@ -167,7 +167,7 @@
     /// # use sardinewood::direct::placement::job::Job;
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0, objective_at_ms: 100,
-    /// #     deadline_at_ms: 8_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     deadline_at_ms: 8_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert_eq!(job.retry_after_ms(0), 800);
     /// ```
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -65,7 +65,7 @@
 /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
 /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
 /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-/// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+/// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
 /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
 ///
 /// // There is no engine, so the request is refused at once.
@@ -96,7 +96,7 @@
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let next = SlotSearch::new(job).start(&Dispatcher::default(), 0, || 1);
     /// assert_eq!(next, [SearchStep::Refuse]);
@@ -119,7 +119,7 @@
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let next = SlotSearch::new(job).handle_queued(PeerRequestId(7), 20, &Dispatcher::default(), 0, || 1);
     /// assert!(next.is_empty());
@@ -151,7 +151,7 @@
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let next = SlotSearch::new(job).handle_timeout(&Dispatcher::default(), 40, || 1);
     /// assert!(next.is_empty());
@@ -201,7 +201,7 @@
     /// # use sardinewood::direct::{placement::slot_search::SlotSearch, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// let slot_request = SlotSearch::new(job).slot_request(PeerRequestId(7), "i-1", &Dispatcher::default(), 60);
     /// assert_eq!(slot_request.waited_ms, 60);
@@ -236,7 +236,7 @@
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
     /// # let job = Job { id: 1, service: "s".into(), tier: 0, customer_tier: 0, prompt_tokens: 0,
     /// #     expected_output_tokens: None, relative_size: 1.0, relative_hold: 1.0, arrived_ms: 0,
-    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried: Vec::new(),
+    /// #     objective_at_ms: 100, deadline_at_ms: 1_000, caller_leaves_at_ms: 1_000, tried_upstreams: Vec::new(),
     /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
     /// assert!(SlotSearch::new(job).cancel_all().is_empty());
     /// ```
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -102,7 +102,7 @@
     /// When its caller gets an answer in any case.
     pub deadline_at_ms: u64,
     /// Upstreams that were sent it.
-    pub tried: Vec<Arc<str>>,
+    pub tried_upstreams: Vec<Arc<str>>,
     /// Whether one of them may have run it.
     pub may_have_run: bool,
     /// How long it has waited for room, over all attempts.
@@ -138,7 +138,7 @@
             .field("size", self.ending.size())
             .field("prompt_tokens", self.prompt_tokens)
             .field("expected_output_tokens", self.expected_output_tokens)
-            .field("upstreams", &self.tried)
+            .field("upstreams", &self.tried_upstreams)
             .field("waited_ms", self.waited_ms)
     }
 
@@ -184,7 +184,7 @@
                 .map_or(self.deadline_at_ms, |patience_ms| {
                     self.arrived_ms + patience_ms
                 }),
-            tried: self.tried.clone(),
+            tried_upstreams: self.tried_upstreams.clone(),
             shared_prefix: self.shared_prefix,
             cached_at: Vec::new(),
             has_start_deficit: self.ending.has_start_deficit(),
@@ -296,7 +296,7 @@
         last_event_id: headers.last_event_id,
         arrived_ms,
         deadline_at_ms: arrived_ms + answer_within_ms,
-        tried: Vec::new(),
+        tried_upstreams: Vec::new(),
         may_have_run: false,
         waited_ms: 0,
         ending,
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -177,7 +177,7 @@
 /// there is no room.
 async fn attempt(traffic: &Rc<Traffic>, call: &mut Call) -> Result<Attempt, u64> {
     let asked_ms = traffic.now_ms();
-    let turn = if call.tried.is_empty() {
+    let turn = if call.tried_upstreams.is_empty() {
         traffic.acquire_first_slot(call).await
     } else {
         traffic.turn(call.job()).await
@@ -222,7 +222,8 @@
         return Attempt::NotRun;
     }
     let request = upstream_request(traffic, call, &lease, last_event_id);
-    call.tried.push(Arc::clone(&lease.upstream.instance));
+    call.tried_upstreams
+        .push(Arc::clone(&lease.upstream.instance));
     lease.sent(call.prompt_tokens);
     traffic.record_version_dispatch(call, &mut lease);
     count_tokens(traffic, call, &lease);
@@ -234,7 +235,7 @@
             Attempt::TimeUp
         }
         Ok(Err(SendError::NotSent)) => {
-            call.tried.pop();
+            call.tried_upstreams.pop();
             Attempt::NotRun
         }
         Ok(Err(SendError::Broken)) => {
@@ -288,7 +289,7 @@
         let line = line
             .field("request", call.name())
             .field("upstream", &lease.upstream.instance)
-            .field("attempt", call.tried.len())
+            .field("attempt", call.tried_upstreams.len())
             .field(
                 "may_have_run",
                 ![NOT_REACHED, DECLINED, MISDIRECTED].contains(&message),
@@ -388,10 +389,10 @@
     if traffic.now_ms() >= call.deadline_at_ms {
         return false;
     }
-    if call.tried.is_empty() {
+    if call.tried_upstreams.is_empty() {
         return true;
     }
-    let sent = u32::try_from(call.tried.len()).unwrap_or(u32::MAX);
+    let sent = u32::try_from(call.tried_upstreams.len()).unwrap_or(u32::MAX);
     sent < call.route.max_upstreams
         && traffic.may_go_on(call)
         && traffic
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -52,7 +52,7 @@
     let id = call.request_id.as_ref();
     let inputs = json!({
         "route": call.route.name,
-        "upstreams": call.tried,
+        "upstreams": call.tried_upstreams,
         "may_have_run": call.may_have_run,
         "waited_ms": call.waited_ms,
         "is_idempotent": call.route.repeat.is_idempotent(),
--- a/lib/src/direct/request/pace.rs
+++ b/lib/src/direct/request/pace.rs
@@ -37,7 +37,10 @@
     /// Tells it if it was not told. What a second upstream goes on with says nothing of either.
     pub fn end(&mut self, traffic: &Traffic, call: &Call, lease: &Lease) {
         let is_told = std::mem::replace(&mut self.is_told, true);
-        let Some(first) = self.first.filter(|_| !is_told && call.tried.len() == 1) else {
+        let Some(first) = self
+            .first
+            .filter(|_| !is_told && call.tried_upstreams.len() == 1)
+        else {
             return;
         };
         let came = if self.events == 0 {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -207,7 +207,7 @@
 
     /// Whether another upstream may go on with what this one has begun.
     fn may_move(&self) -> bool {
-        let sent = u32::try_from(self.call.tried.len()).unwrap_or(u32::MAX);
+        let sent = u32::try_from(self.call.tried_upstreams.len()).unwrap_or(u32::MAX);
         self.call.route.repeat.is_idempotent()
             && self.last_event.is_some()
             && sent < self.call.route.max_upstreams
@@ -450,7 +450,7 @@
         self.traffic.log(Level::Warn, why, |line| {
             line.field("request", self.call.name())
                 .field("upstream", instance)
-                .field("attempt", self.call.tried.len())
+                .field("attempt", self.call.tried_upstreams.len())
                 .field("may_resume", self.call.route.repeat.is_idempotent())
                 .field("max_upstreams", self.call.route.max_upstreams)
                 .field("last_event", self.scan.last_id())
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -45,7 +45,7 @@
         objective_at_ms: 500,
         deadline_at_ms: 10_000,
         caller_leaves_at_ms: 2_400,
-        tried: Vec::new(),
+        tried_upstreams: Vec::new(),
         shared_prefix: None,
         cached_at: Vec::new(),
         has_start_deficit: false,
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -297,7 +297,7 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5)]);
     let again = Job {
-        tried: vec!["i-1".into()],
+        tried_upstreams: vec!["i-1".into()],
         ..job(1, 0)
     };
     // Nobody is left to try, so it does not wait either.
