--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -31,7 +31,7 @@
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
 use sardinewood::direct::sharing::size_stats::SizeClass;
 use sardinewood::direct::sharing::size_stats::SizeStats;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 pub use self::deadly::DeadlyOutcome;
 pub use self::need::Need;
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -13,7 +13,7 @@
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::record::Told;
 use sardinewood::direct::quarantine::suspects::Verdict;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use super::End;
 use super::Event;
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::notices::notice::Said;
 use sardinewood::direct::notices::record::Told;
 use sardinewood::direct::placement::health::AttemptOutcome;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use super::End;
 use super::Event;
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::size_fairness::SizeFairness;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 use sardinewood::numbers;
 
 use super::End;
--- a/bench/src/rollouts/play.rs
+++ b/bench/src/rollouts/play.rs
@@ -24,7 +24,7 @@
 use sardinewood::direct::rollout::table::EligibleUpstreams;
 use sardinewood::direct::rollout::table::RolloutTable;
 use sardinewood::direct::rollout::table::RunOutcome;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 use sardinewood::numbers;
 
 use crate::entry_address;
--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -27,5 +27,5 @@
 pub mod server;
 pub mod sharing;
 pub mod slot_driver;
+pub mod store_view;
 pub mod traffic;
-pub mod view;
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -20,8 +20,8 @@
 use crate::direct::request::call::Call;
 use crate::direct::request::caller::AnswerHeaders;
 use crate::direct::sharing::admission::EntryRef;
+use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::Traffic;
-use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
 use crate::numbers;
 
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -20,7 +20,7 @@
 use crate::direct::placement::shared_prefix::Candidate;
 use crate::direct::placement::shared_prefix::KeptAt;
 use crate::direct::placement::shared_prefix::SharedPrefix;
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::directory::Upstream;
 use crate::numbers;
 
 /// Upstreams of which the best is asked.
--- a/lib/src/direct/placement/place.rs
+++ b/lib/src/direct/placement/place.rs
@@ -11,7 +11,7 @@
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::directory::Upstream;
 use crate::numbers;
 
 /// How much slower than the best an upstream with many failures counts.
--- a/lib/src/direct/quarantine/ends.rs
+++ b/lib/src/direct/quarantine/ends.rs
@@ -11,7 +11,7 @@
 
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::directory::Upstream;
 
 /// How long after a break an end may still be proven: until a new incarnation of the upstream has
 /// started and stands in the list.
@@ -135,7 +135,7 @@
     /// ```
     /// # use sardinewood::direct::quarantine::ends::{Breaks, Next, Run};
     /// # use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
-    /// # use sardinewood::direct::view::directory::Upstream;
+    /// # use sardinewood::direct::store_view::directory::Upstream;
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
     /// #     service: "s".into(), address: "127.0.0.1:80".parse().unwrap(),
     /// #     data_centre: "d".into(), slots: 4, version: "v1".into(), revision: 1, is_leaving: false };
--- a/lib/src/direct/quarantining.rs
+++ b/lib/src/direct/quarantining.rs
@@ -25,9 +25,9 @@
 use crate::direct::request::call::Call;
 use crate::direct::request::connections;
 use crate::direct::request::connections::ConnectError;
+use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
-use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
 
 /// A request that is not run now.
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -18,8 +18,8 @@
 use crate::direct::sharing::quota::ChargeStep;
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
+use crate::direct::store_view::catalog::Customer;
 use crate::direct::traffic::Traffic;
-use crate::direct::view::catalog::Customer;
 use crate::logging::Level;
 
 /// Questions to keepers that have no answer yet.
--- a/lib/src/direct/request/connections.rs
+++ b/lib/src/direct/request/connections.rs
@@ -23,7 +23,7 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::directory::Upstream;
 
 /// How long a new connection may take. A healthy one takes a few milliseconds; a lost first
 /// packet is repeated by the system after a second, so another try is the faster way.
--- a/lib/src/direct/request/front.rs
+++ b/lib/src/direct/request/front.rs
@@ -23,8 +23,8 @@
 use crate::direct::request::notices_page;
 use crate::direct::request::quarantine_page;
 use crate::direct::request::rollout_page;
+use crate::direct::store_view::catalog::DEFAULT_IDLE_TIMEOUT_MS;
 use crate::direct::traffic::Traffic;
-use crate::direct::view::catalog::DEFAULT_IDLE_TIMEOUT_MS;
 use crate::logging::Level;
 
 /// Pause after a connection could not be accepted, for example for want of descriptors.
--- a/lib/src/direct/rollout/serving_versions.rs
+++ b/lib/src/direct/rollout/serving_versions.rs
@@ -6,7 +6,7 @@
 
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::directory::Upstream;
 
 /// The versions that serve, by service. One that nobody ordered gets nothing.
 ///
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -21,7 +21,7 @@
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::serving_versions::ServingVersions;
 use crate::direct::rollout::verdict::RequestCounts;
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::directory::Upstream;
 
 /// Upstreams of the old version that are counted beside the new one.
 const CONTROL_UPSTREAMS: usize = 12;
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -31,11 +31,11 @@
 use crate::direct::rollout::progress::RolloutProgress;
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::rollout::verdict::RequestCounts;
+use crate::direct::store_view::catalog::Catalog;
+use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::Lease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
-use crate::direct::view::catalog::Catalog;
-use crate::direct::view::directory::Upstream;
 use crate::logging::Level;
 
 /// How often orders that are in progress are looked at, and others.
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -36,8 +36,8 @@
 use crate::direct::sharing::quota::fleet::Changed;
 use crate::direct::sharing::quota::fleet::Fleet;
 use crate::direct::sharing::quota::fleet::Standing;
-use crate::direct::view::catalog::Customer;
-use crate::direct::view::catalog::Quota;
+use crate::direct::store_view::catalog::Customer;
+use crate::direct::store_view::catalog::Quota;
 use crate::numbers;
 
 mod bucket;
@@ -120,7 +120,7 @@
 ///
 /// ```
 /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
-/// use sardinewood::direct::view::catalog::{Quota, Customer};
+/// use sardinewood::direct::store_view::catalog::{Quota, Customer};
 ///
 /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
 /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
@@ -178,7 +178,7 @@
     /// ```
     /// use sardinewood::direct::membership::peer_table::QuotaOwners;
     /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Contention, RequestCost};
-    /// use sardinewood::direct::view::catalog::{Quota, Customer};
+    /// use sardinewood::direct::store_view::catalog::{Quota, Customer};
     ///
     /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
@@ -216,7 +216,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, ChargeOutcome, Contention, RequestCost};
-    /// # use sardinewood::direct::view::catalog::Customer;
+    /// # use sardinewood::direct::store_view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let begun = CustomerQuotas::default().begin_charge(&unlimited, cost, Contention::Uncontended, 0);
@@ -260,7 +260,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
-    /// # use sardinewood::direct::view::catalog::{Quota, Customer};
+    /// # use sardinewood::direct::store_view::catalog::{Quota, Customer};
     /// # let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let mut quotas = CustomerQuotas::default();
@@ -288,7 +288,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
-    /// # use sardinewood::direct::view::catalog::Customer;
+    /// # use sardinewood::direct::store_view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let keeper = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
@@ -317,7 +317,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
-    /// # use sardinewood::direct::view::catalog::Customer;
+    /// # use sardinewood::direct::store_view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let peer = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
@@ -360,7 +360,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
-    /// # use sardinewood::direct::view::catalog::Customer;
+    /// # use sardinewood::direct::store_view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
     /// let charge = CustomerQuotas::default().charge_locally(&unlimited, cost, Contention::Uncontended, 0);
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -8,7 +8,7 @@
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::fleet::Fleet;
 use crate::direct::sharing::quota::fleet::Standing;
-use crate::direct::view::catalog::Quota;
+use crate::direct::store_view::catalog::Quota;
 use crate::numbers;
 
 const MS_PER_S: f64 = 1_000.0;
--- a/lib/src/direct/view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -26,7 +26,7 @@
     /// Whether a second upstream may run the request after a first one may have.
     ///
     /// ```
-    /// use sardinewood::direct::view::catalog::Repeat;
+    /// use sardinewood::direct::store_view::catalog::Repeat;
     ///
     /// assert!(Repeat::Stream { resumable: true }.is_idempotent());
     /// assert!(!Repeat::Unsafe.is_idempotent());
@@ -39,7 +39,7 @@
     /// Whether the answer is a stream of events.
     ///
     /// ```
-    /// use sardinewood::direct::view::catalog::Repeat;
+    /// use sardinewood::direct::store_view::catalog::Repeat;
     ///
     /// assert!(!Repeat::Safe.is_stream());
     /// ```
@@ -89,7 +89,7 @@
     /// The service for a request, by a random number, in proportion to the weights.
     ///
     /// ```
-    /// # use sardinewood::direct::view::catalog::{Repeat, Route, Target};
+    /// # use sardinewood::direct::store_view::catalog::{Repeat, Route, Target};
     /// # let route = Route { name: "r".into(), path_prefix: "/a/".into(), repeat: Repeat::Safe,
     /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, is_open: true, pause_ms: None, patience_ms: None,
     /// #     targets: vec![Target { service: "x".into(), weight: 9 }, Target { service: "y".into(), weight: 1 }] };
@@ -183,7 +183,7 @@
     ///
     /// ```
     /// # use std::sync::Arc;
-    /// # use sardinewood::direct::view::catalog::{Admission, Catalog, Repeat, Route};
+    /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, Repeat, Route};
     /// # let route = |prefix: &str| Route { name: prefix.into(), path_prefix: prefix.into(),
     /// #     repeat: Repeat::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
     /// #     is_open: true, pause_ms: None, patience_ms: None, targets: Vec::new() };
@@ -203,7 +203,7 @@
     /// Finds the route and the customer of a request.
     ///
     /// ```
-    /// use sardinewood::direct::view::catalog::{Admission, Catalog};
+    /// use sardinewood::direct::store_view::catalog::{Admission, Catalog};
     ///
     /// assert!(matches!(Catalog::default().admit("h", "/", None), Admission::NoRoute));
     /// ```
@@ -228,7 +228,7 @@
     /// The customer of a name.
     ///
     /// ```
-    /// assert!(sardinewood::direct::view::catalog::Catalog::default().customer("c").is_none());
+    /// assert!(sardinewood::direct::store_view::catalog::Catalog::default().customer("c").is_none());
     /// ```
     #[must_use]
     pub fn customer(&self, name: &str) -> Option<&Arc<Customer>> {
@@ -240,7 +240,7 @@
     /// How long a caller's connection may stay without a request.
     ///
     /// ```
-    /// assert!(sardinewood::direct::view::catalog::Catalog::default().idle_timeout_ms() > 0);
+    /// assert!(sardinewood::direct::store_view::catalog::Catalog::default().idle_timeout_ms() > 0);
     /// ```
     #[must_use]
     pub fn idle_timeout_ms(&self) -> u64 {
--- a/lib/src/direct/view/directory.rs
+++ b/lib/src/direct/store_view/directory.rs
@@ -47,7 +47,7 @@
     /// Names an incarnation.
     ///
     /// ```
-    /// use sardinewood::direct::view::directory::Upstream;
+    /// use sardinewood::direct::store_view::directory::Upstream;
     ///
     /// assert_eq!(&*Upstream::instance_of("i-1", None), "i-1");
     /// assert_ne!(Upstream::instance_of("i-1", Some(5)), Upstream::instance_of("i-1", Some(6)));
@@ -111,7 +111,7 @@
 /// the two starts, does the entry count that stands in the list.
 ///
 /// ```
-/// use sardinewood::direct::view::directory::Directory;
+/// use sardinewood::direct::store_view::directory::Directory;
 ///
 /// assert!(Directory::default().usable().next().is_none());
 /// ```
@@ -129,7 +129,7 @@
     /// Notes that the store answers again after it did not.
     ///
     /// ```
-    /// sardinewood::direct::view::directory::Directory::default().store_returned(1_000);
+    /// sardinewood::direct::store_view::directory::Directory::default().store_returned(1_000);
     /// ```
     pub fn store_returned(&mut self, now_ms: u64) {
         self.doubt_until_ms = now_ms + RETURN_GRACE_MS;
@@ -138,7 +138,7 @@
     /// Takes one upstream's entry.
     ///
     /// ```
-    /// # use sardinewood::direct::view::directory::{Directory, Upstream};
+    /// # use sardinewood::direct::store_view::directory::{Directory, Upstream};
     /// let mut directory = Directory::default();
     /// directory.put(Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
     ///     service: "s".into(), address: "127.0.0.1:80".parse().unwrap(),
@@ -164,7 +164,7 @@
     /// Notes that an upstream's entry is gone.
     ///
     /// ```
-    /// sardinewood::direct::view::directory::Directory::default().remove("i-1", 0);
+    /// sardinewood::direct::store_view::directory::Directory::default().remove("i-1", 0);
     /// ```
     pub fn remove(&mut self, name: &str, now_ms: u64) {
         let Some(member) = self.members.get_mut(name) else {
@@ -184,7 +184,7 @@
     /// says is that nobody vouches for this upstream.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::view::directory::Directory::default().disown("i-1"));
+    /// assert!(!sardinewood::direct::store_view::directory::Directory::default().disown("i-1"));
     /// ```
     pub fn disown(&mut self, name: &str) -> bool {
         self.members.shift_remove(name).is_some()
@@ -194,7 +194,7 @@
     /// if anything changed.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::view::directory::Directory::default().sweep(0));
+    /// assert!(!sardinewood::direct::store_view::directory::Directory::default().sweep(0));
     /// ```
     pub fn sweep(&mut self, now_ms: u64) -> bool {
         let before = self.members.len();
@@ -212,7 +212,7 @@
     /// When [`Self::sweep`] has something to do.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::view::directory::Directory::default().sweep_at_ms(), None);
+    /// assert_eq!(sardinewood::direct::store_view::directory::Directory::default().sweep_at_ms(), None);
     /// ```
     #[must_use]
     pub fn sweep_at_ms(&self) -> Option<u64> {
@@ -227,7 +227,7 @@
     /// Upstreams that take new work.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::view::directory::Directory::default().usable().count(), 0);
+    /// assert_eq!(sardinewood::direct::store_view::directory::Directory::default().usable().count(), 0);
     /// ```
     pub fn usable(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         self.members
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -49,8 +49,8 @@
 use crate::direct::sharing::size_stats::SizeStats;
 use crate::direct::slot_driver;
 use crate::direct::slot_driver::PendingSlotRequest;
-use crate::direct::view::catalog::Catalog;
-use crate::direct::view::directory::Upstream;
+use crate::direct::store_view::catalog::Catalog;
+use crate::direct::store_view::directory::Upstream;
 use crate::logging::Level;
 use crate::logging::Line;
 
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::job::Job;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 /// An engine with so many slots.
 pub fn upstream(name: &str, slots: u32) -> Arc<Upstream> {
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -12,8 +12,8 @@
 use sardinewood::direct::sharing::quota::CustomerQuotas;
 use sardinewood::direct::sharing::quota::RequestCost;
 use sardinewood::direct::sharing::quota::Tolerance;
-use sardinewood::direct::view::catalog::Customer;
-use sardinewood::direct::view::catalog::Quota;
+use sardinewood::direct::store_view::catalog::Customer;
+use sardinewood::direct::store_view::catalog::Quota;
 
 /// What the platform's users tolerate, and the limit of a large customer of theirs.
 pub const TOLERANCE: Tolerance = Tolerance {
--- a/lib/tests/test_direct_directory.rs
+++ b/lib/tests/test_direct_directory.rs
@@ -1,8 +1,8 @@
 //! The list of upstreams through outages of the store.
 
-use sardinewood::direct::view::directory::Directory;
-use sardinewood::direct::view::directory::RETURN_GRACE_MS;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Directory;
+use sardinewood::direct::store_view::directory::RETURN_GRACE_MS;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture;
 use crate::direct_fixture::born;
--- a/lib/tests/test_direct_ends.rs
+++ b/lib/tests/test_direct_ends.rs
@@ -10,7 +10,7 @@
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::recent::RecentSuccesses;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture::born;
 use crate::direct_fixture::upstream;
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -23,7 +23,7 @@
 use sardinewood::direct::rollout::table::RunOutcome;
 use sardinewood::direct::rollout::verdict::VersionEvidence;
 use sardinewood::direct::rollout::verdict::VersionVerdict;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture;
 
--- a/lib/tests/test_direct_shared_prefix.rs
+++ b/lib/tests/test_direct_shared_prefix.rs
@@ -8,7 +8,7 @@
 use sardinewood::direct::placement::shared_prefix::SharedPrefix;
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture::job;
 use crate::direct_fixture::upstream;
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -14,8 +14,8 @@
 use sardinewood::direct::sharing::quota::Tolerance;
 use sardinewood::direct::sharing::retry_budget::RetryBudget;
 use sardinewood::direct::sharing::retry_budget::RetryLimits;
-use sardinewood::direct::view::catalog::Customer;
-use sardinewood::direct::view::catalog::Quota;
+use sardinewood::direct::store_view::catalog::Customer;
+use sardinewood::direct::store_view::catalog::Quota;
 
 const RATE_PER_S: u64 = 1_000;
 const COST: u64 = 10;
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::placement::slot_search::SearchStep;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::sharing::admission::PeerRequestId;
-use sardinewood::direct::view::directory::Upstream;
+use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture::job;
 use crate::direct_fixture::upstream;
