--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -22,7 +22,7 @@
 use crate::direct::replication::peer_pull::ReplicaUpdate;
 use crate::direct::store_view::replica::Decoders;
 use crate::direct::store_view::replica::Replica;
-use crate::direct::store_view::replica::View;
+use crate::direct::store_view::replica::ReplicaSnapshot;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ObjectList;
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug)]
 pub struct StoreFollower {
     replica: Rc<RefCell<Replica>>,
-    view: watch::Sender<View>,
+    view: watch::Sender<ReplicaSnapshot>,
     began: Instant,
     watches_store: watch::Receiver<bool>,
     answers: LastStoreResponse,
@@ -125,7 +125,7 @@
     #[must_use]
     pub fn new(
         decoders: Decoders,
-        view: watch::Sender<View>,
+        view: watch::Sender<ReplicaSnapshot>,
         watches_store: watch::Receiver<bool>,
         answers: LastStoreResponse,
     ) -> Self {
@@ -143,7 +143,7 @@
     }
 
     fn publish(&self) {
-        self.view.send_replace(self.replica.borrow().view());
+        self.view.send_replace(self.replica.borrow().snapshot());
     }
 
     /// Follows the configuration until the process ends.
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -47,7 +47,7 @@
 use crate::direct::sharing::quota::Tolerance;
 use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::store_view::replica::Decoders;
-use crate::direct::store_view::replica::View;
+use crate::direct::store_view::replica::ReplicaSnapshot;
 use crate::direct::traffic::Traffic;
 use crate::findings::Findings;
 use crate::logging::Level;
@@ -140,7 +140,7 @@
     S: ObjectSource + RolloutStore + Send + 'static,
     R: FnMut() -> Reload + 'static,
 {
-    let (view_sender, view) = watch::channel(View::default());
+    let (view_sender, view) = watch::channel(ReplicaSnapshot::default());
     let (ahead_sender, peer_ahead) = watch::channel(None);
     let (asks_sender, watches_store) = watch::channel(true);
     let (own_sender, own_revisions) = watch::channel(Revisions::default());
@@ -221,7 +221,7 @@
 async fn serve(
     settings: DirectSettings,
     adapter: Adapter,
-    view: watch::Receiver<View>,
+    view: watch::Receiver<ReplicaSnapshot>,
     own_revisions: watch::Sender<Revisions>,
     links: ControlChannels,
     (orders, due): (watch::Receiver<Option<RolloutView>>, StatusWriter),
@@ -329,7 +329,7 @@
 
 /// Brings each new view into force.
 async fn take_views(
-    mut view: watch::Receiver<View>,
+    mut view: watch::Receiver<ReplicaSnapshot>,
     own_revisions: watch::Sender<Revisions>,
     traffic: Rc<Traffic>,
 ) {
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -44,7 +44,7 @@
 
 /// What the traffic thread is told.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct ReplicaSnapshot {
     /// The configuration in force.
     pub catalog: Option<Arc<Catalog>>,
     /// Upstreams that take new work; none before the first list.
@@ -362,8 +362,8 @@
 
     /// What the traffic thread is told.
     #[must_use]
-    pub fn view(&self) -> View {
-        View {
+    pub fn snapshot(&self) -> ReplicaSnapshot {
+        ReplicaSnapshot {
             catalog: self
                 .catalog
                 .as_ref()
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -69,7 +69,7 @@
 }
 
 fn instances(replica: &Replica) -> Vec<String> {
-    let upstreams = replica.view().upstreams.expect("a list");
+    let upstreams = replica.snapshot().upstreams.expect("a list");
     let mut instances: Vec<String> = upstreams
         .iter()
         .map(|upstream| upstream.instance.to_string())
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -14,7 +14,7 @@
 use sardinewood::direct::store_view::catalog::Catalog;
 use sardinewood::direct::store_view::directory::Upstream;
 use sardinewood::direct::store_view::replica::Decoders;
-use sardinewood::direct::store_view::replica::View;
+use sardinewood::direct::store_view::replica::ReplicaSnapshot;
 use sardinewood::findings::Findings;
 use sardinewood::store::ObjectList;
 use sardinewood::store::ReadError;
@@ -79,8 +79,8 @@
     }
 }
 
-fn follower() -> (StoreFollower, watch::Receiver<View>) {
-    let (view_sender, view) = watch::channel(View::default());
+fn follower() -> (StoreFollower, watch::Receiver<ReplicaSnapshot>) {
+    let (view_sender, view) = watch::channel(ReplicaSnapshot::default());
     // The sender may go: what it said last stays.
     let (_asks, asks) = watch::channel(true);
     let answers = LastStoreResponse::default();
@@ -95,7 +95,7 @@
 }
 
 /// A follower that has seen a list of two upstreams, and then one more come and one go.
-async fn followed() -> (StoreFollower, watch::Receiver<View>) {
+async fn followed() -> (StoreFollower, watch::Receiver<ReplicaSnapshot>) {
     let (follower, view) = follower();
     let source = Scripted {
         list: ObjectList {
@@ -118,7 +118,7 @@
     let seen = view.clone();
     let wait = async move {
         let mut seen = seen;
-        let is_done = |view: &View| view.revisions.directory == 9;
+        let is_done = |view: &ReplicaSnapshot| view.revisions.directory == 9;
         seen.wait_for(is_done).await.expect("a view").clone()
     };
     tokio::select! {
@@ -128,7 +128,7 @@
     (follower, view)
 }
 
-fn names(view: &watch::Receiver<View>) -> Vec<String> {
+fn names(view: &watch::Receiver<ReplicaSnapshot>) -> Vec<String> {
     let view = view.borrow();
     let upstreams = view.upstreams.as_ref().expect("a list");
     upstreams
