--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -21,8 +21,8 @@
 use crate::direct::replication::peer_pull;
 use crate::direct::replication::peer_pull::ReplicaUpdate;
 use crate::direct::store_view::replica::Decoders;
-use crate::direct::store_view::replica::Replica;
 use crate::direct::store_view::replica::ReplicaSnapshot;
+use crate::direct::store_view::replica::StoreReplica;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ObjectList;
@@ -113,7 +113,7 @@
 /// The task that follows the store.
 #[derive(Clone, Debug)]
 pub struct StoreFollower {
-    replica: Rc<RefCell<Replica>>,
+    replica: Rc<RefCell<StoreReplica>>,
     view: watch::Sender<ReplicaSnapshot>,
     began: Instant,
     watches_store: watch::Receiver<bool>,
@@ -130,7 +130,7 @@
         answers: LastStoreResponse,
     ) -> Self {
         Self {
-            replica: Rc::new(RefCell::new(Replica::new(decoders))),
+            replica: Rc::new(RefCell::new(StoreReplica::new(decoders))),
             view,
             began: Instant::now(),
             watches_store,
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -55,7 +55,7 @@
 
 /// The newest that this entry knows.
 #[derive(Debug)]
-pub struct Replica {
+pub struct StoreReplica {
     decoders: Decoders,
     catalog: Option<(Arc<StoredObject>, Arc<Catalog>)>,
     /// The configuration's object as text, as peers get it.
@@ -72,7 +72,7 @@
     revisions: Revisions,
 }
 
-impl Replica {
+impl StoreReplica {
     /// A replica that knows nothing yet.
     #[must_use]
     pub fn new(decoders: Decoders) -> Self {
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::store_view::catalog::Catalog;
 use sardinewood::direct::store_view::directory::Upstream;
 use sardinewood::direct::store_view::replica::Decoders;
-use sardinewood::direct::store_view::replica::Replica;
+use sardinewood::direct::store_view::replica::StoreReplica;
 use sardinewood::findings::Findings;
 use sardinewood::store::ObjectList;
 use sardinewood::store::StoredObject;
@@ -68,7 +68,7 @@
     }
 }
 
-fn instances(replica: &Replica) -> Vec<String> {
+fn instances(replica: &StoreReplica) -> Vec<String> {
     let upstreams = replica.snapshot().upstreams.expect("a list");
     let mut instances: Vec<String> = upstreams
         .iter()
@@ -79,8 +79,8 @@
 }
 
 /// A replica that has listed `a` and `b` at revision 5.
-fn listed() -> Replica {
-    let mut replica = Replica::new(DECODERS);
+fn listed() -> StoreReplica {
+    let mut replica = StoreReplica::new(DECODERS);
     let first = list(5, vec![object("a", 2, 10), object("b", 3, 10)]);
     replica.take_list("u", first, 0);
     replica
