--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -20,7 +20,7 @@
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::replication::peer_pull;
 use crate::direct::replication::peer_pull::ReplicaUpdate;
-use crate::direct::store_view::replica::Decoders;
+use crate::direct::store_view::replica::ObjectDecoders;
 use crate::direct::store_view::replica::ReplicaSnapshot;
 use crate::direct::store_view::replica::StoreReplica;
 use crate::logging::Level;
@@ -124,7 +124,7 @@
     /// A follower that knows nothing yet and tells `view` what it learns.
     #[must_use]
     pub fn new(
-        decoders: Decoders,
+        decoders: ObjectDecoders,
         view: watch::Sender<ReplicaSnapshot>,
         watches_store: watch::Receiver<bool>,
         answers: LastStoreResponse,
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -46,7 +46,7 @@
 use crate::direct::rollout_driver::StatusWriter;
 use crate::direct::sharing::quota::Tolerance;
 use crate::direct::sharing::retry_budget::RetryLimits;
-use crate::direct::store_view::replica::Decoders;
+use crate::direct::store_view::replica::ObjectDecoders;
 use crate::direct::store_view::replica::ReplicaSnapshot;
 use crate::direct::traffic::Traffic;
 use crate::findings::Findings;
@@ -118,7 +118,7 @@
     /// How headers are read and written.
     pub dialect: Dialect,
     /// How stored objects are read.
-    pub decoders: Decoders,
+    pub decoders: ObjectDecoders,
 }
 
 fn current_thread() -> io::Result<Runtime> {
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -29,7 +29,7 @@
 
 /// How stored objects are read.
 #[derive(Clone, Copy, Debug)]
-pub struct Decoders {
+pub struct ObjectDecoders {
     /// Kind of the configuration's object.
     pub catalog_kind: &'static str,
     /// Name of the configuration's object.
@@ -56,7 +56,7 @@
 /// The newest that this entry knows.
 #[derive(Debug)]
 pub struct StoreReplica {
-    decoders: Decoders,
+    decoders: ObjectDecoders,
     catalog: Option<(Arc<StoredObject>, Arc<Catalog>)>,
     /// The configuration's object as text, as peers get it.
     catalog_json: Arc<str>,
@@ -75,7 +75,7 @@
 impl StoreReplica {
     /// A replica that knows nothing yet.
     #[must_use]
-    pub fn new(decoders: Decoders) -> Self {
+    pub fn new(decoders: ObjectDecoders) -> Self {
         Self {
             decoders,
             catalog: None,
@@ -92,7 +92,7 @@
 
     /// How its objects are read.
     #[must_use]
-    pub fn decoders(&self) -> &Decoders {
+    pub fn decoders(&self) -> &ObjectDecoders {
         &self.decoders
     }
 
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::replication::peer_pull::UpstreamListUpdate;
 use sardinewood::direct::store_view::catalog::Catalog;
 use sardinewood::direct::store_view::directory::Upstream;
-use sardinewood::direct::store_view::replica::Decoders;
+use sardinewood::direct::store_view::replica::ObjectDecoders;
 use sardinewood::direct::store_view::replica::StoreReplica;
 use sardinewood::findings::Findings;
 use sardinewood::store::ObjectList;
@@ -16,7 +16,7 @@
 
 use crate::direct_fixture;
 
-const DECODERS: Decoders = Decoders {
+const DECODERS: ObjectDecoders = ObjectDecoders {
     catalog_kind: "c",
     catalog_name: "main",
     upstream_kind: "u",
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -13,7 +13,7 @@
 use sardinewood::direct::replication::store_follower::StoreFollower;
 use sardinewood::direct::store_view::catalog::Catalog;
 use sardinewood::direct::store_view::directory::Upstream;
-use sardinewood::direct::store_view::replica::Decoders;
+use sardinewood::direct::store_view::replica::ObjectDecoders;
 use sardinewood::direct::store_view::replica::ReplicaSnapshot;
 use sardinewood::findings::Findings;
 use sardinewood::store::ObjectList;
@@ -29,7 +29,7 @@
 
 use crate::direct_fixture;
 
-const DECODERS: Decoders = Decoders {
+const DECODERS: ObjectDecoders = ObjectDecoders {
     catalog_kind: "c",
     catalog_name: "main",
     upstream_kind: "u",
