--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -171,7 +171,7 @@
                 None => source
                     .list(kind)
                     .await
-                    .map(|list| self.take_list(kind, list, &outage)),
+                    .map(|list| self.apply_list(kind, list, &outage)),
                 Some(after) => source
                     .watch(kind, after, WATCH_WAIT_MS)
                     .await
@@ -196,12 +196,12 @@
         }
     }
 
-    fn take_list(&self, kind: &str, list: ObjectList, outage: &Outage) -> u64 {
+    fn apply_list(&self, kind: &str, list: ObjectList, outage: &Outage) -> u64 {
         let revision = list.revision;
         self.note_return(kind, outage);
         self.replica
             .borrow_mut()
-            .take_list(kind, list, self.now_ms());
+            .apply_list(kind, list, self.now_ms());
         self.publish();
         revision
     }
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes all objects of a kind.
-    pub fn take_list(&mut self, kind: &str, list: ObjectList, now_ms: u64) {
+    pub fn apply_list(&mut self, kind: &str, list: ObjectList, now_ms: u64) {
         if kind == self.decoders.catalog_kind {
             for object in list.objects {
                 self.take_catalog(object);
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -82,7 +82,7 @@
 fn listed() -> StoreReplica {
     let mut replica = StoreReplica::new(DECODERS);
     let first = list(5, vec![object("a", 2, 10), object("b", 3, 10)]);
-    replica.take_list("u", first, 0);
+    replica.apply_list("u", first, 0);
     replica
 }
 
@@ -116,7 +116,7 @@
     }
     replica.apply_update(newer, 0);
     let late = list(5, vec![object("a", 2, 10), object("b", 3, 10)]);
-    replica.take_list("u", late, 0);
+    replica.apply_list("u", late, 0);
     assert_eq!(instances(&replica), ["a@20", "c@10"]);
     assert_eq!(replica.revisions().directory, 9);
 }
