--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -213,7 +213,7 @@
         }
         let now_ms = self.now_ms();
         for event in batch.events {
-            self.replica.borrow_mut().take_event(kind, event, now_ms);
+            self.replica.borrow_mut().apply_event(kind, event, now_ms);
         }
         self.publish();
         batch.revision
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -134,7 +134,7 @@
     }
 
     /// Takes one change that the store tells of.
-    pub fn take_event(&mut self, kind: &str, event: WatchEvent, now_ms: u64) {
+    pub fn apply_event(&mut self, kind: &str, event: WatchEvent, now_ms: u64) {
         let is_catalog = kind == self.decoders.catalog_kind;
         match event {
             WatchEvent::Put(object) if is_catalog => self.take_catalog(object),
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -89,7 +89,7 @@
 #[test]
 fn restart_replaces_the_former_self() {
     let mut replica = listed();
-    replica.take_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
+    replica.apply_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
 }
 
@@ -99,9 +99,9 @@
     // revision 6 and the new one's came at 7; a peer told of 7 before our own watch told of 6.
     let mut replica = listed();
     replica.apply_update(changes(3, 7, vec![object("a", 7, 20)]), 0);
-    replica.take_event("u", gone("a", 6), 0);
+    replica.apply_event("u", gone("a", 6), 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
-    replica.take_event("u", gone("a", 8), 0);
+    replica.apply_event("u", gone("a", 8), 0);
     assert_eq!(instances(&replica), ["b@10"]);
 }
 
@@ -124,7 +124,7 @@
 #[test]
 fn lagging_peer_brings_nothing_back() {
     let mut replica = listed();
-    replica.take_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
+    replica.apply_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
     let stale = ReplicaUpdate {
         catalog: None,
         upstreams: Some(UpstreamListUpdate::Full(list(5, vec![object("a", 2, 10)]))),
@@ -138,10 +138,10 @@
     // The upstream has started again, and then a write of its former self is done over its entry:
     // it takes an hour-old speed, drain and address with it. Its next heartbeat sets that right.
     let mut replica = listed();
-    replica.take_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
-    replica.take_event("u", WatchEvent::Put(object("a", 8, 10)), 100);
+    replica.apply_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
+    replica.apply_event("u", WatchEvent::Put(object("a", 8, 10)), 100);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
-    replica.take_event("u", WatchEvent::Put(object("a", 9, 20)), 1_200);
+    replica.apply_event("u", WatchEvent::Put(object("a", 9, 20)), 1_200);
     assert!(!replica.sweep(60_000));
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
 }
@@ -151,7 +151,7 @@
     // The host's clock was set back while the upstream was down, so the new start seems older.
     // Nobody writes for the one that seems newer, so after three heartbeats the list is believed.
     let mut replica = listed();
-    replica.take_event("u", WatchEvent::Put(object("a", 7, 4)), 1_000);
+    replica.apply_event("u", WatchEvent::Put(object("a", 7, 4)), 1_000);
     assert!(!replica.sweep(4_500));
     assert!(replica.sweep(4_600));
     assert_eq!(instances(&replica), ["a@4", "b@10"]);
@@ -160,8 +160,8 @@
 #[test]
 fn removed_after_a_late_write() {
     let mut replica = listed();
-    replica.take_event("u", WatchEvent::Put(object("a", 7, 4)), 1_000);
-    replica.take_event("u", gone("a", 8), 1_100);
+    replica.apply_event("u", WatchEvent::Put(object("a", 7, 4)), 1_000);
+    replica.apply_event("u", gone("a", 8), 1_100);
     assert_eq!(instances(&replica), ["b@10"]);
     assert!(!replica.sweep(9_000));
 }
@@ -173,7 +173,7 @@
         value: Value::Null,
         ..object("a", 7, 0)
     };
-    replica.take_event("u", WatchEvent::Put(spoiled.clone()), 0);
+    replica.apply_event("u", WatchEvent::Put(spoiled.clone()), 0);
     assert_eq!(instances(&replica), ["b@10"]);
     // It is passed on to peers as it is: they know as well that it names nothing.
     let theirs = Revisions {
@@ -184,6 +184,6 @@
         panic!("changes were expected");
     };
     assert_eq!(changes.objects, [spoiled]);
-    replica.take_event("u", WatchEvent::Put(object("a", 8, 10)), 0);
+    replica.apply_event("u", WatchEvent::Put(object("a", 8, 10)), 0);
     assert_eq!(instances(&replica), ["a@10", "b@10"]);
 }
