--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -222,7 +222,7 @@
     fn note_return(&self, kind: &str, outage: &Outage) {
         let mut replica = self.replica.borrow_mut();
         if outage.is_on() && kind == replica.decoders().upstream_kind {
-            replica.store_returned(self.now_ms());
+            replica.store_recovered(self.now_ms());
         }
     }
 
--- a/lib/src/direct/store_view/directory.rs
+++ b/lib/src/direct/store_view/directory.rs
@@ -129,9 +129,9 @@
     /// Notes that the store answers again after it did not.
     ///
     /// ```
-    /// sardinewood::direct::store_view::directory::Directory::default().store_returned(1_000);
+    /// sardinewood::direct::store_view::directory::Directory::default().store_recovered(1_000);
     /// ```
-    pub fn store_returned(&mut self, now_ms: u64) {
+    pub fn store_recovered(&mut self, now_ms: u64) {
         self.doubt_until_ms = now_ms + RETURN_GRACE_MS;
     }
 
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -109,8 +109,8 @@
     }
 
     /// Notes that the store answers again after it did not.
-    pub fn store_returned(&mut self, now_ms: u64) {
-        self.directory.store_returned(now_ms);
+    pub fn store_recovered(&mut self, now_ms: u64) {
+        self.directory.store_recovered(now_ms);
     }
 
     /// Settles what only time tells; whether the upstreams have changed.
--- a/lib/tests/test_direct_directory.rs
+++ b/lib/tests/test_direct_directory.rs
@@ -43,7 +43,7 @@
     // entries, and the first list after its return is empty; they write themselves back
     // within two seconds. The one that does not is gone then.
     let mut directory = listed(&[upstream("a", false), upstream("b", false)]);
-    directory.store_returned(9_000);
+    directory.store_recovered(9_000);
     directory.remove("a", 9_000);
     directory.remove("b", 9_000);
     assert_eq!(usable(&directory).len(), 2);
@@ -56,7 +56,7 @@
 #[test]
 fn leaving_one_not_kept_through_outage() {
     let mut directory = listed(&[upstream("a", true)]);
-    directory.store_returned(9_000);
+    directory.store_recovered(9_000);
     directory.remove("a", 9_000);
     assert_eq!(directory.sweep_at_ms(), None);
     assert!(usable(&directory).is_empty());
@@ -97,7 +97,7 @@
 fn disowned_goes_at_once_even_around_an_outage() {
     let mut directory = Directory::default();
     directory.put(born("a", 5), 0);
-    directory.store_returned(10);
+    directory.store_recovered(10);
     assert!(directory.disown("a"));
     assert!(usable(&directory).is_empty());
 }
