--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -225,7 +225,7 @@
         began_ms: u64,
         broke_at_ms: u64,
     },
-    Repeat {
+    RetryPolicy {
         entry: usize,
     },
     RateAllows {
@@ -355,7 +355,7 @@
             self.at(first_heartbeat_ms(entry), Event::Heartbeat { entry });
             if self.setup.deadly_every_ms.is_some() {
                 let first_ms = entry as u64 % gossip::RESEND_INTERVAL_MS;
-                self.at(first_ms, Event::Repeat { entry });
+                self.at(first_ms, Event::RetryPolicy { entry });
             }
         }
         for request in 0..self.offered.len() {
@@ -497,7 +497,7 @@
                 began_ms,
                 broke_at_ms,
             } => self.proven(entry, upstream, request, (began_ms, broke_at_ms)),
-            Event::Repeat { entry } => self.repeat_suspects(entry),
+            Event::RetryPolicy { entry } => self.repeat_suspects(entry),
             Event::RateAllows { entry } => self.rate_allows(entry),
             Event::EndLeaving => self.end_leaving(),
         }
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -214,7 +214,7 @@
         }
         self.at(
             self.now_ms + gossip::RESEND_INTERVAL_MS,
-            Event::Repeat { entry },
+            Event::RetryPolicy { entry },
         );
     }
 
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -371,7 +371,7 @@
     if matches!(failed, Attempt::TimeUp) {
         return Next::AnswerTimeUp;
     }
-    if call.may_have_run && !call.route.repeat.is_idempotent() {
+    if call.may_have_run && !call.route.retry_policy.is_idempotent() {
         return Next::AnswerUnknown;
     }
     if may_try_another(traffic, call) {
@@ -442,7 +442,7 @@
 
 /// Reads a short answer whole, or begins to pass a stream on.
 async fn finish(traffic: &Rc<Traffic>, call: &mut Call, answer: Answer) -> Finished {
-    let is_stream = call.route.repeat.is_stream() && answer.parts.status.is_success();
+    let is_stream = call.route.retry_policy.is_stream() && answer.parts.status.is_success();
     if is_stream {
         return Finished::Stream(Box::new(Relay::new(traffic, call.clone(), answer)));
     }
@@ -491,7 +491,7 @@
     let mut response = Response::from_parts(parts, AnswerBody::Whole(body));
     *response.headers_mut() = end_to_end(std::mem::take(response.headers_mut()));
     let answer = WholeAnswer { response, held_ms };
-    if has_failed && call.route.repeat.is_idempotent() && may_try_another(traffic, call) {
+    if has_failed && call.route.retry_policy.is_idempotent() && may_try_another(traffic, call) {
         log_attempt(traffic, call, &lease, "upstream answered with a failure");
         return Finished::Failed(answer);
     }
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -55,7 +55,7 @@
         "upstreams": call.tried_upstreams,
         "may_have_run": call.may_have_run,
         "waited_ms": call.waited_ms,
-        "is_idempotent": call.route.repeat.is_idempotent(),
+        "is_idempotent": call.route.retry_policy.is_idempotent(),
         "max_upstreams": call.route.max_upstreams,
     });
     Refusal::new(status, "outcome unknown", id)
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -208,7 +208,7 @@
     /// Whether another upstream may go on with what this one has begun.
     fn may_move(&self) -> bool {
         let sent = u32::try_from(self.call.tried_upstreams.len()).unwrap_or(u32::MAX);
-        self.call.route.repeat.is_idempotent()
+        self.call.route.retry_policy.is_idempotent()
             && self.last_event.is_some()
             && sent < self.call.route.max_upstreams
     }
@@ -377,7 +377,9 @@
         }
         let instance = leave(&mut self.source);
         self.log_left(why, instance.as_deref().unwrap_or_default());
-        while self.call.route.repeat.is_idempotent() && may_try_another(&self.traffic, &self.call) {
+        while self.call.route.retry_policy.is_idempotent()
+            && may_try_another(&self.traffic, &self.call)
+        {
             match self.resume().await {
                 Resumed::GoesOn => {
                     self.traffic.figures.resumed.inc();
@@ -451,7 +453,7 @@
             line.field("request", self.call.name())
                 .field("upstream", instance)
                 .field("attempt", self.call.tried_upstreams.len())
-                .field("may_resume", self.call.route.repeat.is_idempotent())
+                .field("may_resume", self.call.route.retry_policy.is_idempotent())
                 .field("max_upstreams", self.call.route.max_upstreams)
                 .field("last_event", self.scan.last_id())
         });
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -361,7 +361,7 @@
         let target = self.rollouts.borrow_mut().choose_target(
             &call.service,
             &call.route.name,
-            !call.route.repeat.is_idempotent(),
+            !call.route.retry_policy.is_idempotent(),
             self.now_ms(),
             rand::random(),
         );
@@ -383,7 +383,7 @@
 
     /// Notes that a request goes to an upstream.
     pub fn record_version_dispatch(&self, call: &Call, lease: &mut Lease) {
-        let is_pinned = !call.route.repeat.is_idempotent();
+        let is_pinned = !call.route.retry_policy.is_idempotent();
         let mut table = self.rollouts.borrow_mut();
         if !table.tracks_versions() {
             return;
--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -10,7 +10,7 @@
 
 /// Whether a request may run again after its outcome became unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It changes nothing, so another upstream may run it again.
     Safe,
     /// It runs once at most.
@@ -22,14 +22,14 @@
     },
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Whether a second upstream may run the request after a first one may have.
     ///
     /// ```
-    /// use sardinewood::direct::store_view::catalog::Repeat;
+    /// use sardinewood::direct::store_view::catalog::RetryPolicy;
     ///
-    /// assert!(Repeat::Stream { resumable: true }.is_idempotent());
-    /// assert!(!Repeat::Unsafe.is_idempotent());
+    /// assert!(RetryPolicy::Stream { resumable: true }.is_idempotent());
+    /// assert!(!RetryPolicy::Unsafe.is_idempotent());
     /// ```
     #[must_use]
     pub fn is_idempotent(self) -> bool {
@@ -39,9 +39,9 @@
     /// Whether the answer is a stream of events.
     ///
     /// ```
-    /// use sardinewood::direct::store_view::catalog::Repeat;
+    /// use sardinewood::direct::store_view::catalog::RetryPolicy;
     ///
-    /// assert!(!Repeat::Safe.is_stream());
+    /// assert!(!RetryPolicy::Safe.is_stream());
     /// ```
     #[must_use]
     pub fn is_stream(self) -> bool {
@@ -66,7 +66,7 @@
     /// The start of the path, with a slash at both ends.
     pub path_prefix: Arc<str>,
     /// Whether and how a request may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The longest that a caller is kept waiting for the answer.
     pub timeout_ms: u64,
     /// The time within which the answer, or the first event, is worth most.
@@ -89,8 +89,8 @@
     /// The service for a request, by a random number, in proportion to the weights.
     ///
     /// ```
-    /// # use sardinewood::direct::store_view::catalog::{Repeat, Route, Target};
-    /// # let route = Route { name: "r".into(), path_prefix: "/a/".into(), repeat: Repeat::Safe,
+    /// # use sardinewood::direct::store_view::catalog::{RetryPolicy, Route, Target};
+    /// # let route = Route { name: "r".into(), path_prefix: "/a/".into(), retry_policy: RetryPolicy::Safe,
     /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, is_open: true, pause_ms: None, patience_ms: None,
     /// #     targets: vec![Target { service: "x".into(), weight: 9 }, Target { service: "y".into(), weight: 1 }] };
     /// assert_eq!(&**route.service_for(8).unwrap(), "x");
@@ -183,9 +183,9 @@
     ///
     /// ```
     /// # use std::sync::Arc;
-    /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, Repeat, Route};
+    /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, RetryPolicy, Route};
     /// # let route = |prefix: &str| Route { name: prefix.into(), path_prefix: prefix.into(),
-    /// #     repeat: Repeat::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
+    /// #     retry_policy: RetryPolicy::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
     /// #     is_open: true, pause_ms: None, patience_ms: None, targets: Vec::new() };
     /// let mut catalog = Catalog::default();
     /// catalog.add_route("a.example".into(), route("/a/"));
