--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -51,7 +51,7 @@
 
 /// A service that takes a part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
     /// Its share, relative to the other targets of the route.
@@ -74,7 +74,7 @@
     /// Importance, 0 the highest.
     pub tier: u8,
     /// Services that take its requests.
-    pub targets: Vec<Target>,
+    pub services: Vec<WeightedService>,
     /// Upstreams to which one request may be sent.
     pub max_upstreams: u32,
     /// Whether callers need no key.
@@ -89,18 +89,18 @@
     /// The service for a request, by a random number, in proportion to the weights.
     ///
     /// ```
-    /// # use sardinewood::direct::store_view::catalog::{RetryPolicy, Route, Target};
+    /// # use sardinewood::direct::store_view::catalog::{RetryPolicy, Route, WeightedService};
     /// # let route = Route { name: "r".into(), path_prefix: "/a/".into(), retry_policy: RetryPolicy::Safe,
     /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, is_open: true, pause_ms: None, patience_ms: None,
-    /// #     targets: vec![Target { service: "x".into(), weight: 9 }, Target { service: "y".into(), weight: 1 }] };
+    /// #     services: vec![WeightedService { service: "x".into(), weight: 9 }, WeightedService { service: "y".into(), weight: 1 }] };
     /// assert_eq!(&**route.service_for(8).unwrap(), "x");
     /// assert_eq!(&**route.service_for(9).unwrap(), "y");
     /// ```
     #[must_use]
     pub fn service_for(&self, random: u32) -> Option<&Arc<str>> {
-        let total: u32 = self.targets.iter().map(|target| target.weight).sum();
+        let total: u32 = self.services.iter().map(|target| target.weight).sum();
         let mut left = random.checked_rem(total)?;
-        for target in &self.targets {
+        for target in &self.services {
             if left < target.weight {
                 return Some(&target.service);
             }
@@ -186,7 +186,7 @@
     /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, RetryPolicy, Route};
     /// # let route = |prefix: &str| Route { name: prefix.into(), path_prefix: prefix.into(),
     /// #     retry_policy: RetryPolicy::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
-    /// #     is_open: true, pause_ms: None, patience_ms: None, targets: Vec::new() };
+    /// #     is_open: true, pause_ms: None, patience_ms: None, services: Vec::new() };
     /// let mut catalog = Catalog::default();
     /// catalog.add_route("a.example".into(), route("/a/"));
     /// catalog.add_route("a.example".into(), route("/a/b/"));
