--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -200,7 +200,7 @@
         let patience_ms = job.caller_leaves_at_ms.saturating_sub(job.arrived_ms);
         Job {
             arrived_ms: now_ms,
-            objective_at_ms: now_ms + self.route.pause_ms.unwrap_or(self.route.objective_ms),
+            objective_at_ms: now_ms + self.route.gap_target_ms.unwrap_or(self.route.objective_ms),
             caller_leaves_at_ms: now_ms + patience_ms / 2,
             ..job
         }
