--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -180,9 +180,9 @@
             deadline_at_ms: self.deadline_at_ms,
             caller_leaves_at_ms: self
                 .route
-                .patience_ms
-                .map_or(self.deadline_at_ms, |patience_ms| {
-                    self.arrived_ms + patience_ms
+                .caller_patience_ms
+                .map_or(self.deadline_at_ms, |caller_patience_ms| {
+                    self.arrived_ms + caller_patience_ms
                 }),
             tried_upstreams: self.tried_upstreams.clone(),
             shared_prefix: self.shared_prefix,
@@ -197,11 +197,11 @@
     #[must_use]
     pub fn resume_job(&self, now_ms: u64) -> Job {
         let job = self.job();
-        let patience_ms = job.caller_leaves_at_ms.saturating_sub(job.arrived_ms);
+        let caller_patience_ms = job.caller_leaves_at_ms.saturating_sub(job.arrived_ms);
         Job {
             arrived_ms: now_ms,
             objective_at_ms: now_ms + self.route.gap_target_ms.unwrap_or(self.route.objective_ms),
-            caller_leaves_at_ms: now_ms + patience_ms / 2,
+            caller_leaves_at_ms: now_ms + caller_patience_ms / 2,
             ..job
         }
     }
--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -82,7 +82,7 @@
     /// The longest pause between two events with which a stream is on time.
     pub gap_target_ms: Option<u64>,
     /// How long callers wait for a first event before they leave.
-    pub patience_ms: Option<u64>,
+    pub caller_patience_ms: Option<u64>,
 }
 
 impl Route {
@@ -91,7 +91,7 @@
     /// ```
     /// # use sardinewood::direct::store_view::catalog::{RetryPolicy, Route, WeightedService};
     /// # let route = Route { name: "r".into(), path_prefix: "/a/".into(), retry_policy: RetryPolicy::Safe,
-    /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, is_open: true, gap_target_ms: None, patience_ms: None,
+    /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, is_open: true, gap_target_ms: None, caller_patience_ms: None,
     /// #     services: vec![WeightedService { service: "x".into(), weight: 9 }, WeightedService { service: "y".into(), weight: 1 }] };
     /// assert_eq!(&**route.service_for(8).unwrap(), "x");
     /// assert_eq!(&**route.service_for(9).unwrap(), "y");
@@ -186,7 +186,7 @@
     /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, RetryPolicy, Route};
     /// # let route = |prefix: &str| Route { name: prefix.into(), path_prefix: prefix.into(),
     /// #     retry_policy: RetryPolicy::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
-    /// #     is_open: true, gap_target_ms: None, patience_ms: None, services: Vec::new() };
+    /// #     is_open: true, gap_target_ms: None, caller_patience_ms: None, services: Vec::new() };
     /// let mut catalog = Catalog::default();
     /// catalog.add_route("a.example".into(), route("/a/"));
     /// catalog.add_route("a.example".into(), route("/a/b/"));
