--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -78,7 +78,7 @@
     /// Upstreams to which one request may be sent.
     pub max_upstreams: u32,
     /// Whether callers need no key.
-    pub is_open: bool,
+    pub allows_anonymous: bool,
     /// The longest pause between two events with which a stream is on time.
     pub gap_target_ms: Option<u64>,
     /// How long callers wait for a first event before they leave.
@@ -91,7 +91,7 @@
     /// ```
     /// # use sardinewood::direct::store_view::catalog::{RetryPolicy, Route, WeightedService};
     /// # let route = Route { name: "r".into(), path_prefix: "/a/".into(), retry_policy: RetryPolicy::Safe,
-    /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, is_open: true, gap_target_ms: None, caller_patience_ms: None,
+    /// #     timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1, allows_anonymous: true, gap_target_ms: None, caller_patience_ms: None,
     /// #     services: vec![WeightedService { service: "x".into(), weight: 9 }, WeightedService { service: "y".into(), weight: 1 }] };
     /// assert_eq!(&**route.service_for(8).unwrap(), "x");
     /// assert_eq!(&**route.service_for(9).unwrap(), "y");
@@ -186,7 +186,7 @@
     /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, RetryPolicy, Route};
     /// # let route = |prefix: &str| Route { name: prefix.into(), path_prefix: prefix.into(),
     /// #     retry_policy: RetryPolicy::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
-    /// #     is_open: true, gap_target_ms: None, caller_patience_ms: None, services: Vec::new() };
+    /// #     allows_anonymous: true, gap_target_ms: None, caller_patience_ms: None, services: Vec::new() };
     /// let mut catalog = Catalog::default();
     /// catalog.add_route("a.example".into(), route("/a/"));
     /// catalog.add_route("a.example".into(), route("/a/b/"));
@@ -219,7 +219,7 @@
             return Admission::NoRoute;
         };
         let customer = key.and_then(|key| self.customers.get(key)).cloned();
-        if customer.is_none() && self.needs_keys && !route.is_open {
+        if customer.is_none() && self.needs_keys && !route.allows_anonymous {
             return Admission::BadKey;
         }
         Admission::Allowed(Arc::clone(route), customer)
