--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -162,7 +162,7 @@
     /// Customers by key; none at all if requests need no key.
     pub customers: IndexMap<Arc<str>, Arc<Customer>>,
     /// Whether requests need a key, also if nobody holds one.
-    pub needs_keys: bool,
+    pub requires_key: bool,
     /// Limits of callers.
     pub limits: Option<Limits>,
 }
@@ -219,7 +219,7 @@
             return Admission::NoRoute;
         };
         let customer = key.and_then(|key| self.customers.get(key)).cloned();
-        if customer.is_none() && self.needs_keys && !route.allows_anonymous {
+        if customer.is_none() && self.requires_key && !route.allows_anonymous {
             return Admission::BadKey;
         }
         Admission::Allowed(Arc::clone(route), customer)
