--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -143,7 +143,7 @@
 
 /// What a caller may send, and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct CallerLimits {
     /// Bytes of a request's body.
     pub max_body_bytes: u64,
     /// How long a connection may stay without a request.
@@ -164,7 +164,7 @@
     /// Whether requests need a key, also if nobody holds one.
     pub requires_key: bool,
     /// Limits of callers.
-    pub limits: Option<Limits>,
+    pub limits: Option<CallerLimits>,
 }
 
 /// What the catalog says of a request.
