--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -36,10 +36,10 @@
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
 use crate::direct::sharing::size_stats::CallOutcome;
-use crate::direct::store_view::catalog::Admission;
 use crate::direct::store_view::catalog::Catalog;
 use crate::direct::store_view::catalog::Customer;
 use crate::direct::store_view::catalog::Route;
+use crate::direct::store_view::catalog::RouteLookup;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
 use crate::logging::Line;
@@ -229,7 +229,7 @@
         let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet", id);
         return Err(refusal.after(NO_CONFIG_RETRY_AFTER_MS));
     };
-    let (route, customer) = admit(&catalog, &request, &headers)?;
+    let (route, customer) = look_up(&catalog, &request, &headers)?;
     let (parts, body) = request.into_parts();
     let body = read_body(&catalog, body, id).await?;
     let Some(service) = route.service_for(rand::random()) else {
@@ -368,7 +368,7 @@
         .because(inputs)
 }
 
-fn admit(
+fn look_up(
     catalog: &Catalog,
     request: &Request<Incoming>,
     headers: &CallerHeaders,
@@ -380,11 +380,11 @@
         .unwrap_or_default();
     let key = headers.key.as_ref().and_then(|key| key.to_str().ok());
     let id = headers.request_id.as_ref();
-    match catalog.admit(host, request.uri().path(), key) {
-        Admission::Allowed(route, customer) => Ok((route, customer)),
-        Admission::NoRoute => Err(Refusal::new(StatusCode::NOT_FOUND, "no route", id)
+    match catalog.look_up(host, request.uri().path(), key) {
+        RouteLookup::Found(route, customer) => Ok((route, customer)),
+        RouteLookup::NoRoute => Err(Refusal::new(StatusCode::NOT_FOUND, "no route", id)
             .because(json!({"catalog_version": catalog.version, "host": host}))),
-        Admission::BadKey => Err(Refusal::new(StatusCode::UNAUTHORIZED, "unknown key", id)
+        RouteLookup::UnknownKey => Err(Refusal::new(StatusCode::UNAUTHORIZED, "unknown key", id)
             .because(json!({"catalog_version": catalog.version, "has_key": key.is_some()}))),
     }
 }
--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -169,13 +169,13 @@
 
 /// What the catalog says of a request.
 #[derive(Clone, Debug)]
-pub enum Admission {
+pub enum RouteLookup {
     /// The request may go on.
-    Allowed(Arc<Route>, Option<Arc<Customer>>),
+    Found(Arc<Route>, Option<Arc<Customer>>),
     /// No route leads anywhere.
     NoRoute,
     /// The key is missing or nobody's.
-    BadKey,
+    UnknownKey,
 }
 
 impl Catalog {
@@ -183,15 +183,15 @@
     ///
     /// ```
     /// # use std::sync::Arc;
-    /// # use sardinewood::direct::store_view::catalog::{Admission, Catalog, RetryPolicy, Route};
+    /// # use sardinewood::direct::store_view::catalog::{RouteLookup, Catalog, RetryPolicy, Route};
     /// # let route = |prefix: &str| Route { name: prefix.into(), path_prefix: prefix.into(),
     /// #     retry_policy: RetryPolicy::Safe, timeout_ms: 1, objective_ms: 1, tier: 0, max_upstreams: 1,
     /// #     allows_anonymous: true, gap_target_ms: None, caller_patience_ms: None, services: Vec::new() };
     /// let mut catalog = Catalog::default();
     /// catalog.add_route("a.example".into(), route("/a/"));
     /// catalog.add_route("a.example".into(), route("/a/b/"));
-    /// let found = catalog.admit("a.example:80", "/a/b/c?d=1", None);
-    /// assert!(matches!(found, Admission::Allowed(route, _) if &*route.name == "/a/b/"));
+    /// let found = catalog.look_up("a.example:80", "/a/b/c?d=1", None);
+    /// assert!(matches!(found, RouteLookup::Found(route, _) if &*route.name == "/a/b/"));
     /// ```
     pub fn add_route(&mut self, host: Arc<str>, route: Route) {
         let routes = self.routes.entry(host).or_default();
@@ -203,12 +203,12 @@
     /// Finds the route and the customer of a request.
     ///
     /// ```
-    /// use sardinewood::direct::store_view::catalog::{Admission, Catalog};
+    /// use sardinewood::direct::store_view::catalog::{RouteLookup, Catalog};
     ///
-    /// assert!(matches!(Catalog::default().admit("h", "/", None), Admission::NoRoute));
+    /// assert!(matches!(Catalog::default().look_up("h", "/", None), RouteLookup::NoRoute));
     /// ```
     #[must_use]
-    pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Admission {
+    pub fn look_up(&self, host: &str, path: &str, key: Option<&str>) -> RouteLookup {
         let host = host.split_once(':').map_or(host, |(name, _)| name);
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         let Some(route) = self.routes.get(host).and_then(|routes| {
@@ -216,13 +216,13 @@
                 .iter()
                 .find(|route| path.starts_with(&*route.path_prefix))
         }) else {
-            return Admission::NoRoute;
+            return RouteLookup::NoRoute;
         };
         let customer = key.and_then(|key| self.customers.get(key)).cloned();
         if customer.is_none() && self.requires_key && !route.allows_anonymous {
-            return Admission::BadKey;
+            return RouteLookup::UnknownKey;
         }
-        Admission::Allowed(Arc::clone(route), customer)
+        RouteLookup::Found(Arc::clone(route), customer)
     }
 
     /// The customer of a name.
