--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -83,9 +83,9 @@
     }
 
     fn wanted(self, quota: Quota, contention: Contention) -> Wanted {
-        let units = match quota.unsized_tokens {
+        let units = match quota.default_tokens {
             None => 1,
-            Some(unsized_tokens) => self.tokens.unwrap_or(unsized_tokens),
+            Some(default_tokens) => self.tokens.unwrap_or(default_tokens),
         };
         Wanted {
             units,
@@ -122,7 +122,7 @@
 /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
 /// use sardinewood::direct::store_view::catalog::{Quota, Customer};
 ///
-/// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
+/// let quota = Quota { rate_per_s: 10, burst: 20, default_tokens: Some(5) };
 /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
 /// let mut quotas = CustomerQuotas::default();
 /// let pressing = Contention::Contended;
@@ -180,7 +180,7 @@
     /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, Contention, RequestCost};
     /// use sardinewood::direct::store_view::catalog::{Quota, Customer};
     ///
-    /// let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
+    /// let quota = Quota { rate_per_s: 10, burst: 20, default_tokens: Some(5) };
     /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let (own, other) = ("10.0.0.1:7".parse().unwrap(), "10.0.0.2:7".parse().unwrap());
     /// let mut quotas = CustomerQuotas::default();
@@ -261,7 +261,7 @@
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::store_view::catalog::{Quota, Customer};
-    /// # let quota = Quota { rate_per_s: 10, burst: 20, unsized_tokens: Some(5) };
+    /// # let quota = Quota { rate_per_s: 10, burst: 20, default_tokens: Some(5) };
     /// # let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
     /// let mut quotas = CustomerQuotas::default();
     /// let cost = RequestCost { tokens: None, tier: 0 };
--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -118,7 +118,7 @@
     /// Units that may be spent at once.
     pub burst: u64,
     /// What a request of unknown size counts; none if each request counts one.
-    pub unsized_tokens: Option<u64>,
+    pub default_tokens: Option<u64>,
 }
 
 /// Whoever a key belongs to.
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -96,7 +96,7 @@
                 quota: Some(Quota {
                     rate_per_s: RATE_PER_S,
                     burst: RATE_PER_S,
-                    unsized_tokens: Some(200),
+                    default_tokens: Some(200),
                 }),
             },
             contention,
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -27,7 +27,7 @@
         quota: Some(Quota {
             rate_per_s: RATE_PER_S,
             burst: RATE_PER_S,
-            unsized_tokens: Some(COST),
+            default_tokens: Some(COST),
         }),
     }
 }
@@ -233,7 +233,7 @@
         customer.quota = Some(Quota {
             rate_per_s,
             burst: rate_per_s,
-            unsized_tokens: Some(200),
+            default_tokens: Some(200),
         });
         let allowed = rate_per_s * 9 * 11 / 10 + 190_000;
         let before = press_where_nobody_waits(tolerance, &customer, 80..180);
@@ -309,7 +309,7 @@
     lowered.quota = Some(Quota {
         rate_per_s: 10,
         burst: 10,
-        unsized_tokens: Some(COST),
+        default_tokens: Some(COST),
     });
     let first = quotas.charge_locally(&lowered, cost(None), Contention::Contended, 0);
     assert_eq!(first, ChargeOutcome::Granted);
@@ -481,7 +481,7 @@
         quota: Some(Quota {
             rate_per_s: LIMIT,
             burst: LIMIT,
-            unsized_tokens: Some(200),
+            default_tokens: Some(200),
         }),
     };
     let round: u64 = kinds.iter().map(|(units, _)| units).sum();
