--- a/lib/src/direct/store_view/directory.rs
+++ b/lib/src/direct/store_view/directory.rs
@@ -49,11 +49,11 @@
     /// ```
     /// use sardinewood::direct::store_view::directory::Upstream;
     ///
-    /// assert_eq!(&*Upstream::instance_of("i-1", None), "i-1");
-    /// assert_ne!(Upstream::instance_of("i-1", Some(5)), Upstream::instance_of("i-1", Some(6)));
+    /// assert_eq!(&*Upstream::instance_id("i-1", None), "i-1");
+    /// assert_ne!(Upstream::instance_id("i-1", Some(5)), Upstream::instance_id("i-1", Some(6)));
     /// ```
     #[must_use]
-    pub fn instance_of(name: &str, born_ms: Option<u64>) -> Arc<str> {
+    pub fn instance_id(name: &str, born_ms: Option<u64>) -> Arc<str> {
         match born_ms {
             Some(born_ms) => format!("{name}@{born_ms}").into(),
             None => name.into(),
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -24,7 +24,7 @@
 /// An engine that says when it was born.
 pub fn born(name: &str, born_ms: u64) -> Upstream {
     Upstream {
-        instance: Upstream::instance_of(name, Some(born_ms)),
+        instance: Upstream::instance_id(name, Some(born_ms)),
         born_ms: Some(born_ms),
         ..Upstream::clone(&upstream(name, 4))
     }
