--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests that end the upstreams that run them: how an end is proven, and which request it was.
 
-pub mod ends;
+pub mod crash_detector;
 pub mod fingerprint;
 pub mod recent;
 pub mod record;
--- a/lib/src/direct/quarantine/ends.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -48,7 +48,7 @@
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::quarantine::ends::Proof::Refused.name(), "connections refused");
+    /// assert_eq!(sardinewood::direct::quarantine::crash_detector::Proof::Refused.name(), "connections refused");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -120,7 +120,7 @@
 /// The upstreams of which connections broke lately, as one entry saw it.
 ///
 /// ```
-/// use sardinewood::direct::quarantine::ends::Breaks;
+/// use sardinewood::direct::quarantine::crash_detector::Breaks;
 ///
 /// assert!(Breaks::default().refused("i-1").is_none());
 /// ```
@@ -133,7 +133,7 @@
     /// Notes that a run's connection broke.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::{Breaks, Next, Run};
+    /// # use sardinewood::direct::quarantine::crash_detector::{Breaks, Next, Run};
     /// # use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
     /// # use sardinewood::direct::store_view::directory::Upstream;
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
@@ -172,7 +172,7 @@
     /// Notes that nobody listens at an upstream's address; its end, if connections broke before.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// assert_eq!(Breaks::default().refused("i-1"), None);
     /// ```
     pub fn refused(&mut self, instance: &str) -> Option<End> {
@@ -182,7 +182,7 @@
     /// Notes that peers have proven the end of upstreams, by their short names.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// assert!(Breaks::default().told(&[7]).is_empty());
     /// ```
     pub fn told(&mut self, ended: &[u32]) -> Vec<End> {
@@ -194,7 +194,7 @@
     /// or under the name of one that broke proves that it has ended.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// assert!(Breaks::default().listed(&[]).is_empty());
     /// ```
     pub fn listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<End> {
@@ -212,7 +212,7 @@
     /// before, it has not ended.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// Breaks::default().answered("i-1", 5);
     /// ```
     pub fn answered(&mut self, instance: &str, began_ms: u64) {
@@ -226,7 +226,7 @@
     /// taken its place already.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// Breaks::default().listens("i-1");
     /// ```
     pub fn listens(&mut self, instance: &str) {
@@ -238,7 +238,7 @@
     /// How many upstreams have likely ended under a request, without a proof so far.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
     /// assert_eq!(Breaks::default().unproven(request), 0);
@@ -254,7 +254,7 @@
     /// Whether no connection broke lately.
     ///
     /// ```
-    /// assert!(sardinewood::direct::quarantine::ends::Breaks::default().is_empty());
+    /// assert!(sardinewood::direct::quarantine::crash_detector::Breaks::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -264,7 +264,7 @@
     /// Whether it is still open if an upstream has ended.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::ends::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
     /// assert!(!Breaks::default().is_open("i-1"));
     /// ```
     #[must_use]
@@ -277,7 +277,7 @@
     /// Forgets what broke long ago.
     ///
     /// ```
-    /// sardinewood::direct::quarantine::ends::Breaks::default().sweep(0);
+    /// sardinewood::direct::quarantine::crash_detector::Breaks::default().sweep(0);
     /// ```
     pub fn sweep(&mut self, now_ms: u64) {
         self.by_instance
--- a/lib/tests/test_direct_ends.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::upstream_hash;
-use sardinewood::direct::quarantine::ends::Breaks;
-use sardinewood::direct::quarantine::ends::Next;
-use sardinewood::direct::quarantine::ends::Proof;
-use sardinewood::direct::quarantine::ends::Run;
+use sardinewood::direct::quarantine::crash_detector::Breaks;
+use sardinewood::direct::quarantine::crash_detector::Next;
+use sardinewood::direct::quarantine::crash_detector::Proof;
+use sardinewood::direct::quarantine::crash_detector::Run;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::recent::RecentSuccesses;
