--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -2,6 +2,6 @@
 
 pub mod crash_detector;
 pub mod fingerprint;
-pub mod recent;
+pub mod recent_successes;
 pub mod record;
 pub mod suspects;
--- a/lib/src/direct/quarantine/recent.rs
+++ b/lib/src/direct/quarantine/recent_successes.rs
@@ -22,7 +22,7 @@
 ///
 /// ```
 /// use sardinewood::direct::quarantine::fingerprint::Asked;
-/// use sardinewood::direct::quarantine::recent::RecentSuccesses;
+/// use sardinewood::direct::quarantine::recent_successes::RecentSuccesses;
 ///
 /// let asked = Asked { method: "POST", path: "/a", customer: None, body: b"text" };
 /// let mut recent = RecentSuccesses::new(7);
@@ -40,7 +40,7 @@
     /// Nothing has run yet. The seed is a random number of this process.
     ///
     /// ```
-    /// let _ = sardinewood::direct::quarantine::recent::RecentSuccesses::new(7);
+    /// let _ = sardinewood::direct::quarantine::recent_successes::RecentSuccesses::new(7);
     /// ```
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -53,7 +53,7 @@
     /// Notes that a request ran whole.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::{fingerprint::Asked, recent::RecentSuccesses};
+    /// # use sardinewood::direct::quarantine::{fingerprint::Asked, recent_successes::RecentSuccesses};
     /// # let asked = Asked { method: "POST", path: "/a", customer: None, body: b"" };
     /// RecentSuccesses::new(7).note(asked, 0);
     /// ```
@@ -67,7 +67,7 @@
     /// Whether a request ran whole a moment ago.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::{fingerprint::Asked, recent::RecentSuccesses};
+    /// # use sardinewood::direct::quarantine::{fingerprint::Asked, recent_successes::RecentSuccesses};
     /// # let asked = Asked { method: "POST", path: "/a", customer: None, body: b"" };
     /// assert!(!RecentSuccesses::new(7).has(asked, 0));
     /// ```
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -9,7 +9,7 @@
 use sardinewood::direct::quarantine::crash_detector::Run;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-use sardinewood::direct::quarantine::recent::RecentSuccesses;
+use sardinewood::direct::quarantine::recent_successes::RecentSuccesses;
 use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture::born;
