--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -24,7 +24,7 @@
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-use sardinewood::direct::quarantine::suspects::Suspects;
+use sardinewood::direct::quarantine::suspect_requests::Suspects;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -4,4 +4,4 @@
 pub mod fingerprint;
 pub mod recent_successes;
 pub mod record;
-pub mod suspects;
+pub mod suspect_requests;
--- a/lib/src/direct/quarantine/suspects.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -137,7 +137,7 @@
 ///
 /// ```
 /// use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-/// use sardinewood::direct::quarantine::suspects::{Suspects, Verdict};
+/// use sardinewood::direct::quarantine::suspect_requests::{Suspects, Verdict};
 ///
 /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
 /// let mut suspects = Suspects::default();
@@ -159,7 +159,7 @@
     /// Whether nothing is known of any request, as on most days.
     ///
     /// ```
-    /// assert!(sardinewood::direct::quarantine::suspects::Suspects::default().is_empty());
+    /// assert!(sardinewood::direct::quarantine::suspect_requests::Suspects::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -169,7 +169,7 @@
     /// How many requests are remembered, and how many of them are held.
     ///
     /// ```
-    /// let suspects = sardinewood::direct::quarantine::suspects::Suspects::default();
+    /// let suspects = sardinewood::direct::quarantine::suspect_requests::Suspects::default();
     /// assert_eq!(suspects.counts(0).remembered, 0);
     /// ```
     #[must_use]
@@ -185,7 +185,7 @@
     /// Whether any request is or was held, and so might not be free.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::quarantine::suspects::Suspects::default().holds_any());
+    /// assert!(!sardinewood::direct::quarantine::suspect_requests::Suspects::default().holds_any());
     /// ```
     #[must_use]
     pub fn holds_any(&self) -> bool {
@@ -196,7 +196,7 @@
     /// entries' sake.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::quarantine::suspects::Suspects::default().suspects_any());
+    /// assert!(!sardinewood::direct::quarantine::suspect_requests::Suspects::default().suspects_any());
     /// ```
     #[must_use]
     pub fn suspects_any(&self) -> bool {
@@ -207,7 +207,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspects::{Suspects, Verdict};
+    /// # use sardinewood::direct::quarantine::suspect_requests::{Suspects, Verdict};
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
     /// assert_eq!(Suspects::default().verdict(request, 0), Verdict::Free);
     /// ```
@@ -229,7 +229,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
     /// assert!(Suspects::default().may_go_on(request, 2));
     /// assert!(!Suspects::default().may_go_on(request, 3));
@@ -247,7 +247,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
     /// Suspects::default().begin_trial(request, 0);
     /// ```
@@ -263,7 +263,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
     /// let change = Suspects::default().ended(7, 100, &[(request, 50)], 100);
     /// assert_eq!(change.changed, [request]);
@@ -305,7 +305,7 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
     /// assert!(!Suspects::default().clear(request, 0));
     /// ```
@@ -327,7 +327,7 @@
     /// Takes a peer's word.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspects::{Change, Suspects};
+    /// # use sardinewood::direct::quarantine::suspect_requests::{Change, Suspects};
     /// assert_eq!(Suspects::default().hear(&[], 0), Change::default());
     /// ```
     pub fn hear(&mut self, told: &[Told], now_ms: u64) -> Change {
@@ -354,7 +354,7 @@
     /// What to tell of some requests.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// assert!(Suspects::default().told(&[], 0).is_empty());
     /// ```
     #[must_use]
@@ -369,7 +369,7 @@
     /// What to tell a peer that may have missed something: what is held, and the others in turn.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// assert!(Suspects::default().next_told(0).is_empty());
     /// ```
     pub fn next_told(&mut self, now_ms: u64) -> Vec<Told> {
@@ -392,7 +392,7 @@
     /// What is known of a request, for operators.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspects::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
     /// assert!(Suspects::default().all(0).is_empty());
     /// ```
     #[must_use]
@@ -405,7 +405,7 @@
     /// Forgets what is long ago.
     ///
     /// ```
-    /// sardinewood::direct::quarantine::suspects::Suspects::default().sweep(0);
+    /// sardinewood::direct::quarantine::suspect_requests::Suspects::default().sweep(0);
     /// ```
     pub fn sweep(&mut self, now_ms: u64) {
         let now_ms = moment(now_ms);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -31,7 +31,7 @@
 use crate::direct::placement::shared_prefix::PrefixPopularity;
 use crate::direct::quarantine::crash_detector::Breaks;
 use crate::direct::quarantine::recent_successes::RecentSuccesses;
-use crate::direct::quarantine::suspects::Suspects;
+use crate::direct::quarantine::suspect_requests::Suspects;
 use crate::direct::quota_driver::PendingCharges;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -34,7 +34,7 @@
 mod test_direct_size_fairness;
 mod test_direct_slot_search;
 mod test_direct_store_follower;
-mod test_direct_suspects;
+mod test_direct_suspect_requests;
 mod test_entry_state;
 mod test_frames;
 mod test_ids;
--- a/lib/tests/test_direct_suspects.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -10,8 +10,8 @@
 use sardinewood::direct::quarantine::record::Told;
 use sardinewood::direct::quarantine::record::ToldEnd;
 use sardinewood::direct::quarantine::record::ToldHold;
-use sardinewood::direct::quarantine::suspects::Suspects;
-use sardinewood::direct::quarantine::suspects::Verdict;
+use sardinewood::direct::quarantine::suspect_requests::Suspects;
+use sardinewood::direct::quarantine::suspect_requests::Verdict;
 
 const MINUTE_MS: u64 = 60_000;
 
