--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-use sardinewood::direct::quarantine::record::Told;
+use sardinewood::direct::quarantine::suspect::Told;
 use sardinewood::direct::quarantine::suspect_requests::Verdict;
 use sardinewood::direct::store_view::directory::Upstream;
 
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -8,7 +8,7 @@
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::notices::record::Told as ToldNotice;
-use crate::direct::quarantine::record::Told;
+use crate::direct::quarantine::suspect::Told;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -3,5 +3,5 @@
 pub mod crash_detector;
 pub mod fingerprint;
 pub mod recent_successes;
-pub mod record;
+pub mod suspect;
 pub mod suspect_requests;
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -9,13 +9,13 @@
 use indexmap::map::Entry;
 
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantine::record::ENDS;
-use crate::direct::quarantine::record::Hold;
-use crate::direct::quarantine::record::MomentMs;
-use crate::direct::quarantine::record::Record;
-use crate::direct::quarantine::record::SeenEnd;
-use crate::direct::quarantine::record::Told;
-use crate::direct::quarantine::record::moment;
+use crate::direct::quarantine::suspect::ENDS;
+use crate::direct::quarantine::suspect::Hold;
+use crate::direct::quarantine::suspect::MomentMs;
+use crate::direct::quarantine::suspect::Record;
+use crate::direct::quarantine::suspect::SeenEnd;
+use crate::direct::quarantine::suspect::Told;
+use crate::direct::quarantine::suspect::moment;
 
 /// The least time that a request is held whose ends are shared with another held one: nobody knows which
 /// of the two it was, and the trial tells.
--- a/lib/src/direct/quarantining.rs
+++ b/lib/src/direct/quarantining.rs
@@ -20,7 +20,7 @@
 use crate::direct::quarantine::crash_detector::PROBE_PAUSES_MS;
 use crate::direct::quarantine::crash_detector::Run;
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantine::record::Told;
+use crate::direct::quarantine::suspect::Told;
 use crate::direct::quarantine::suspect_requests::Verdict;
 use crate::direct::request::call::Call;
 use crate::direct::request::connections;
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantine::record::Told;
+use crate::direct::quarantine::suspect::Told;
 use crate::direct::request::page;
 use crate::direct::request::page::said;
 use crate::direct::traffic::Traffic;
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -7,9 +7,9 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-use sardinewood::direct::quarantine::record::Told;
-use sardinewood::direct::quarantine::record::ToldEnd;
-use sardinewood::direct::quarantine::record::ToldHold;
+use sardinewood::direct::quarantine::suspect::Told;
+use sardinewood::direct::quarantine::suspect::ToldEnd;
+use sardinewood::direct::quarantine::suspect::ToldHold;
 use sardinewood::direct::quarantine::suspect_requests::Suspects;
 use sardinewood::direct::quarantine::suspect_requests::Verdict;
 
