--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -18,7 +18,7 @@
 pub mod noticing;
 pub mod placement;
 pub mod quarantine;
-pub mod quarantining;
+pub mod quarantine_driver;
 pub mod quota_driver;
 pub mod replication;
 pub mod request;
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -25,7 +25,7 @@
 use crate::direct::placement::shared_prefix::SharedPrefix;
 use crate::direct::quarantine::fingerprint::Asked;
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantining::HeldRequest;
+use crate::direct::quarantine_driver::HeldRequest;
 use crate::direct::quota_driver;
 use crate::direct::request::caller::CallerHeaders;
 use crate::direct::request::ending::Counted;
