--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -19,7 +19,7 @@
 use sardinewood::direct::membership::gossip;
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::notices::book::Notices;
+use sardinewood::direct::notices::upstream_notices::Notices;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::slot_search::SlotSearch;
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
-use sardinewood::direct::notices::record::Told;
+use sardinewood::direct::notices::upstream_state::Told;
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::store_view::directory::Upstream;
 
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
-use crate::direct::notices::record::Told as ToldNotice;
+use crate::direct::notices::upstream_state::Told as ToldNotice;
 use crate::direct::quarantine::suspect::Told;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::admission::PeerRequestId;
--- a/lib/src/direct/notices.rs
+++ b/lib/src/direct/notices.rs
@@ -1,7 +1,7 @@
 //! What upstreams say of themselves in their answers, beside what they answer.
 //!
-//! [`notice`] is what one answer says, [`record`] what is known of one upstream, and [`book`] of all.
+//! [`notice`] is what one answer says, [`upstream_state`] what is known of one upstream, and [`upstream_notices`] of all.
 
-pub mod book;
 pub mod notice;
-pub mod record;
+pub mod upstream_notices;
+pub mod upstream_state;
--- a/lib/src/direct/notices/book.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -7,11 +7,11 @@
 
 use crate::direct::notices::notice::Notice;
 use crate::direct::notices::notice::Said;
-use crate::direct::notices::record::LimitNews;
-use crate::direct::notices::record::MomentMs;
-use crate::direct::notices::record::Record;
-use crate::direct::notices::record::Shown;
-use crate::direct::notices::record::Told;
+use crate::direct::notices::upstream_state::LimitNews;
+use crate::direct::notices::upstream_state::MomentMs;
+use crate::direct::notices::upstream_state::Record;
+use crate::direct::notices::upstream_state::Shown;
+use crate::direct::notices::upstream_state::Told;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::numbers::signed;
 
@@ -53,7 +53,7 @@
     /// Whether the other entries have to know it.
     ///
     /// ```
-    /// use sardinewood::direct::notices::book::Change;
+    /// use sardinewood::direct::notices::upstream_notices::Change;
     ///
     /// assert!(Change::Leaves.concerns_all() && !Change::Rests(3_000).concerns_all());
     /// ```
@@ -68,7 +68,7 @@
 /// Entries merge what they have heard in any order: the latest answer holds.
 ///
 /// ```
-/// use sardinewood::direct::notices::book::{Change, Notices};
+/// use sardinewood::direct::notices::upstream_notices::{Change, Notices};
 /// use sardinewood::direct::notices::notice::{Notice, Said};
 ///
 /// let (mut one, mut other) = (Notices::default(), Notices::default());
@@ -104,7 +104,7 @@
     /// Takes the longest rest that an upstream is given, whatever it asks for.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{book::{Change, Notices}, notice::{Notice, Said}};
+    /// # use sardinewood::direct::notices::{upstream_notices::{Change, Notices}, notice::{Notice, Said}};
     /// let mut notices = Notices::default();
     /// notices.set_longest_rest_ms(5_000);
     /// let rest = Notice { rest_ms: Said::Value(u32::MAX), ..Notice::default() };
@@ -117,7 +117,7 @@
     /// Until when upstreams want nothing from this entry, by short name.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::book::Notices::default().rests(0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().rests(0).is_empty());
     /// ```
     #[must_use]
     pub fn rests(&self, now_ms: u64) -> IndexMap<u32, u64> {
@@ -180,7 +180,7 @@
     /// What peers are told of upstreams, by their short names.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::book::Notices::default().told_of(&[7], 0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().told_of(&[7], 0).is_empty());
     /// ```
     #[must_use]
     pub fn told_of(&self, upstreams: &[u32], now_ms: u64) -> Vec<Told> {
@@ -197,7 +197,7 @@
     /// counts as done.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::notices::book::Notices::default().take_due_repeat("i-1", 0));
+    /// assert!(!sardinewood::direct::notices::upstream_notices::Notices::default().take_due_repeat("i-1", 0));
     /// ```
     pub fn take_due_repeat(&mut self, instance: &str, now_ms: u64) -> bool {
         let Some(record) = self.by_upstream.get_mut(&upstream_hash(instance)) else {
@@ -219,7 +219,7 @@
     /// What is told in the next repetition: as much as fits into a message, others each time.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::book::Notices::default().next_told(0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().next_told(0).is_empty());
     /// ```
     pub fn next_told(&mut self, now_ms: u64) -> Vec<Told> {
         let count = self.by_upstream.len();
@@ -235,7 +235,7 @@
     /// The limits that hold, by short name, in requests in 1,000 seconds.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::book::Notices::default().limits().is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().limits().is_empty());
     /// ```
     #[must_use]
     pub fn limits(&self) -> IndexMap<u32, u32> {
@@ -249,7 +249,7 @@
     /// listed: what ends does not come back.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{book::Notices, notice::Notice};
+    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::Notice};
     /// let mut notices = Notices::default();
     /// let leaving = Notice { is_leaving: true, ..Notice::default() };
     /// notices.said("i-1@5", &leaving, 0);
@@ -265,7 +265,7 @@
     /// All that holds, by short name, for operators.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{book::Notices, notice::{Notice, Said}};
+    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::{Notice, Said}};
     /// let mut notices = Notices::default();
     /// let rest = Notice { rest_ms: Said::Value(3_000), ..Notice::default() };
     /// notices.said("i-1", &rest, 0);
@@ -282,7 +282,7 @@
     /// How many upstreams limit their requests.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::notices::book::Notices::default().limited(), 0);
+    /// assert_eq!(sardinewood::direct::notices::upstream_notices::Notices::default().limited(), 0);
     /// ```
     #[must_use]
     pub fn limited(&self) -> usize {
@@ -292,7 +292,7 @@
     /// How many upstreams have said that they will end.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::notices::book::Notices::default().leaving(), 0);
+    /// assert_eq!(sardinewood::direct::notices::upstream_notices::Notices::default().leaving(), 0);
     /// ```
     #[must_use]
     pub fn leaving(&self) -> usize {
@@ -303,7 +303,7 @@
     /// Whether nothing is known of any upstream.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::book::Notices::default().is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -314,7 +314,7 @@
     /// the list.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::book::Notices;
+    /// # use sardinewood::direct::notices::upstream_notices::Notices;
     /// Notices::default().sweep(&[7].into_iter().collect(), 0);
     /// ```
     pub fn sweep(&mut self, listed: &IndexSet<u32>, now_ms: u64) {
--- a/lib/src/direct/noticing.rs
+++ b/lib/src/direct/noticing.rs
@@ -13,9 +13,9 @@
 
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::notices::book::Change;
 use crate::direct::notices::notice::Notice;
-use crate::direct::notices::record::Told;
+use crate::direct::notices::upstream_notices::Change;
+use crate::direct::notices::upstream_state::Told;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::request::call::Call;
 use crate::direct::request::caller::AnswerHeaders;
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -21,7 +21,7 @@
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_table::PeerTable;
-use crate::direct::notices::book::Notices;
+use crate::direct::notices::upstream_notices::Notices;
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::AttemptOutcome;
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -4,12 +4,12 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::notices::book::Change;
-use sardinewood::direct::notices::book::Notices;
 use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
-use sardinewood::direct::notices::record::Told;
-use sardinewood::direct::notices::record::ToldLimit;
+use sardinewood::direct::notices::upstream_notices::Change;
+use sardinewood::direct::notices::upstream_notices::Notices;
+use sardinewood::direct::notices::upstream_state::Told;
+use sardinewood::direct::notices::upstream_state::ToldLimit;
 use sardinewood::direct::placement::dispatch::upstream_hash;
 
 fn limited(limit_per_1000_s: u32) -> Notice {
