--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -15,7 +15,7 @@
 pub mod log_budget;
 pub mod membership;
 pub mod notices;
-pub mod noticing;
+pub mod notices_driver;
 pub mod placement;
 pub mod quarantine;
 pub mod quarantine_driver;
