--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -120,20 +120,20 @@
 /// The upstreams of which connections broke lately, as one entry saw it.
 ///
 /// ```
-/// use sardinewood::direct::quarantine::crash_detector::Breaks;
+/// use sardinewood::direct::quarantine::crash_detector::CrashDetector;
 ///
-/// assert!(Breaks::default().refused("i-1").is_none());
+/// assert!(CrashDetector::default().on_connection_refused("i-1").is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Breaks {
+pub struct CrashDetector {
     by_instance: IndexMap<Arc<str>, Break>,
 }
 
-impl Breaks {
+impl CrashDetector {
     /// Notes that a run's connection broke.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::{Breaks, Next, Run};
+    /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, Next, Run};
     /// # use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
     /// # use sardinewood::direct::store_view::directory::Upstream;
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
@@ -141,11 +141,11 @@
     /// #     data_centre: "d".into(), slots: 4, version: "v1".into(), revision: 1, is_leaving: false };
     /// # let request = Fingerprint::of(Asked { method: "GET", path: "/", customer: None, body: b"" });
     /// let run = Run { request, name: "try-1".into(), began_ms: 5, is_trusted: false };
-    /// let mut breaks = Breaks::default();
-    /// assert_eq!(breaks.broke(&upstream, run.clone(), 9), Next::Probe);
-    /// assert_eq!(breaks.refused("i-1").unwrap().runs, [run]);
+    /// let mut crash_detector = CrashDetector::default();
+    /// assert_eq!(crash_detector.on_broken_run(&upstream, run.clone(), 9), Next::Probe);
+    /// assert_eq!(crash_detector.on_connection_refused("i-1").unwrap().runs, [run]);
     /// ```
-    pub fn broke(&mut self, upstream: &Upstream, run: Run, now_ms: u64) -> Next {
+    pub fn on_broken_run(&mut self, upstream: &Upstream, run: Run, now_ms: u64) -> Next {
         let Some(known) = self.by_instance.get_mut(&upstream.instance) else {
             let new = Break {
                 service: Arc::clone(&upstream.service),
@@ -172,20 +172,20 @@
     /// Notes that nobody listens at an upstream's address; its end, if connections broke before.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
-    /// assert_eq!(Breaks::default().refused("i-1"), None);
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+    /// assert_eq!(CrashDetector::default().on_connection_refused("i-1"), None);
     /// ```
-    pub fn refused(&mut self, instance: &str) -> Option<End> {
+    pub fn on_connection_refused(&mut self, instance: &str) -> Option<End> {
         self.prove(instance, Proof::Refused)
     }
 
     /// Notes that peers have proven the end of upstreams, by their short names.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
-    /// assert!(Breaks::default().told(&[7]).is_empty());
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+    /// assert!(CrashDetector::default().on_peer_crash_reports(&[7]).is_empty());
     /// ```
-    pub fn told(&mut self, ended: &[u32]) -> Vec<End> {
+    pub fn on_peer_crash_reports(&mut self, ended: &[u32]) -> Vec<End> {
         let is_told = |instance: &str, _: &Break| ended.contains(&upstream_hash(instance));
         self.prove_where(Proof::Told, is_told)
     }
@@ -194,10 +194,10 @@
     /// or under the name of one that broke proves that it has ended.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
-    /// assert!(Breaks::default().listed(&[]).is_empty());
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+    /// assert!(CrashDetector::default().on_upstreams_listed(&[]).is_empty());
     /// ```
-    pub fn listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<End> {
+    pub fn on_upstreams_listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<End> {
         self.prove_where(Proof::Replaced, |instance, broken| {
             let is_replaced = |upstream: &Arc<Upstream>| {
                 let is_in_place =
@@ -212,10 +212,10 @@
     /// before, it has not ended.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
-    /// Breaks::default().answered("i-1", 5);
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+    /// CrashDetector::default().on_answer("i-1", 5);
     /// ```
-    pub fn answered(&mut self, instance: &str, began_ms: u64) {
+    pub fn on_answer(&mut self, instance: &str, began_ms: u64) {
         let is_later = |broken: &Break| broken.proof.is_none() && began_ms > broken.broke_at_ms;
         if self.by_instance.get(instance).is_some_and(is_later) {
             self.by_instance.swap_remove(instance);
@@ -226,10 +226,10 @@
     /// taken its place already.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
-    /// Breaks::default().listens("i-1");
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+    /// CrashDetector::default().on_connection_accepted("i-1");
     /// ```
-    pub fn listens(&mut self, instance: &str) {
+    pub fn on_connection_accepted(&mut self, instance: &str) {
         if let Some(broken) = self.by_instance.get_mut(instance) {
             broken.is_listening = true;
         }
@@ -238,13 +238,13 @@
     /// How many upstreams have likely ended under a request, without a proof so far.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert_eq!(Breaks::default().unproven(request), 0);
+    /// assert_eq!(CrashDetector::default().unconfirmed_crashes(request), 0);
     /// ```
     #[must_use]
-    pub fn unproven(&self, request: Fingerprint) -> usize {
+    pub fn unconfirmed_crashes(&self, request: Fingerprint) -> usize {
         let is_of = |broken: &&Break| broken.runs.iter().any(|run| run.request == request);
         let is_likely = |broken: &&Break| broken.proof.is_none() && !broken.is_listening;
         let likely = self.by_instance.values().filter(is_likely);
@@ -254,7 +254,7 @@
     /// Whether no connection broke lately.
     ///
     /// ```
-    /// assert!(sardinewood::direct::quarantine::crash_detector::Breaks::default().is_empty());
+    /// assert!(sardinewood::direct::quarantine::crash_detector::CrashDetector::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -264,11 +264,11 @@
     /// Whether it is still open if an upstream has ended.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::Breaks;
-    /// assert!(!Breaks::default().is_open("i-1"));
+    /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+    /// assert!(!CrashDetector::default().is_undecided("i-1"));
     /// ```
     #[must_use]
-    pub fn is_open(&self, instance: &str) -> bool {
+    pub fn is_undecided(&self, instance: &str) -> bool {
         self.by_instance
             .get(instance)
             .is_some_and(|broken| broken.proof.is_none())
@@ -277,7 +277,7 @@
     /// Forgets what broke long ago.
     ///
     /// ```
-    /// sardinewood::direct::quarantine::crash_detector::Breaks::default().sweep(0);
+    /// sardinewood::direct::quarantine::crash_detector::CrashDetector::default().sweep(0);
     /// ```
     pub fn sweep(&mut self, now_ms: u64) {
         self.by_instance
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -59,7 +59,10 @@
                 .borrow()
                 .has(call.asked(), self.now_ms()),
         };
-        let next = self.breaks.borrow_mut().broke(upstream, run, self.now_ms());
+        let next = self
+            .crash_detector
+            .borrow_mut()
+            .on_broken_run(upstream, run, self.now_ms());
         match next {
             Next::Probe => {
                 spawn_local(probe(Rc::clone(self), Arc::clone(upstream)));
@@ -71,7 +74,10 @@
 
     /// Notes that nobody listens at an upstream's address.
     pub fn upstream_refused(&self, instance: &str) {
-        let end = self.breaks.borrow_mut().refused(instance);
+        let end = self
+            .crash_detector
+            .borrow_mut()
+            .on_connection_refused(instance);
         if let Some(end) = end {
             self.upstream_ended(&end);
         }
@@ -79,7 +85,10 @@
 
     /// Looks for upstreams whose place another incarnation has taken.
     pub fn upstreams_listed(&self, upstreams: &[Arc<Upstream>]) {
-        let ends = self.breaks.borrow_mut().listed(upstreams);
+        let ends = self
+            .crash_detector
+            .borrow_mut()
+            .on_upstreams_listed(upstreams);
         for end in &ends {
             self.upstream_ended(end);
         }
@@ -107,13 +116,13 @@
     /// Whether a request whose connection broke may be sent to one more upstream.
     #[must_use]
     pub fn may_go_on(&self, call: &Call) -> bool {
-        let breaks = self.breaks.borrow();
+        let crash_detector = self.crash_detector.borrow();
         let suspects = self.suspects.borrow();
-        if breaks.is_empty() && suspects.is_empty() {
+        if crash_detector.is_empty() && suspects.is_empty() {
             return true;
         }
         let request = call.fingerprint();
-        suspects.may_go_on(request, breaks.unproven(request))
+        suspects.may_go_on(request, crash_detector.unconfirmed_crashes(request))
     }
 
     /// Whether a request may be run. Its fingerprint is only asked for if any request is held.
@@ -153,7 +162,10 @@
             self.tell_some_of(known, gossip::FORWARD_PEERS);
         }
         self.log_held(&change.held);
-        let ends = self.breaks.borrow_mut().told(&change.ended);
+        let ends = self
+            .crash_detector
+            .borrow_mut()
+            .on_peer_crash_reports(&change.ended);
         for end in &ends {
             self.upstream_ended(end);
         }
@@ -163,7 +175,7 @@
     /// and for what an entry missed that was cut off.
     pub fn sweep_quarantine(&self) {
         let now_ms = self.now_ms();
-        self.breaks.borrow_mut().sweep(now_ms);
+        self.crash_detector.borrow_mut().sweep(now_ms);
         let mut suspects = self.suspects.borrow_mut();
         suspects.sweep(now_ms);
         let told = suspects.next_told(now_ms);
@@ -247,12 +259,19 @@
 async fn probe(traffic: Rc<Traffic>, upstream: Arc<Upstream>) {
     for pause_ms in PROBE_PAUSES_MS {
         sleep(Duration::from_millis(pause_ms)).await;
-        if !traffic.breaks.borrow().is_open(&upstream.instance) {
+        if !traffic
+            .crash_detector
+            .borrow()
+            .is_undecided(&upstream.instance)
+        {
             return;
         }
         match connections::connect(&upstream).await {
             Ok(connection) => {
-                traffic.breaks.borrow_mut().listens(&upstream.instance);
+                traffic
+                    .crash_detector
+                    .borrow_mut()
+                    .on_connection_accepted(&upstream.instance);
                 traffic
                     .connections
                     .put(&upstream.instance, connection, None);
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -29,7 +29,7 @@
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::shared_prefix::PrefixPopularity;
-use crate::direct::quarantine::crash_detector::Breaks;
+use crate::direct::quarantine::crash_detector::CrashDetector;
 use crate::direct::quarantine::recent_successes::RecentSuccesses;
 use crate::direct::quarantine::suspect_requests::Suspects;
 use crate::direct::quota_driver::PendingCharges;
@@ -104,7 +104,7 @@
     /// What is owed to the sizes of each kind.
     pub size_fairness: RefCell<SizeFairness>,
     /// Upstreams of which connections broke lately.
-    pub breaks: RefCell<Breaks>,
+    pub crash_detector: RefCell<CrashDetector>,
     /// Requests that ran whole a moment ago.
     pub recent_successes: RefCell<RecentSuccesses>,
     /// Requests that may be the cause of upstreams' ends.
@@ -189,8 +189,8 @@
     /// Notes that the first part of the answer has come.
     pub fn answered(&self) {
         let instance = &self.upstream.instance;
-        let mut breaks = self.traffic.breaks.borrow_mut();
-        breaks.answered(instance, self.since_ms);
+        let mut crash_detector = self.traffic.crash_detector.borrow_mut();
+        crash_detector.on_answer(instance, self.since_ms);
         self.traffic
             .dispatcher
             .borrow_mut()
@@ -283,7 +283,7 @@
             prefix_popularity: RefCell::default(),
             size_stats: RefCell::default(),
             size_fairness: RefCell::default(),
-            breaks: RefCell::default(),
+            crash_detector: RefCell::default(),
             recent_successes: RefCell::new(RecentSuccesses::new(rand::random())),
             suspects: RefCell::default(),
             notices: RefCell::default(),
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::upstream_hash;
-use sardinewood::direct::quarantine::crash_detector::Breaks;
+use sardinewood::direct::quarantine::crash_detector::CrashDetector;
 use sardinewood::direct::quarantine::crash_detector::Next;
 use sardinewood::direct::quarantine::crash_detector::Proof;
 use sardinewood::direct::quarantine::crash_detector::Run;
@@ -34,47 +34,61 @@
 }
 
 /// One run on `i-1` that broke at 100 ms.
-fn one_broken() -> (Breaks, Arc<Upstream>) {
-    let mut breaks = Breaks::default();
+fn one_broken() -> (CrashDetector, Arc<Upstream>) {
+    let mut crash_detector = CrashDetector::default();
     let one = upstream("i-1", 4);
-    assert_eq!(breaks.broke(&one, run("a", 10), 100), Next::Probe);
-    (breaks, one)
+    assert_eq!(
+        crash_detector.on_broken_run(&one, run("a", 10), 100),
+        Next::Probe
+    );
+    (crash_detector, one)
 }
 
 #[test]
 fn broken_connection_alone_proves_no_end() {
     // A run is cut by the network, and the upstream answers the next one. It was taken for no end,
     // so what ran there is not held against any request.
-    let (mut breaks, one) = one_broken();
-    breaks.answered(&one.instance, 150);
-    assert_eq!(breaks.refused(&one.instance), None);
+    let (mut crash_detector, one) = one_broken();
+    crash_detector.on_answer(&one.instance, 150);
+    assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
 #[test]
 fn answer_on_its_way_at_the_break_proves_no_life() {
     // An answer of a run that began before the break may be read after it. The upstream may have
     // ended all the same.
-    let (mut breaks, one) = one_broken();
-    breaks.answered(&one.instance, 50);
-    assert!(breaks.refused(&one.instance).is_some());
+    let (mut crash_detector, one) = one_broken();
+    crash_detector.on_answer(&one.instance, 50);
+    assert!(
+        crash_detector
+            .on_connection_refused(&one.instance)
+            .is_some()
+    );
 }
 
 #[test]
 fn refused_connection_proves_the_end_once() {
-    let (mut breaks, one) = one_broken();
-    assert_eq!(breaks.broke(&one, run("b", 20), 101), Next::Wait);
-    let end = breaks.refused(&one.instance).expect("an end");
+    let (mut crash_detector, one) = one_broken();
+    assert_eq!(
+        crash_detector.on_broken_run(&one, run("b", 20), 101),
+        Next::Wait
+    );
+    let end = crash_detector
+        .on_connection_refused(&one.instance)
+        .expect("an end");
     assert_eq!(end.runs, [run("a", 10), run("b", 20)]);
     assert_eq!((end.proof, end.is_first), (Proof::Refused, true));
-    assert_eq!(breaks.refused(&one.instance), None);
+    assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
 #[test]
 fn run_whose_break_is_seen_after_the_proof_counts() {
     // Connections of one upstream break one after the other, and the first refusal may come between.
-    let (mut breaks, one) = one_broken();
-    breaks.refused(&one.instance).expect("an end");
-    let Next::Ended(end) = breaks.broke(&one, run("b", 20), 102) else {
+    let (mut crash_detector, one) = one_broken();
+    crash_detector
+        .on_connection_refused(&one.instance)
+        .expect("an end");
+    let Next::Ended(end) = crash_detector.on_broken_run(&one, run("b", 20), 102) else {
         panic!("the end is known");
     };
     assert_eq!((end.runs, end.is_first), (vec![run("b", 20)], false));
@@ -84,9 +98,19 @@
 fn run_sent_after_the_break_was_never_there() {
     // A kept connection of an upstream that has ended takes one more request before anybody sees
     // that it is dead. That request had no part in the end.
-    let (mut breaks, one) = one_broken();
-    assert_eq!(breaks.broke(&one, run("late", 101), 103), Next::Nothing);
-    assert_eq!(breaks.refused(&one.instance).expect("an end").runs.len(), 1);
+    let (mut crash_detector, one) = one_broken();
+    assert_eq!(
+        crash_detector.on_broken_run(&one, run("late", 101), 103),
+        Next::Nothing
+    );
+    assert_eq!(
+        crash_detector
+            .on_connection_refused(&one.instance)
+            .expect("an end")
+            .runs
+            .len(),
+        1
+    );
 }
 
 #[test]
@@ -99,9 +123,12 @@
         ..born("i-1", 7)
     });
     for next in [other_name, same_name] {
-        let (mut breaks, one) = one_broken();
-        assert!(breaks.listed(&[one]).is_empty(), "it is still there");
-        let ends = breaks.listed(&[next]);
+        let (mut crash_detector, one) = one_broken();
+        assert!(
+            crash_detector.on_upstreams_listed(&[one]).is_empty(),
+            "it is still there"
+        );
+        let ends = crash_detector.on_upstreams_listed(&[next]);
         assert_eq!(ends.len(), 1);
         assert_eq!(ends[0].proof, Proof::Replaced);
     }
@@ -110,15 +137,19 @@
 #[test]
 fn vanished_entry_alone_proves_no_end() {
     // A cut takes an upstream out of the list although it runs on.
-    let (mut breaks, _) = one_broken();
-    assert!(breaks.listed(&[]).is_empty());
+    let (mut crash_detector, _) = one_broken();
+    assert!(crash_detector.on_upstreams_listed(&[]).is_empty());
 }
 
 #[test]
 fn peers_word_proves_the_end() {
-    let (mut breaks, one) = one_broken();
-    assert!(breaks.told(&[upstream_hash("i-7")]).is_empty());
-    let ends = breaks.told(&[upstream_hash(&one.instance)]);
+    let (mut crash_detector, one) = one_broken();
+    assert!(
+        crash_detector
+            .on_peer_crash_reports(&[upstream_hash("i-7")])
+            .is_empty()
+    );
+    let ends = crash_detector.on_peer_crash_reports(&[upstream_hash(&one.instance)]);
     assert_eq!(ends[0].proof, Proof::Told);
 }
 
@@ -126,22 +157,27 @@
 fn upstream_that_listens_has_likely_not_ended() {
     // A network resets connections of a popular request at several upstreams. Each counted as a likely end,
     // its callers' streams would not go on elsewhere.
-    let (mut breaks, one) = one_broken();
+    let (mut crash_detector, one) = one_broken();
     let request = run("a", 10).request;
-    assert_eq!(breaks.unproven(request), 1);
-    breaks.listens(&one.instance);
-    assert_eq!(breaks.unproven(request), 0);
-    assert!(breaks.refused(&one.instance).is_some(), "it may end yet");
+    assert_eq!(crash_detector.unconfirmed_crashes(request), 1);
+    crash_detector.on_connection_accepted(&one.instance);
+    assert_eq!(crash_detector.unconfirmed_crashes(request), 0);
+    assert!(
+        crash_detector
+            .on_connection_refused(&one.instance)
+            .is_some(),
+        "it may end yet"
+    );
 }
 
 #[test]
 fn break_of_long_ago_forgotten() {
     // An upstream that is replaced a minute after a reset did not end by what ran there then.
-    let (mut breaks, one) = one_broken();
-    breaks.sweep(10_099);
-    assert!(breaks.is_open(&one.instance));
-    breaks.sweep(10_100);
-    assert_eq!(breaks.refused(&one.instance), None);
+    let (mut crash_detector, one) = one_broken();
+    crash_detector.sweep(10_099);
+    assert!(crash_detector.is_undecided(&one.instance));
+    crash_detector.sweep(10_100);
+    assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
 #[test]
