--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -62,7 +62,7 @@
 
 /// An upstream that has ended in the middle of runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct UpstreamCrash {
     /// The incarnation that ended.
     pub instance: Arc<str>,
     /// The service that it belonged to.
@@ -75,7 +75,7 @@
     pub proof: Proof,
     /// Whether it was not reported before. Connections of the same upstream break one after the
     /// other.
-    pub is_first: bool,
+    pub is_first_report: bool,
 }
 
 /// What to do after a connection broke.
@@ -86,7 +86,7 @@
     /// The address is being tried already.
     Wait,
     /// The end was proven before.
-    Ended(End),
+    Ended(UpstreamCrash),
     /// The run had begun after the connections broke, so it has never reached the upstream.
     Nothing,
 }
@@ -104,15 +104,15 @@
 }
 
 impl Break {
-    fn take_end(&mut self, instance: &Arc<str>, proof: Proof) -> End {
-        let is_first = self.proof.replace(proof).is_none();
-        End {
+    fn take_end(&mut self, instance: &Arc<str>, proof: Proof) -> UpstreamCrash {
+        let is_first_report = self.proof.replace(proof).is_none();
+        UpstreamCrash {
             instance: Arc::clone(instance),
             service: Arc::clone(&self.service),
             broke_at_ms: self.broke_at_ms,
             runs: std::mem::take(&mut self.runs),
             proof,
-            is_first,
+            is_first_report,
         }
     }
 }
@@ -175,7 +175,7 @@
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// assert_eq!(CrashDetector::default().on_connection_refused("i-1"), None);
     /// ```
-    pub fn on_connection_refused(&mut self, instance: &str) -> Option<End> {
+    pub fn on_connection_refused(&mut self, instance: &str) -> Option<UpstreamCrash> {
         self.prove(instance, Proof::Refused)
     }
 
@@ -185,7 +185,7 @@
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// assert!(CrashDetector::default().on_peer_crash_reports(&[7]).is_empty());
     /// ```
-    pub fn on_peer_crash_reports(&mut self, ended: &[u32]) -> Vec<End> {
+    pub fn on_peer_crash_reports(&mut self, ended: &[u32]) -> Vec<UpstreamCrash> {
         let is_told = |instance: &str, _: &Break| ended.contains(&upstream_hash(instance));
         self.prove_where(Proof::Told, is_told)
     }
@@ -197,7 +197,7 @@
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// assert!(CrashDetector::default().on_upstreams_listed(&[]).is_empty());
     /// ```
-    pub fn on_upstreams_listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<End> {
+    pub fn on_upstreams_listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<UpstreamCrash> {
         self.prove_where(Proof::Replaced, |instance, broken| {
             let is_replaced = |upstream: &Arc<Upstream>| {
                 let is_in_place =
@@ -284,7 +284,7 @@
             .retain(|_, broken| now_ms < broken.broke_at_ms + PROVEN_WITHIN_MS);
     }
 
-    fn prove(&mut self, instance: &str, proof: Proof) -> Option<End> {
+    fn prove(&mut self, instance: &str, proof: Proof) -> Option<UpstreamCrash> {
         let (_, instance, broken) = self.by_instance.get_full_mut(instance)?;
         broken
             .proof
@@ -292,7 +292,11 @@
             .then(|| broken.take_end(instance, proof))
     }
 
-    fn prove_where(&mut self, proof: Proof, is_so: impl Fn(&str, &Break) -> bool) -> Vec<End> {
+    fn prove_where(
+        &mut self,
+        proof: Proof,
+        is_so: impl Fn(&str, &Break) -> bool,
+    ) -> Vec<UpstreamCrash> {
         self.by_instance
             .iter_mut()
             .filter(|(instance, broken)| broken.proof.is_none() && is_so(instance, broken))
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -15,10 +15,10 @@
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::dispatch::upstream_hash;
-use crate::direct::quarantine::crash_detector::End;
 use crate::direct::quarantine::crash_detector::Next;
 use crate::direct::quarantine::crash_detector::PROBE_PAUSES_MS;
 use crate::direct::quarantine::crash_detector::Run;
+use crate::direct::quarantine::crash_detector::UpstreamCrash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantine::suspect::Told;
 use crate::direct::quarantine::suspect_requests::Verdict;
@@ -211,7 +211,7 @@
         }
     }
 
-    fn upstream_ended(&self, end: &End) {
+    fn upstream_ended(&self, end: &UpstreamCrash) {
         self.log_end(end);
         let runs: Vec<(Fingerprint, u64)> = end
             .runs
@@ -228,8 +228,8 @@
         self.log_held(&change.held);
     }
 
-    fn log_end(&self, end: &End) {
-        if end.is_first {
+    fn log_end(&self, end: &UpstreamCrash) {
+        if end.is_first_report {
             let ends = &self.figures.upstream_ends;
             ends.with_label_values(&[&*end.service]).inc();
         }
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -77,7 +77,7 @@
         .on_connection_refused(&one.instance)
         .expect("an end");
     assert_eq!(end.runs, [run("a", 10), run("b", 20)]);
-    assert_eq!((end.proof, end.is_first), (Proof::Refused, true));
+    assert_eq!((end.proof, end.is_first_report), (Proof::Refused, true));
     assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
@@ -91,7 +91,7 @@
     let Next::Ended(end) = crash_detector.on_broken_run(&one, run("b", 20), 102) else {
         panic!("the end is known");
     };
-    assert_eq!((end.runs, end.is_first), (vec![run("b", 20)], false));
+    assert_eq!((end.runs, end.is_first_report), (vec![run("b", 20)], false));
 }
 
 #[test]
