--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -35,27 +35,27 @@
 
 /// How an end was proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
+pub enum CrashEvidence {
     /// Nobody listens at its address.
-    Refused,
+    ConnectionRefused,
     /// The list has another incarnation in its place.
-    Replaced,
+    NewIncarnation,
     /// A peer has proven it.
-    Told,
+    PeerReport,
 }
 
-impl Proof {
+impl CrashEvidence {
     /// Its name in logs.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::quarantine::crash_detector::Proof::Refused.name(), "connections refused");
+    /// assert_eq!(sardinewood::direct::quarantine::crash_detector::CrashEvidence::ConnectionRefused.log_name(), "connections refused");
     /// ```
     #[must_use]
-    pub fn name(self) -> &'static str {
+    pub fn log_name(self) -> &'static str {
         match self {
-            Self::Refused => "connections refused",
-            Self::Replaced => "another incarnation in its place",
-            Self::Told => "told by a peer",
+            Self::ConnectionRefused => "connections refused",
+            Self::NewIncarnation => "another incarnation in its place",
+            Self::PeerReport => "told by a peer",
         }
     }
 }
@@ -72,7 +72,7 @@
     /// What ran there, of this entry's requests, and was not reported before.
     pub runs: Vec<Run>,
     /// How it was proven.
-    pub proof: Proof,
+    pub evidence: CrashEvidence,
     /// Whether it was not reported before. Connections of the same upstream break one after the
     /// other.
     pub is_first_report: bool,
@@ -98,20 +98,20 @@
     address: SocketAddr,
     broke_at_ms: u64,
     runs: Vec<Run>,
-    proof: Option<Proof>,
+    evidence: Option<CrashEvidence>,
     /// Whether somebody was seen to listen at its address since, so that an end is unlikely.
     is_listening: bool,
 }
 
 impl Break {
-    fn take_end(&mut self, instance: &Arc<str>, proof: Proof) -> UpstreamCrash {
-        let is_first_report = self.proof.replace(proof).is_none();
+    fn take_end(&mut self, instance: &Arc<str>, evidence: CrashEvidence) -> UpstreamCrash {
+        let is_first_report = self.evidence.replace(evidence).is_none();
         UpstreamCrash {
             instance: Arc::clone(instance),
             service: Arc::clone(&self.service),
             broke_at_ms: self.broke_at_ms,
             runs: std::mem::take(&mut self.runs),
-            proof,
+            evidence,
             is_first_report,
         }
     }
@@ -153,7 +153,7 @@
                 address: upstream.address,
                 broke_at_ms: now_ms,
                 runs: vec![run],
-                proof: None,
+                evidence: None,
                 is_listening: false,
             };
             self.by_instance.insert(Arc::clone(&upstream.instance), new);
@@ -163,8 +163,8 @@
             return Next::Nothing;
         }
         known.runs.push(run);
-        match known.proof {
-            Some(proof) => Next::Ended(known.take_end(&upstream.instance, proof)),
+        match known.evidence {
+            Some(evidence) => Next::Ended(known.take_end(&upstream.instance, evidence)),
             None => Next::Wait,
         }
     }
@@ -176,7 +176,7 @@
     /// assert_eq!(CrashDetector::default().on_connection_refused("i-1"), None);
     /// ```
     pub fn on_connection_refused(&mut self, instance: &str) -> Option<UpstreamCrash> {
-        self.prove(instance, Proof::Refused)
+        self.prove(instance, CrashEvidence::ConnectionRefused)
     }
 
     /// Notes that peers have proven the end of upstreams, by their short names.
@@ -187,7 +187,7 @@
     /// ```
     pub fn on_peer_crash_reports(&mut self, ended: &[u32]) -> Vec<UpstreamCrash> {
         let is_told = |instance: &str, _: &Break| ended.contains(&upstream_hash(instance));
-        self.prove_where(Proof::Told, is_told)
+        self.prove_where(CrashEvidence::PeerReport, is_told)
     }
 
     /// Compares what broke with the upstreams that are listed now: a new incarnation at the address
@@ -198,7 +198,7 @@
     /// assert!(CrashDetector::default().on_upstreams_listed(&[]).is_empty());
     /// ```
     pub fn on_upstreams_listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<UpstreamCrash> {
-        self.prove_where(Proof::Replaced, |instance, broken| {
+        self.prove_where(CrashEvidence::NewIncarnation, |instance, broken| {
             let is_replaced = |upstream: &Arc<Upstream>| {
                 let is_in_place =
                     upstream.address == broken.address || upstream.name == broken.name;
@@ -216,7 +216,7 @@
     /// CrashDetector::default().on_answer("i-1", 5);
     /// ```
     pub fn on_answer(&mut self, instance: &str, began_ms: u64) {
-        let is_later = |broken: &Break| broken.proof.is_none() && began_ms > broken.broke_at_ms;
+        let is_later = |broken: &Break| broken.evidence.is_none() && began_ms > broken.broke_at_ms;
         if self.by_instance.get(instance).is_some_and(is_later) {
             self.by_instance.swap_remove(instance);
         }
@@ -246,7 +246,7 @@
     #[must_use]
     pub fn unconfirmed_crashes(&self, request: Fingerprint) -> usize {
         let is_of = |broken: &&Break| broken.runs.iter().any(|run| run.request == request);
-        let is_likely = |broken: &&Break| broken.proof.is_none() && !broken.is_listening;
+        let is_likely = |broken: &&Break| broken.evidence.is_none() && !broken.is_listening;
         let likely = self.by_instance.values().filter(is_likely);
         likely.filter(is_of).count()
     }
@@ -271,7 +271,7 @@
     pub fn is_undecided(&self, instance: &str) -> bool {
         self.by_instance
             .get(instance)
-            .is_some_and(|broken| broken.proof.is_none())
+            .is_some_and(|broken| broken.evidence.is_none())
     }
 
     /// Forgets what broke long ago.
@@ -284,23 +284,23 @@
             .retain(|_, broken| now_ms < broken.broke_at_ms + PROVEN_WITHIN_MS);
     }
 
-    fn prove(&mut self, instance: &str, proof: Proof) -> Option<UpstreamCrash> {
+    fn prove(&mut self, instance: &str, evidence: CrashEvidence) -> Option<UpstreamCrash> {
         let (_, instance, broken) = self.by_instance.get_full_mut(instance)?;
         broken
-            .proof
+            .evidence
             .is_none()
-            .then(|| broken.take_end(instance, proof))
+            .then(|| broken.take_end(instance, evidence))
     }
 
     fn prove_where(
         &mut self,
-        proof: Proof,
+        evidence: CrashEvidence,
         is_so: impl Fn(&str, &Break) -> bool,
     ) -> Vec<UpstreamCrash> {
         self.by_instance
             .iter_mut()
-            .filter(|(instance, broken)| broken.proof.is_none() && is_so(instance, broken))
-            .map(|(instance, broken)| broken.take_end(instance, proof))
+            .filter(|(instance, broken)| broken.evidence.is_none() && is_so(instance, broken))
+            .map(|(instance, broken)| broken.take_end(instance, evidence))
             .collect()
     }
 }
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -247,7 +247,7 @@
                 };
                 line.field("upstream", &end.instance)
                     .field("service", &end.service)
-                    .field("proof", end.proof.name())
+                    .field("proof", end.evidence.log_name())
                     .field("runs", end.runs.iter().map(run).collect::<Vec<_>>())
             },
         );
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -4,8 +4,8 @@
 
 use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::quarantine::crash_detector::CrashDetector;
+use sardinewood::direct::quarantine::crash_detector::CrashEvidence;
 use sardinewood::direct::quarantine::crash_detector::Next;
-use sardinewood::direct::quarantine::crash_detector::Proof;
 use sardinewood::direct::quarantine::crash_detector::Run;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
@@ -77,7 +77,10 @@
         .on_connection_refused(&one.instance)
         .expect("an end");
     assert_eq!(end.runs, [run("a", 10), run("b", 20)]);
-    assert_eq!((end.proof, end.is_first_report), (Proof::Refused, true));
+    assert_eq!(
+        (end.evidence, end.is_first_report),
+        (CrashEvidence::ConnectionRefused, true)
+    );
     assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
@@ -130,7 +133,7 @@
         );
         let ends = crash_detector.on_upstreams_listed(&[next]);
         assert_eq!(ends.len(), 1);
-        assert_eq!(ends[0].proof, Proof::Replaced);
+        assert_eq!(ends[0].evidence, CrashEvidence::NewIncarnation);
     }
 }
 
@@ -150,7 +153,7 @@
             .is_empty()
     );
     let ends = crash_detector.on_peer_crash_reports(&[upstream_hash(&one.instance)]);
-    assert_eq!(ends[0].proof, Proof::Told);
+    assert_eq!(ends[0].evidence, CrashEvidence::PeerReport);
 }
 
 #[test]
