--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -80,15 +80,15 @@
 
 /// What to do after a connection broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum BreakAction {
     /// See whether anybody listens at the upstream's address.
     Probe,
     /// The address is being tried already.
-    Wait,
+    ProbeRunning,
     /// The end was proven before.
-    Ended(UpstreamCrash),
+    Crashed(UpstreamCrash),
     /// The run had begun after the connections broke, so it has never reached the upstream.
-    Nothing,
+    Ignore,
 }
 
 #[derive(Clone, Debug)]
@@ -133,7 +133,7 @@
     /// Notes that a run's connection broke.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, Next, Run};
+    /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, BreakAction, Run};
     /// # use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
     /// # use sardinewood::direct::store_view::directory::Upstream;
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
@@ -142,10 +142,10 @@
     /// # let request = Fingerprint::of(Asked { method: "GET", path: "/", customer: None, body: b"" });
     /// let run = Run { request, name: "try-1".into(), began_ms: 5, is_trusted: false };
     /// let mut crash_detector = CrashDetector::default();
-    /// assert_eq!(crash_detector.on_broken_run(&upstream, run.clone(), 9), Next::Probe);
+    /// assert_eq!(crash_detector.on_broken_run(&upstream, run.clone(), 9), BreakAction::Probe);
     /// assert_eq!(crash_detector.on_connection_refused("i-1").unwrap().runs, [run]);
     /// ```
-    pub fn on_broken_run(&mut self, upstream: &Upstream, run: Run, now_ms: u64) -> Next {
+    pub fn on_broken_run(&mut self, upstream: &Upstream, run: Run, now_ms: u64) -> BreakAction {
         let Some(known) = self.by_instance.get_mut(&upstream.instance) else {
             let new = Break {
                 service: Arc::clone(&upstream.service),
@@ -157,15 +157,15 @@
                 is_listening: false,
             };
             self.by_instance.insert(Arc::clone(&upstream.instance), new);
-            return Next::Probe;
+            return BreakAction::Probe;
         };
         if run.began_ms > known.broke_at_ms {
-            return Next::Nothing;
+            return BreakAction::Ignore;
         }
         known.runs.push(run);
         match known.evidence {
-            Some(evidence) => Next::Ended(known.take_end(&upstream.instance, evidence)),
-            None => Next::Wait,
+            Some(evidence) => BreakAction::Crashed(known.take_end(&upstream.instance, evidence)),
+            None => BreakAction::ProbeRunning,
         }
     }
 
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -15,7 +15,7 @@
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::dispatch::upstream_hash;
-use crate::direct::quarantine::crash_detector::Next;
+use crate::direct::quarantine::crash_detector::BreakAction;
 use crate::direct::quarantine::crash_detector::PROBE_PAUSES_MS;
 use crate::direct::quarantine::crash_detector::Run;
 use crate::direct::quarantine::crash_detector::UpstreamCrash;
@@ -64,11 +64,11 @@
             .borrow_mut()
             .on_broken_run(upstream, run, self.now_ms());
         match next {
-            Next::Probe => {
+            BreakAction::Probe => {
                 spawn_local(probe(Rc::clone(self), Arc::clone(upstream)));
             }
-            Next::Ended(end) => self.upstream_ended(&end),
-            Next::Wait | Next::Nothing => {}
+            BreakAction::Crashed(end) => self.upstream_ended(&end),
+            BreakAction::ProbeRunning | BreakAction::Ignore => {}
         }
     }
 
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use sardinewood::direct::placement::dispatch::upstream_hash;
+use sardinewood::direct::quarantine::crash_detector::BreakAction;
 use sardinewood::direct::quarantine::crash_detector::CrashDetector;
 use sardinewood::direct::quarantine::crash_detector::CrashEvidence;
-use sardinewood::direct::quarantine::crash_detector::Next;
 use sardinewood::direct::quarantine::crash_detector::Run;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
@@ -39,7 +39,7 @@
     let one = upstream("i-1", 4);
     assert_eq!(
         crash_detector.on_broken_run(&one, run("a", 10), 100),
-        Next::Probe
+        BreakAction::Probe
     );
     (crash_detector, one)
 }
@@ -71,7 +71,7 @@
     let (mut crash_detector, one) = one_broken();
     assert_eq!(
         crash_detector.on_broken_run(&one, run("b", 20), 101),
-        Next::Wait
+        BreakAction::ProbeRunning
     );
     let end = crash_detector
         .on_connection_refused(&one.instance)
@@ -91,7 +91,7 @@
     crash_detector
         .on_connection_refused(&one.instance)
         .expect("an end");
-    let Next::Ended(end) = crash_detector.on_broken_run(&one, run("b", 20), 102) else {
+    let BreakAction::Crashed(end) = crash_detector.on_broken_run(&one, run("b", 20), 102) else {
         panic!("the end is known");
     };
     assert_eq!((end.runs, end.is_first_report), (vec![run("b", 20)], false));
@@ -104,7 +104,7 @@
     let (mut crash_detector, one) = one_broken();
     assert_eq!(
         crash_detector.on_broken_run(&one, run("late", 101), 103),
-        Next::Nothing
+        BreakAction::Ignore
     );
     assert_eq!(
         crash_detector
