--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -22,15 +22,15 @@
 
 /// A run that broke off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct BrokenRun {
     /// The request.
     pub request: Fingerprint,
     /// Its name in logs.
-    pub name: Arc<str>,
+    pub request_id: Arc<str>,
     /// When its room at the upstream was taken.
-    pub began_ms: u64,
+    pub started_at_ms: u64,
     /// Whether the same request had run whole a moment before, so that it is not the cause.
-    pub is_trusted: bool,
+    pub has_succeeded_recently: bool,
 }
 
 /// How an end was proven.
@@ -70,7 +70,7 @@
     /// When this entry saw the first of its connections break.
     pub broke_at_ms: u64,
     /// What ran there, of this entry's requests, and was not reported before.
-    pub runs: Vec<Run>,
+    pub runs: Vec<BrokenRun>,
     /// How it was proven.
     pub evidence: CrashEvidence,
     /// Whether it was not reported before. Connections of the same upstream break one after the
@@ -97,7 +97,7 @@
     name: Arc<str>,
     address: SocketAddr,
     broke_at_ms: u64,
-    runs: Vec<Run>,
+    runs: Vec<BrokenRun>,
     evidence: Option<CrashEvidence>,
     /// Whether somebody was seen to listen at its address since, so that an end is unlikely.
     is_listening: bool,
@@ -133,19 +133,24 @@
     /// Notes that a run's connection broke.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, BreakAction, Run};
+    /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, BreakAction, BrokenRun};
     /// # use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
     /// # use sardinewood::direct::store_view::directory::Upstream;
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
     /// #     service: "s".into(), address: "127.0.0.1:80".parse().unwrap(),
     /// #     data_centre: "d".into(), slots: 4, version: "v1".into(), revision: 1, is_leaving: false };
     /// # let request = Fingerprint::of(Asked { method: "GET", path: "/", customer: None, body: b"" });
-    /// let run = Run { request, name: "try-1".into(), began_ms: 5, is_trusted: false };
+    /// let run = BrokenRun { request, request_id: "try-1".into(), started_at_ms: 5, has_succeeded_recently: false };
     /// let mut crash_detector = CrashDetector::default();
     /// assert_eq!(crash_detector.on_broken_run(&upstream, run.clone(), 9), BreakAction::Probe);
     /// assert_eq!(crash_detector.on_connection_refused("i-1").unwrap().runs, [run]);
     /// ```
-    pub fn on_broken_run(&mut self, upstream: &Upstream, run: Run, now_ms: u64) -> BreakAction {
+    pub fn on_broken_run(
+        &mut self,
+        upstream: &Upstream,
+        run: BrokenRun,
+        now_ms: u64,
+    ) -> BreakAction {
         let Some(known) = self.by_instance.get_mut(&upstream.instance) else {
             let new = Break {
                 service: Arc::clone(&upstream.service),
@@ -159,7 +164,7 @@
             self.by_instance.insert(Arc::clone(&upstream.instance), new);
             return BreakAction::Probe;
         };
-        if run.began_ms > known.broke_at_ms {
+        if run.started_at_ms > known.broke_at_ms {
             return BreakAction::Ignore;
         }
         known.runs.push(run);
@@ -215,8 +220,9 @@
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// CrashDetector::default().on_answer("i-1", 5);
     /// ```
-    pub fn on_answer(&mut self, instance: &str, began_ms: u64) {
-        let is_later = |broken: &Break| broken.evidence.is_none() && began_ms > broken.broke_at_ms;
+    pub fn on_answer(&mut self, instance: &str, started_at_ms: u64) {
+        let is_later =
+            |broken: &Break| broken.evidence.is_none() && started_at_ms > broken.broke_at_ms;
         if self.by_instance.get(instance).is_some_and(is_later) {
             self.by_instance.swap_remove(instance);
         }
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -16,8 +16,8 @@
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::quarantine::crash_detector::BreakAction;
+use crate::direct::quarantine::crash_detector::BrokenRun;
 use crate::direct::quarantine::crash_detector::PROBE_PAUSES_MS;
-use crate::direct::quarantine::crash_detector::Run;
 use crate::direct::quarantine::crash_detector::UpstreamCrash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantine::suspect::Told;
@@ -50,11 +50,11 @@
         if !self.dispatcher.borrow().is_listed(&upstream.instance) {
             return;
         }
-        let run = Run {
+        let run = BrokenRun {
             request: call.fingerprint(),
-            name: call.name().into(),
-            began_ms: lease.since_ms(),
-            is_trusted: self
+            request_id: call.name().into(),
+            started_at_ms: lease.since_ms(),
+            has_succeeded_recently: self
                 .recent_successes
                 .borrow()
                 .has(call.asked(), self.now_ms()),
@@ -216,8 +216,8 @@
         let runs: Vec<(Fingerprint, u64)> = end
             .runs
             .iter()
-            .filter(|run| !run.is_trusted)
-            .map(|run| (run.request, run.began_ms))
+            .filter(|run| !run.has_succeeded_recently)
+            .map(|run| (run.request, run.started_at_ms))
             .collect();
         let upstream = upstream_hash(&end.instance);
         let change =
@@ -237,12 +237,12 @@
             Level::Warn,
             "upstream ended in the middle of runs",
             |line| {
-                let run = |run: &Run| {
+                let run = |run: &BrokenRun| {
                     json!({
-                        "request": run.name,
+                        "request": run.request_id,
                         "fingerprint": run.request.to_string(),
-                        "held_ms": end.broke_at_ms.saturating_sub(run.began_ms),
-                        "ran_whole_lately": run.is_trusted,
+                        "held_ms": end.broke_at_ms.saturating_sub(run.started_at_ms),
+                        "ran_whole_lately": run.has_succeeded_recently,
                     })
                 };
                 line.field("upstream", &end.instance)
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -4,9 +4,9 @@
 
 use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::quarantine::crash_detector::BreakAction;
+use sardinewood::direct::quarantine::crash_detector::BrokenRun;
 use sardinewood::direct::quarantine::crash_detector::CrashDetector;
 use sardinewood::direct::quarantine::crash_detector::CrashEvidence;
-use sardinewood::direct::quarantine::crash_detector::Run;
 use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::recent_successes::RecentSuccesses;
@@ -24,12 +24,12 @@
     }
 }
 
-fn run(body: &str, began_ms: u64) -> Run {
-    Run {
+fn run(body: &str, started_at_ms: u64) -> BrokenRun {
+    BrokenRun {
         request: Fingerprint::of(asked(body.as_bytes())),
-        name: body.into(),
-        began_ms,
-        is_trusted: false,
+        request_id: body.into(),
+        started_at_ms,
+        has_succeeded_recently: false,
     }
 }
 
