--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -9,8 +9,8 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::placement::dispatch::upstream_hash;
 use sardinewood::direct::placement::health::AttemptOutcome;
-use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
+use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
 use sardinewood::direct::quarantine::suspect::Told;
 use sardinewood::direct::quarantine::suspect_requests::Verdict;
 use sardinewood::direct::store_view::directory::Upstream;
@@ -84,7 +84,7 @@
 
     fn fingerprint(&self, request: usize) -> Fingerprint {
         let number = request.min(self.first_deadly) as u64;
-        Fingerprint::of(Asked {
+        Fingerprint::of(FingerprintInput {
             method: "POST",
             path: "/",
             customer: None,
--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -134,12 +134,12 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, BreakAction, BrokenRun};
-    /// # use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
+    /// # use sardinewood::direct::quarantine::fingerprint::{FingerprintInput, Fingerprint};
     /// # use sardinewood::direct::store_view::directory::Upstream;
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
     /// #     service: "s".into(), address: "127.0.0.1:80".parse().unwrap(),
     /// #     data_centre: "d".into(), slots: 4, version: "v1".into(), revision: 1, is_leaving: false };
-    /// # let request = Fingerprint::of(Asked { method: "GET", path: "/", customer: None, body: b"" });
+    /// # let request = Fingerprint::of(FingerprintInput { method: "GET", path: "/", customer: None, body: b"" });
     /// let run = BrokenRun { request, request_id: "try-1".into(), started_at_ms: 5, has_succeeded_recently: false };
     /// let mut crash_detector = CrashDetector::default();
     /// assert_eq!(crash_detector.on_broken_run(&upstream, run.clone(), 9), BreakAction::Probe);
--- a/lib/src/direct/quarantine/fingerprint.rs
+++ b/lib/src/direct/quarantine/fingerprint.rs
@@ -22,7 +22,7 @@
 
 /// What a request asks, and for whom.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct FingerprintInput<'a> {
     /// Its method.
     pub method: &'a str,
     /// Path and query.
@@ -33,13 +33,13 @@
     pub body: &'a [u8],
 }
 
-impl<'a> Asked<'a> {
+impl<'a> FingerprintInput<'a> {
     /// All of it, in the order in which it is read.
     ///
     /// ```
-    /// use sardinewood::direct::quarantine::fingerprint::Asked;
+    /// use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
     ///
-    /// let asked = Asked { method: "GET", path: "/", customer: None, body: b"" };
+    /// let asked = FingerprintInput { method: "GET", path: "/", customer: None, body: b"" };
     /// assert_eq!(asked.parts()[1], b"GET");
     /// ```
     #[must_use]
@@ -59,14 +59,14 @@
     /// Of a request; reads its whole body.
     ///
     /// ```
-    /// use sardinewood::direct::quarantine::fingerprint::{Asked, Fingerprint};
+    /// use sardinewood::direct::quarantine::fingerprint::{FingerprintInput, Fingerprint};
     ///
-    /// let asked = Asked { method: "POST", path: "/a/b", customer: Some("c"), body: b"text" };
+    /// let asked = FingerprintInput { method: "POST", path: "/a/b", customer: Some("c"), body: b"text" };
     /// assert_eq!(Fingerprint::of(asked), Fingerprint::of(asked));
-    /// assert_ne!(Fingerprint::of(asked), Fingerprint::of(Asked { customer: None, ..asked }));
+    /// assert_ne!(Fingerprint::of(asked), Fingerprint::of(FingerprintInput { customer: None, ..asked }));
     /// ```
     #[must_use]
-    pub fn of(asked: Asked<'_>) -> Self {
+    pub fn of(asked: FingerprintInput<'_>) -> Self {
         let mut bytes = [0; BYTES];
         bytes.copy_from_slice(&digest_parts(&asked.parts())[..BYTES]);
         Self(bytes)
--- a/lib/src/direct/quarantine/recent_successes.rs
+++ b/lib/src/direct/quarantine/recent_successes.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use twox_hash::XxHash64;
 
-use crate::direct::quarantine::fingerprint::Asked;
+use crate::direct::quarantine::fingerprint::FingerprintInput;
 
 /// How long a whole run speaks for a request: a popular one runs whole more often than that, and
 /// one that has become deadly is trusted no longer.
@@ -21,10 +21,10 @@
 /// caller knows, and which means nothing to other entries.
 ///
 /// ```
-/// use sardinewood::direct::quarantine::fingerprint::Asked;
+/// use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
 /// use sardinewood::direct::quarantine::recent_successes::RecentSuccesses;
 ///
-/// let asked = Asked { method: "POST", path: "/a", customer: None, body: b"text" };
+/// let asked = FingerprintInput { method: "POST", path: "/a", customer: None, body: b"text" };
 /// let mut recent = RecentSuccesses::new(7);
 /// recent.note(asked, 1_000);
 /// assert!(recent.has(asked, 2_000));
@@ -53,11 +53,11 @@
     /// Notes that a request ran whole.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::{fingerprint::Asked, recent_successes::RecentSuccesses};
-    /// # let asked = Asked { method: "POST", path: "/a", customer: None, body: b"" };
+    /// # use sardinewood::direct::quarantine::{fingerprint::FingerprintInput, recent_successes::RecentSuccesses};
+    /// # let asked = FingerprintInput { method: "POST", path: "/a", customer: None, body: b"" };
     /// RecentSuccesses::new(7).note(asked, 0);
     /// ```
-    pub fn note(&mut self, asked: Asked<'_>, now_ms: u64) {
+    pub fn note(&mut self, asked: FingerprintInput<'_>, now_ms: u64) {
         if self.at_ms.len() >= MAX_REMEMBERED {
             self.make_room(now_ms);
         }
@@ -67,12 +67,12 @@
     /// Whether a request ran whole a moment ago.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::{fingerprint::Asked, recent_successes::RecentSuccesses};
-    /// # let asked = Asked { method: "POST", path: "/a", customer: None, body: b"" };
+    /// # use sardinewood::direct::quarantine::{fingerprint::FingerprintInput, recent_successes::RecentSuccesses};
+    /// # let asked = FingerprintInput { method: "POST", path: "/a", customer: None, body: b"" };
     /// assert!(!RecentSuccesses::new(7).has(asked, 0));
     /// ```
     #[must_use]
-    pub fn has(&self, asked: Asked<'_>, now_ms: u64) -> bool {
+    pub fn has(&self, asked: FingerprintInput<'_>, now_ms: u64) -> bool {
         let at_ms = self.at_ms.get(&self.name(asked));
         at_ms.is_some_and(|at_ms| now_ms < at_ms + TRUSTED_MS)
     }
@@ -84,7 +84,7 @@
         self.at_ms.drain(..too_many);
     }
 
-    fn name(&self, asked: Asked<'_>) -> u64 {
+    fn name(&self, asked: FingerprintInput<'_>) -> u64 {
         let mut hash = XxHash64::with_seed(self.seed);
         for part in asked.parts() {
             hash.write_usize(part.len());
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -23,8 +23,8 @@
 use crate::caller::headers::connection_names;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::shared_prefix::SharedPrefix;
-use crate::direct::quarantine::fingerprint::Asked;
 use crate::direct::quarantine::fingerprint::Fingerprint;
+use crate::direct::quarantine::fingerprint::FingerprintInput;
 use crate::direct::quarantine_driver::HeldRequest;
 use crate::direct::quota_driver;
 use crate::direct::request::caller::CallerHeaders;
@@ -154,13 +154,13 @@
     pub fn fingerprint(&self) -> Fingerprint {
         *self
             .known_fingerprint
-            .get_or_init(|| Fingerprint::of(self.asked()))
+            .get_or_init(|| Fingerprint::of(self.fingerprint_input()))
     }
 
     /// What it asks, and for whom.
     #[must_use]
-    pub fn asked(&self) -> Asked<'_> {
-        asked(&self.method, &self.uri, self.customer.as_ref(), &self.body)
+    pub fn fingerprint_input(&self) -> FingerprintInput<'_> {
+        fingerprint_input(&self.method, &self.uri, self.customer.as_ref(), &self.body)
     }
 
     /// What the dispatcher needs to know of it.
@@ -238,8 +238,9 @@
     };
     let known_fingerprint = OnceCell::new();
     let held = traffic.admit_unheld(|| {
-        let asked = asked(&parts.method, &parts.uri, customer.as_ref(), &body);
-        *known_fingerprint.get_or_init(|| Fingerprint::of(asked))
+        let fingerprint_input =
+            fingerprint_input(&parts.method, &parts.uri, customer.as_ref(), &body);
+        *known_fingerprint.get_or_init(|| Fingerprint::of(fingerprint_input))
     });
     if let Err(held) = held {
         return Err(refuse_held(&held, &route, customer.as_ref(), id));
@@ -304,13 +305,13 @@
     })
 }
 
-fn asked<'a>(
+fn fingerprint_input<'a>(
     method: &'a Method,
     uri: &'a Uri,
     customer: Option<&'a Arc<Customer>>,
     body: &'a Bytes,
-) -> Asked<'a> {
-    Asked {
+) -> FingerprintInput<'a> {
+    FingerprintInput {
         method: method.as_str(),
         path: uri.path_and_query().map_or("/", PathAndQuery::as_str),
         customer: customer.map(|customer| &*customer.name),
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -7,16 +7,16 @@
 use sardinewood::direct::quarantine::crash_detector::BrokenRun;
 use sardinewood::direct::quarantine::crash_detector::CrashDetector;
 use sardinewood::direct::quarantine::crash_detector::CrashEvidence;
-use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
+use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
 use sardinewood::direct::quarantine::recent_successes::RecentSuccesses;
 use sardinewood::direct::store_view::directory::Upstream;
 
 use crate::direct_fixture::born;
 use crate::direct_fixture::upstream;
 
-fn asked(body: &[u8]) -> Asked<'_> {
-    Asked {
+fn asked(body: &[u8]) -> FingerprintInput<'_> {
+    FingerprintInput {
         method: "POST",
         path: "/notes/1",
         customer: Some("rundu"),
@@ -189,20 +189,20 @@
     assert_eq!(one, Fingerprint::of(asked(b"text")));
     let others = [
         asked(b"texts"),
-        Asked {
+        FingerprintInput {
             method: "GET",
             ..asked(b"text")
         },
-        Asked {
+        FingerprintInput {
             path: "/notes/1t",
             body: b"ext",
             ..asked(b"")
         },
-        Asked {
+        FingerprintInput {
             customer: Some("oshi"),
             ..asked(b"text")
         },
-        Asked {
+        FingerprintInput {
             customer: None,
             ..asked(b"text")
         },
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::quarantine::fingerprint::Asked;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
+use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
 use sardinewood::direct::quarantine::suspect::Told;
 use sardinewood::direct::quarantine::suspect::ToldEnd;
 use sardinewood::direct::quarantine::suspect::ToldHold;
@@ -16,7 +16,7 @@
 const MINUTE_MS: u64 = 60_000;
 
 fn request(number: u32) -> Fingerprint {
-    Fingerprint::of(Asked {
+    Fingerprint::of(FingerprintInput {
         method: "POST",
         path: "/notes/",
         customer: None,
