--- a/lib/src/direct/quarantine/recent_successes.rs
+++ b/lib/src/direct/quarantine/recent_successes.rs
@@ -26,9 +26,9 @@
 ///
 /// let asked = FingerprintInput { method: "POST", path: "/a", customer: None, body: b"text" };
 /// let mut recent = RecentSuccesses::new(7);
-/// recent.note(asked, 1_000);
-/// assert!(recent.has(asked, 2_000));
-/// assert!(!recent.has(asked, 20_000));
+/// recent.insert(asked, 1_000);
+/// assert!(recent.contains(asked, 2_000));
+/// assert!(!recent.contains(asked, 20_000));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RecentSuccesses {
@@ -55,9 +55,9 @@
     /// ```
     /// # use sardinewood::direct::quarantine::{fingerprint::FingerprintInput, recent_successes::RecentSuccesses};
     /// # let asked = FingerprintInput { method: "POST", path: "/a", customer: None, body: b"" };
-    /// RecentSuccesses::new(7).note(asked, 0);
+    /// RecentSuccesses::new(7).insert(asked, 0);
     /// ```
-    pub fn note(&mut self, asked: FingerprintInput<'_>, now_ms: u64) {
+    pub fn insert(&mut self, asked: FingerprintInput<'_>, now_ms: u64) {
         if self.at_ms.len() >= MAX_REMEMBERED {
             self.make_room(now_ms);
         }
@@ -69,10 +69,10 @@
     /// ```
     /// # use sardinewood::direct::quarantine::{fingerprint::FingerprintInput, recent_successes::RecentSuccesses};
     /// # let asked = FingerprintInput { method: "POST", path: "/a", customer: None, body: b"" };
-    /// assert!(!RecentSuccesses::new(7).has(asked, 0));
+    /// assert!(!RecentSuccesses::new(7).contains(asked, 0));
     /// ```
     #[must_use]
-    pub fn has(&self, asked: FingerprintInput<'_>, now_ms: u64) -> bool {
+    pub fn contains(&self, asked: FingerprintInput<'_>, now_ms: u64) -> bool {
         let at_ms = self.at_ms.get(&self.name(asked));
         at_ms.is_some_and(|at_ms| now_ms < at_ms + TRUSTED_MS)
     }
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -57,7 +57,7 @@
             has_succeeded_recently: self
                 .recent_successes
                 .borrow()
-                .has(call.fingerprint_input(), self.now_ms()),
+                .contains(call.fingerprint_input(), self.now_ms()),
         };
         let next = self
             .crash_detector
@@ -98,7 +98,7 @@
     pub fn succeeded(&self, call: &Call) {
         self.recent_successes
             .borrow_mut()
-            .note(call.fingerprint_input(), self.now_ms());
+            .insert(call.fingerprint_input(), self.now_ms());
         if self.suspects.borrow().suspects_any() {
             self.clear_request(call.fingerprint());
         }
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -216,19 +216,19 @@
 fn whole_run_trusted_for_a_moment_only() {
     // What ran whole long ago may have become deadly since, with a new version of the upstreams.
     let mut recent = RecentSuccesses::new(1);
-    recent.note(asked(b"text"), 5_000);
-    assert!(recent.has(asked(b"text"), 14_999));
-    assert!(!recent.has(asked(b"text"), 15_000));
-    assert!(!recent.has(asked(b"texts"), 5_000));
+    recent.insert(asked(b"text"), 5_000);
+    assert!(recent.contains(asked(b"text"), 14_999));
+    assert!(!recent.contains(asked(b"text"), 15_000));
+    assert!(!recent.contains(asked(b"texts"), 5_000));
 }
 
 #[test]
 fn requests_without_end_trusted_in_bounded_memory() {
     let mut recent = RecentSuccesses::new(1);
     for number in 0..20_000_u32 {
-        recent.note(asked(&number.to_be_bytes()), 1_000);
+        recent.insert(asked(&number.to_be_bytes()), 1_000);
     }
-    let trusted = |number: &u32| recent.has(asked(&number.to_be_bytes()), 1_000);
+    let trusted = |number: &u32| recent.contains(asked(&number.to_be_bytes()), 1_000);
     let remembered = (0..20_000).filter(trusted).count();
     assert!((2_000..=4_096).contains(&remembered), "{remembered}");
     assert!(trusted(&19_999), "the newest");
