--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -24,7 +24,7 @@
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::slot_search::SlotSearch;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-use sardinewood::direct::quarantine::suspect_requests::Suspects;
+use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
 use sardinewood::direct::sharing::admission::AdmissionController;
 use sardinewood::direct::sharing::admission::EntryRef;
 use sardinewood::direct::sharing::admission::PeerRequestId;
@@ -245,7 +245,7 @@
     waiting: IndexMap<usize, SlotSearch>,
     sizes: SizeStats,
     floor: SizeFairness,
-    suspects: Suspects,
+    suspects: SuspectRequests,
     notices: Notices,
     rate_wakes_ms: Option<u64>,
 }
@@ -403,7 +403,7 @@
             waiting: IndexMap::new(),
             sizes: SizeStats::default(),
             floor: SizeFairness::default(),
-            suspects: Suspects::default(),
+            suspects: SuspectRequests::default(),
             notices: Notices::default(),
             rate_wakes_ms: None,
         }
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -201,7 +201,7 @@
         let known = self.entries[entry].peers.known_entries();
         if gossip::should_sync(known, self.random.random::<u32>() as usize) {
             let told = self.entries[entry].suspects.next_told(self.now_ms);
-            self.tell(entry, peer, PeerMessage::Suspects(told));
+            self.tell(entry, peer, PeerMessage::SuspectRequests(told));
         }
     }
 
@@ -233,7 +233,7 @@
             .copied()
             .collect();
         for target in chosen {
-            self.tell(entry, target, PeerMessage::Suspects(told.to_vec()));
+            self.tell(entry, target, PeerMessage::SuspectRequests(told.to_vec()));
         }
     }
 }
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -150,7 +150,7 @@
         charge: ChargeOutcome,
     },
     /// What the sender knows of requests under which upstreams ended.
-    Suspects(Vec<Told>),
+    SuspectRequests(Vec<Told>),
     /// How far a roll-out has come, or what the sender has seen of it.
     Rollout(RolloutMessage),
     /// What upstreams have said of themselves.
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -137,10 +137,10 @@
 ///
 /// ```
 /// use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-/// use sardinewood::direct::quarantine::suspect_requests::{Suspects, Verdict};
+/// use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, Verdict};
 ///
 /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-/// let mut suspects = Suspects::default();
+/// let mut suspects = SuspectRequests::default();
 /// for upstream in 1..=3 {
 ///     assert_eq!(suspects.verdict(request, 0), Verdict::Free);
 ///     let at_ms = u64::from(upstream) * 100;
@@ -149,17 +149,17 @@
 /// assert!(matches!(suspects.verdict(request, 300), Verdict::Held { .. }));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Suspects {
+pub struct SuspectRequests {
     records: IndexMap<Fingerprint, Record>,
     /// Where the next message goes on.
     next_told: usize,
 }
 
-impl Suspects {
+impl SuspectRequests {
     /// Whether nothing is known of any request, as on most days.
     ///
     /// ```
-    /// assert!(sardinewood::direct::quarantine::suspect_requests::Suspects::default().is_empty());
+    /// assert!(sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -169,7 +169,7 @@
     /// How many requests are remembered, and how many of them are held.
     ///
     /// ```
-    /// let suspects = sardinewood::direct::quarantine::suspect_requests::Suspects::default();
+    /// let suspects = sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default();
     /// assert_eq!(suspects.counts(0).remembered, 0);
     /// ```
     #[must_use]
@@ -185,7 +185,7 @@
     /// Whether any request is or was held, and so might not be free.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::quarantine::suspect_requests::Suspects::default().holds_any());
+    /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().holds_any());
     /// ```
     #[must_use]
     pub fn holds_any(&self) -> bool {
@@ -196,7 +196,7 @@
     /// entries' sake.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::quarantine::suspect_requests::Suspects::default().suspects_any());
+    /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().suspects_any());
     /// ```
     #[must_use]
     pub fn suspects_any(&self) -> bool {
@@ -207,9 +207,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspect_requests::{Suspects, Verdict};
+    /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, Verdict};
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert_eq!(Suspects::default().verdict(request, 0), Verdict::Free);
+    /// assert_eq!(SuspectRequests::default().verdict(request, 0), Verdict::Free);
     /// ```
     #[must_use]
     pub fn verdict(&self, request: Fingerprint, now_ms: u64) -> Verdict {
@@ -229,10 +229,10 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert!(Suspects::default().may_go_on(request, 2));
-    /// assert!(!Suspects::default().may_go_on(request, 3));
+    /// assert!(SuspectRequests::default().may_go_on(request, 2));
+    /// assert!(!SuspectRequests::default().may_go_on(request, 3));
     /// ```
     #[must_use]
     pub fn may_go_on(&self, request: Fingerprint, unproven: usize) -> bool {
@@ -247,9 +247,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// Suspects::default().begin_trial(request, 0);
+    /// SuspectRequests::default().begin_trial(request, 0);
     /// ```
     pub fn begin_trial(&mut self, request: Fingerprint, now_ms: u64) {
         let record = self.records.get_mut(&request);
@@ -263,9 +263,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// let change = Suspects::default().ended(7, 100, &[(request, 50)], 100);
+    /// let change = SuspectRequests::default().ended(7, 100, &[(request, 50)], 100);
     /// assert_eq!(change.changed, [request]);
     /// assert!(change.held.is_empty());
     /// ```
@@ -305,9 +305,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert!(!Suspects::default().clear(request, 0));
+    /// assert!(!SuspectRequests::default().clear(request, 0));
     /// ```
     pub fn clear(&mut self, request: Fingerprint, now_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
@@ -327,8 +327,8 @@
     /// Takes a peer's word.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspect_requests::{Change, Suspects};
-    /// assert_eq!(Suspects::default().hear(&[], 0), Change::default());
+    /// # use sardinewood::direct::quarantine::suspect_requests::{Change, SuspectRequests};
+    /// assert_eq!(SuspectRequests::default().hear(&[], 0), Change::default());
     /// ```
     pub fn hear(&mut self, told: &[Told], now_ms: u64) -> Change {
         let now_ms = moment(now_ms);
@@ -354,8 +354,8 @@
     /// What to tell of some requests.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
-    /// assert!(Suspects::default().told(&[], 0).is_empty());
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
+    /// assert!(SuspectRequests::default().told(&[], 0).is_empty());
     /// ```
     #[must_use]
     pub fn told(&self, requests: &[Fingerprint], now_ms: u64) -> Vec<Told> {
@@ -369,8 +369,8 @@
     /// What to tell a peer that may have missed something: what is held, and the others in turn.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
-    /// assert!(Suspects::default().next_told(0).is_empty());
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
+    /// assert!(SuspectRequests::default().next_told(0).is_empty());
     /// ```
     pub fn next_told(&mut self, now_ms: u64) -> Vec<Told> {
         let (held, others): (Vec<_>, Vec<_>) = self
@@ -392,8 +392,8 @@
     /// What is known of a request, for operators.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspect_requests::Suspects;
-    /// assert!(Suspects::default().all(0).is_empty());
+    /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
+    /// assert!(SuspectRequests::default().all(0).is_empty());
     /// ```
     #[must_use]
     pub fn all(&self, now_ms: u64) -> Vec<Told> {
@@ -405,7 +405,7 @@
     /// Forgets what is long ago.
     ///
     /// ```
-    /// sardinewood::direct::quarantine::suspect_requests::Suspects::default().sweep(0);
+    /// sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().sweep(0);
     /// ```
     pub fn sweep(&mut self, now_ms: u64) {
         let now_ms = moment(now_ms);
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -189,7 +189,7 @@
             return;
         }
         let told = self.suspects.borrow_mut().next_told(self.now_ms());
-        self.tell(peer, &PeerMessage::Suspects(told));
+        self.tell(peer, &PeerMessage::SuspectRequests(told));
     }
 
     fn tell_all_of(&self, requests: &[Fingerprint]) {
@@ -199,7 +199,7 @@
 
     fn tell_some_of(&self, told: Vec<Told>, most: usize) {
         if !told.is_empty() {
-            self.tell_some(&PeerMessage::Suspects(told), most);
+            self.tell_some(&PeerMessage::SuspectRequests(told), most);
         }
     }
 
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -127,7 +127,7 @@
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
                 traffic.complete_charge(request_id, charge)
             }
-            Some(PeerMessage::Suspects(told)) => traffic.hear_suspects(&told),
+            Some(PeerMessage::SuspectRequests(told)) => traffic.hear_suspects(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
             Some(PeerMessage::Notices(told)) => traffic.hear_notices(from, &told),
             None => traffic.log(Level::Warn, "datagram is not understood", |line| {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -31,7 +31,7 @@
 use crate::direct::placement::shared_prefix::PrefixPopularity;
 use crate::direct::quarantine::crash_detector::CrashDetector;
 use crate::direct::quarantine::recent_successes::RecentSuccesses;
-use crate::direct::quarantine::suspect_requests::Suspects;
+use crate::direct::quarantine::suspect_requests::SuspectRequests;
 use crate::direct::quota_driver::PendingCharges;
 use crate::direct::request::caller::Dialect;
 use crate::direct::request::connections::Connections;
@@ -108,7 +108,7 @@
     /// Requests that ran whole a moment ago.
     pub recent_successes: RefCell<RecentSuccesses>,
     /// Requests that may be the cause of upstreams' ends.
-    pub suspects: RefCell<Suspects>,
+    pub suspects: RefCell<SuspectRequests>,
     /// What upstreams say of themselves.
     pub notices: RefCell<Notices>,
     /// Orders to move services to other versions.
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -10,7 +10,7 @@
 use sardinewood::direct::quarantine::suspect::Told;
 use sardinewood::direct::quarantine::suspect::ToldEnd;
 use sardinewood::direct::quarantine::suspect::ToldHold;
-use sardinewood::direct::quarantine::suspect_requests::Suspects;
+use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
 use sardinewood::direct::quarantine::suspect_requests::Verdict;
 
 const MINUTE_MS: u64 = 60_000;
@@ -25,7 +25,7 @@
 }
 
 /// An end of an upstream under a run that began half a tenth of a second before.
-fn end(suspects: &mut Suspects, upstream: u32, at_ms: u64, requests: &[u32]) {
+fn end(suspects: &mut SuspectRequests, upstream: u32, at_ms: u64, requests: &[u32]) {
     let runs: Vec<(Fingerprint, u64)> = requests
         .iter()
         .map(|number| (request(*number), at_ms - 50))
@@ -33,7 +33,7 @@
     suspects.ended(upstream, at_ms, &runs, at_ms);
 }
 
-fn is_held(suspects: &Suspects, number: u32, now_ms: u64) -> bool {
+fn is_held(suspects: &SuspectRequests, number: u32, now_ms: u64) -> bool {
     matches!(
         suspects.verdict(request(number), now_ms),
         Verdict::Held { .. }
@@ -41,21 +41,21 @@
 }
 
 /// A request under which three upstreams ended, at 1, 2 and 3 s.
-fn held() -> Suspects {
-    let mut suspects = Suspects::default();
+fn held() -> SuspectRequests {
+    let mut suspects = SuspectRequests::default();
     for upstream in 1..=3 {
         end(&mut suspects, upstream, u64::from(upstream) * 1_000, &[1]);
     }
     suspects
 }
 
-fn tell(from: &Suspects, to: &mut Suspects, now_ms: u64) {
+fn tell(from: &SuspectRequests, to: &mut SuspectRequests, now_ms: u64) {
     to.hear(&from.all(now_ms), now_ms);
 }
 
 #[test]
 fn third_end_holds() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for upstream in 1..=3 {
         assert!(!is_held(&suspects, 1, 3_000));
         end(&mut suspects, upstream, u64::from(upstream) * 1_000, &[1]);
@@ -67,7 +67,7 @@
 #[test]
 fn same_end_seen_twice_counts_once() {
     // Two copies of a request run on one upstream, and one connection breaks after the other.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for at_ms in [1_000, 1_001, 1_002, 1_003] {
         end(&mut suspects, 1, at_ms, &[1, 1]);
     }
@@ -78,7 +78,7 @@
 fn rack_lost_under_a_popular_request_is_one_coincidence() {
     // Callers of a popular request run it on all upstreams of a rack, which loses power. It would be
     // refused to all of them, although nothing but the power ended the upstreams.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for upstream in 1..=5 {
         end(&mut suspects, upstream, 1_000, &[1]);
     }
@@ -89,7 +89,7 @@
 fn copies_in_flight_hold_with_the_next_end() {
     // A deadly request that comes in several copies at once ends as many upstreams. The first end of
     // the next copies is enough, or each round of copies would cost as many again.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for upstream in 1..=8 {
         end(&mut suspects, upstream, 1_000, &[1]);
     }
@@ -101,7 +101,7 @@
 fn whole_run_clears() {
     // An innocent request loses its upstream twice and then runs whole. What was seen before must not
     // count with what comes later.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     end(&mut suspects, 1, 1_000, &[1]);
     end(&mut suspects, 2, 2_000, &[1]);
     assert!(suspects.clear(request(1), 2_500));
@@ -129,9 +129,9 @@
 fn ends_seen_by_three_entries_are_one_verdict() {
     // A caller tries at another entry each time, so that each of them sees one end only.
     let mut entries = [
-        Suspects::default(),
-        Suspects::default(),
-        Suspects::default(),
+        SuspectRequests::default(),
+        SuspectRequests::default(),
+        SuspectRequests::default(),
     ];
     for upstream in 1..=3_u32 {
         let at_ms = u64::from(upstream) * 1_000;
@@ -150,7 +150,7 @@
 #[test]
 fn neighbours_of_a_deadly_request_not_held() {
     // Other requests run beside a deadly one, each at one of its upstreams or two.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     end(&mut suspects, 1, 1_000, &[1, 7, 10, 11]);
     end(&mut suspects, 2, 2_000, &[1, 7, 12, 13]);
     end(&mut suspects, 3, 3_000, &[1, 14]);
@@ -162,7 +162,7 @@
 fn neighbour_that_loses_a_third_upstream_tried_soon() {
     // One was beside a deadly request twice and then loses an upstream by chance. Two of its three ends were
     // the deadly one's as well, so it is tried within three seconds.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     end(&mut suspects, 1, 1_000, &[1, 7]);
     end(&mut suspects, 2, 2_000, &[1, 7]);
     end(&mut suspects, 3, 3_000, &[1]);
@@ -175,7 +175,7 @@
 fn request_always_beside_a_deadly_one_held_until_its_trial() {
     // Nothing tells two requests apart that ran together each time, so both are held, and tried soon, each
     // at its own moment. The trial tells: the one that runs whole is cleared.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for upstream in 1..=3 {
         end(
             &mut suspects,
@@ -201,7 +201,7 @@
     // A popular request runs on every upstream, so it is there at the ends of three deadly ones and is the
     // first to have three. Its callers were refused for a minute, at every entry. When the deadly ones are held
     // as well, each of its ends was also one of theirs, and it is tried within three seconds.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     let mut at_ms = 0;
     for round in 0..3 {
         for deadly in 1..=3 {
@@ -265,7 +265,7 @@
 fn deadly_request_costs_few_upstreams_in_a_day() {
     // A caller that insists all day gets one trial after a minute, ten minutes, two hours and a day, and each
     // costs one upstream.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     let mut ends = 0;
     let day_ms = 24 * 60 * MINUTE_MS;
     for at_ms in (1_000..day_ms).step_by(1_000) {
@@ -285,7 +285,7 @@
 fn broken_connections_count_before_they_are_proven() {
     // A stream goes on at the next upstream milliseconds after the first one ended, and a proof takes
     // longer. Without this, a route of many attempts would end as many upstreams in one try.
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     assert!(suspects.may_go_on(request(1), 2));
     assert!(!suspects.may_go_on(request(1), 3));
     end(&mut suspects, 1, 1_000, &[1]);
@@ -316,7 +316,7 @@
 fn ends_of_long_ago_forgotten_whoever_tells_them() {
     // Two entries tell each other what they know. Were it new to each in turn, neither would ever
     // forget it, and two ends of last week would count with one of today.
-    let mut first = Suspects::default();
+    let mut first = SuspectRequests::default();
     end(&mut first, 1, 1_000, &[1]);
     let mut second = first.clone();
     for now_ms in (1_000..40 * MINUTE_MS).step_by(500) {
@@ -331,9 +331,9 @@
 #[test]
 fn entry_that_has_just_started_forgets_when_the_others_do() {
     // Its clock began long after what it is told of.
-    let mut old = Suspects::default();
+    let mut old = SuspectRequests::default();
     end(&mut old, 1, 1_000, &[1]);
-    let mut young = Suspects::default();
+    let mut young = SuspectRequests::default();
     young.hear(&old.all(9 * MINUTE_MS), 100);
     assert!(!young.is_empty());
     young.sweep(100 + 2 * MINUTE_MS);
@@ -342,7 +342,7 @@
 
 #[test]
 fn fullest_message_fits_into_a_datagram() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     let day_ms = 24 * 60 * MINUTE_MS;
     for number in 0..40 {
         for upstream in 0..9 {
@@ -356,10 +356,10 @@
     }
     let told = suspects.next_told(2 * day_ms);
     assert!(told.len() > 5, "{}", told.len());
-    assert!(PeerMessage::Suspects(told).encode().is_some());
+    assert!(PeerMessage::SuspectRequests(told).encode().is_some());
     let all: Vec<Fingerprint> = (0..40).map(request).collect();
     let told = suspects.told(&all, 2 * day_ms);
-    assert!(PeerMessage::Suspects(told).encode().is_some());
+    assert!(PeerMessage::SuspectRequests(told).encode().is_some());
 }
 
 #[test]
@@ -368,7 +368,7 @@
     for number in 0..100 {
         end(&mut suspects, number, 4_000, &[100 + number]);
     }
-    let mut peer = Suspects::default();
+    let mut peer = SuspectRequests::default();
     for round in 0..20 {
         let told = suspects.next_told(5_000);
         assert!(
@@ -383,7 +383,7 @@
 /// A caller that tries up to six times, each run `run_ms` long, while one of so many upstreams ends every
 /// `every_ms`. Whether it was held at some time.
 fn is_held_by_chance(random: &mut StdRng, upstreams: u32, every_ms: u64, run_ms: u64) -> bool {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     let mut now_ms = 1_000;
     for _ in 0..6 {
         let own = random.random_range(0..upstreams);
@@ -491,7 +491,7 @@
     fn peer_that_tells_nonsense_breaks_nothing(told in prop::collection::vec(nonsense(), 1..40)) {
         // A peer of another version, or with a broken clock, tells times and counts of any size. The entry
         // goes on, tells nothing that does not fit into a datagram, and an operator can let all of it go.
-        let mut suspects = Suspects::default();
+        let mut suspects = SuspectRequests::default();
         suspects.hear(&told, 5_000);
         for number in 0..4 {
             end(&mut suspects, 7, 6_000, &[number]);
@@ -499,7 +499,7 @@
             suspects.begin_trial(request(number), 6_000);
         }
         let told = suspects.next_told(6_000);
-        prop_assert!(PeerMessage::Suspects(told).encode().is_some());
+        prop_assert!(PeerMessage::SuspectRequests(told).encode().is_some());
         for number in 0..4 {
             suspects.clear(request(number), 7_000);
             prop_assert_eq!(suspects.verdict(request(number), 7_000), Verdict::Free);
@@ -512,7 +512,7 @@
     fn entries_that_have_told_each_other_agree(steps in prop::collection::vec(step(), 1..60)) {
         // Whatever was lost or came late: once each has heard the others, all refuse the same requests,
         // and nobody has news for anybody.
-        let mut entries = [Suspects::default(), Suspects::default(), Suspects::default()];
+        let mut entries = [SuspectRequests::default(), SuspectRequests::default(), SuspectRequests::default()];
         let mut now_ms = 1_000;
         for step in steps {
             now_ms += 7_000;
