--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -12,7 +12,7 @@
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
 use sardinewood::direct::quarantine::suspect::Told;
-use sardinewood::direct::quarantine::suspect_requests::Verdict;
+use sardinewood::direct::quarantine::suspect_requests::QuarantineDecision;
 use sardinewood::direct::store_view::directory::Upstream;
 
 use super::End;
@@ -100,16 +100,16 @@
         let fingerprint = self.fingerprint(request);
         match self.entries[entry]
             .suspects
-            .verdict(fingerprint, self.now_ms)
+            .decide(fingerprint, self.now_ms)
         {
-            Verdict::Free => true,
-            Verdict::TrialDue => {
+            QuarantineDecision::Allow => true,
+            QuarantineDecision::AllowTrial => {
                 let suspects = &mut self.entries[entry].suspects;
                 suspects.begin_trial(fingerprint, self.now_ms);
                 self.tell_all_of(entry, &[fingerprint]);
                 true
             }
-            Verdict::Held { .. } => {
+            QuarantineDecision::Refuse { .. } => {
                 self.outcome.ends[request].push(End::Refused);
                 self.outcome.deadly.wrongly_held += usize::from(!self.is_deadly(request));
                 false
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -34,15 +34,15 @@
 
 /// Whether a request may be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QuarantineDecision {
     /// It may.
-    Free,
+    Allow,
     /// It was held and may be tried, by one entry at a time.
-    TrialDue,
+    AllowTrial,
     /// It may not for so long.
-    Held {
+    Refuse {
         /// Time until it may be tried.
-        left_ms: u64,
+        retry_after_ms: u64,
     },
 }
 
@@ -137,16 +137,16 @@
 ///
 /// ```
 /// use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-/// use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, Verdict};
+/// use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, QuarantineDecision};
 ///
 /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
 /// let mut suspects = SuspectRequests::default();
 /// for upstream in 1..=3 {
-///     assert_eq!(suspects.verdict(request, 0), Verdict::Free);
+///     assert_eq!(suspects.decide(request, 0), QuarantineDecision::Allow);
 ///     let at_ms = u64::from(upstream) * 100;
 ///     suspects.ended(upstream, at_ms, &[(request, at_ms - 50)], at_ms);
 /// }
-/// assert!(matches!(suspects.verdict(request, 300), Verdict::Held { .. }));
+/// assert!(matches!(suspects.decide(request, 300), QuarantineDecision::Refuse { .. }));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SuspectRequests {
@@ -207,18 +207,18 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, Verdict};
+    /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, QuarantineDecision};
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert_eq!(SuspectRequests::default().verdict(request, 0), Verdict::Free);
+    /// assert_eq!(SuspectRequests::default().decide(request, 0), QuarantineDecision::Allow);
     /// ```
     #[must_use]
-    pub fn verdict(&self, request: Fingerprint, now_ms: u64) -> Verdict {
+    pub fn decide(&self, request: Fingerprint, now_ms: u64) -> QuarantineDecision {
         let now_ms = moment(now_ms);
         match self.records.get(&request).and_then(|record| record.hold) {
-            None => Verdict::Free,
-            Some(hold) if hold.is_over(now_ms) => Verdict::TrialDue,
-            Some(hold) => Verdict::Held {
-                left_ms: hold.until_ms.abs_diff(now_ms),
+            None => QuarantineDecision::Allow,
+            Some(hold) if hold.is_over(now_ms) => QuarantineDecision::AllowTrial,
+            Some(hold) => QuarantineDecision::Refuse {
+                retry_after_ms: hold.until_ms.abs_diff(now_ms),
             },
         }
     }
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -21,7 +21,7 @@
 use crate::direct::quarantine::crash_detector::UpstreamCrash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantine::suspect::Told;
-use crate::direct::quarantine::suspect_requests::Verdict;
+use crate::direct::quarantine::suspect_requests::QuarantineDecision;
 use crate::direct::request::call::Call;
 use crate::direct::request::connections;
 use crate::direct::request::connections::ConnectError;
@@ -36,7 +36,7 @@
     /// The request.
     pub request: Fingerprint,
     /// Time until it may be tried.
-    pub left_ms: u64,
+    pub retry_after_ms: u64,
 }
 
 impl Traffic {
@@ -139,10 +139,10 @@
             return Ok(());
         }
         let request = fingerprint();
-        let verdict = self.suspects.borrow().verdict(request, now_ms);
+        let verdict = self.suspects.borrow().decide(request, now_ms);
         match verdict {
-            Verdict::Free => Ok(()),
-            Verdict::TrialDue => {
+            QuarantineDecision::Allow => Ok(()),
+            QuarantineDecision::AllowTrial => {
                 self.suspects.borrow_mut().begin_trial(request, now_ms);
                 self.tell_all_of(&[request]);
                 self.log(Level::Warn, "held request is tried", |line| {
@@ -150,7 +150,10 @@
                 });
                 Ok(())
             }
-            Verdict::Held { left_ms } => Err(HeldRequest { request, left_ms }),
+            QuarantineDecision::Refuse { retry_after_ms } => Err(HeldRequest {
+                request,
+                retry_after_ms,
+            }),
         }
     }
 
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -365,7 +365,7 @@
         "customer": customer.map(|customer| &customer.name),
     });
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, HELD, id)
-        .after(held.left_ms)
+        .after(held.retry_after_ms)
         .because(inputs)
 }
 
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -10,8 +10,8 @@
 use sardinewood::direct::quarantine::suspect::Told;
 use sardinewood::direct::quarantine::suspect::ToldEnd;
 use sardinewood::direct::quarantine::suspect::ToldHold;
+use sardinewood::direct::quarantine::suspect_requests::QuarantineDecision;
 use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-use sardinewood::direct::quarantine::suspect_requests::Verdict;
 
 const MINUTE_MS: u64 = 60_000;
 
@@ -35,8 +35,8 @@
 
 fn is_held(suspects: &SuspectRequests, number: u32, now_ms: u64) -> bool {
     matches!(
-        suspects.verdict(request(number), now_ms),
-        Verdict::Held { .. }
+        suspects.decide(request(number), now_ms),
+        QuarantineDecision::Refuse { .. }
     )
 }
 
@@ -119,10 +119,13 @@
     let mut suspects = before.clone();
     suspects.clear(request(1), 3_500);
     tell(&before, &mut suspects, 3_600);
-    assert_eq!(suspects.verdict(request(1), 3_600), Verdict::Free);
+    assert_eq!(
+        suspects.decide(request(1), 3_600),
+        QuarantineDecision::Allow
+    );
     let mut peer = before;
     tell(&suspects, &mut peer, 3_700);
-    assert_eq!(peer.verdict(request(1), 3_700), Verdict::Free);
+    assert_eq!(peer.decide(request(1), 3_700), QuarantineDecision::Allow);
 }
 
 #[test]
@@ -168,7 +171,10 @@
     end(&mut suspects, 3, 3_000, &[1]);
     end(&mut suspects, 4, 4_000, &[7]);
     assert!(is_held(&suspects, 7, 4_000));
-    assert_eq!(suspects.verdict(request(7), 7_000), Verdict::TrialDue);
+    assert_eq!(
+        suspects.decide(request(7), 7_000),
+        QuarantineDecision::AllowTrial
+    );
 }
 
 #[test]
@@ -187,13 +193,19 @@
     assert!(is_held(&suspects, 1, 3_000) && is_held(&suspects, 2, 3_000));
     let due_ms = 3_000 + 3_000;
     for number in [1, 2] {
-        assert_eq!(suspects.verdict(request(number), due_ms), Verdict::TrialDue);
+        assert_eq!(
+            suspects.decide(request(number), due_ms),
+            QuarantineDecision::AllowTrial
+        );
         suspects.begin_trial(request(number), due_ms);
     }
     suspects.clear(request(2), due_ms + 300);
     end(&mut suspects, 9, due_ms + 300, &[1]);
     assert!(is_held(&suspects, 1, due_ms + 5 * MINUTE_MS));
-    assert_eq!(suspects.verdict(request(2), due_ms + 300), Verdict::Free);
+    assert_eq!(
+        suspects.decide(request(2), due_ms + 300),
+        QuarantineDecision::Allow
+    );
 }
 
 #[test]
@@ -219,10 +231,13 @@
         assert!(is_held(&suspects, deadly, at_ms), "{deadly}");
     }
     let tried_at_ms = at_ms + 3_000;
-    assert_eq!(suspects.verdict(request(9), tried_at_ms), Verdict::TrialDue);
+    assert_eq!(
+        suspects.decide(request(9), tried_at_ms),
+        QuarantineDecision::AllowTrial
+    );
     // Whichever of the deadly ones is tried as soon is held for long after it.
     for deadly in 1..=3 {
-        if suspects.verdict(request(deadly), tried_at_ms) == Verdict::TrialDue {
+        if suspects.decide(request(deadly), tried_at_ms) == QuarantineDecision::AllowTrial {
             suspects.begin_trial(request(deadly), tried_at_ms);
             end(&mut suspects, 90 + deadly, tried_at_ms + 60, &[deadly]);
         }
@@ -241,7 +256,10 @@
     assert!(is_held(&second, 1, due_ms + 10));
     // Nothing came of the trial: its caller left. Somebody else may try.
     let later_ms = due_ms + 2_100;
-    assert_eq!(second.verdict(request(1), later_ms), Verdict::TrialDue);
+    assert_eq!(
+        second.decide(request(1), later_ms),
+        QuarantineDecision::AllowTrial
+    );
 }
 
 #[test]
@@ -257,7 +275,10 @@
     for entry in [&first, &second] {
         assert!(is_held(entry, 1, due_ms + 9 * MINUTE_MS));
         let late_ms = due_ms + 11 * MINUTE_MS;
-        assert_eq!(entry.verdict(request(1), late_ms), Verdict::TrialDue);
+        assert_eq!(
+            entry.decide(request(1), late_ms),
+            QuarantineDecision::AllowTrial
+        );
     }
 }
 
@@ -269,10 +290,10 @@
     let mut ends = 0;
     let day_ms = 24 * 60 * MINUTE_MS;
     for at_ms in (1_000..day_ms).step_by(1_000) {
-        match suspects.verdict(request(1), at_ms) {
-            Verdict::Held { .. } => continue,
-            Verdict::TrialDue => suspects.begin_trial(request(1), at_ms),
-            Verdict::Free => {}
+        match suspects.decide(request(1), at_ms) {
+            QuarantineDecision::Refuse { .. } => continue,
+            QuarantineDecision::AllowTrial => suspects.begin_trial(request(1), at_ms),
+            QuarantineDecision::Allow => {}
         }
         ends += 1;
         end(&mut suspects, ends, at_ms + 60, &[1]);
@@ -495,14 +516,14 @@
         suspects.hear(&told, 5_000);
         for number in 0..4 {
             end(&mut suspects, 7, 6_000, &[number]);
-            let _verdict = suspects.verdict(request(number), 6_000);
+            let _verdict = suspects.decide(request(number), 6_000);
             suspects.begin_trial(request(number), 6_000);
         }
         let told = suspects.next_told(6_000);
         prop_assert!(PeerMessage::SuspectRequests(told).encode().is_some());
         for number in 0..4 {
             suspects.clear(request(number), 7_000);
-            prop_assert_eq!(suspects.verdict(request(number), 7_000), Verdict::Free);
+            prop_assert_eq!(suspects.decide(request(number), 7_000), QuarantineDecision::Allow);
         }
         suspects.sweep(7_000 + 24 * 60 * MINUTE_MS);
         prop_assert!(suspects.is_empty());
@@ -524,7 +545,7 @@
                     entries[entry].clear(request(number), now_ms);
                 }
                 Step::Trial { entry, request: number } => {
-                    if entries[entry].verdict(request(number), now_ms) == Verdict::TrialDue {
+                    if entries[entry].decide(request(number), now_ms) == QuarantineDecision::AllowTrial {
                         entries[entry].begin_trial(request(number), now_ms);
                     }
                 }
