--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -48,11 +48,11 @@
 
 /// How many requests are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct SuspectCounts {
     /// Those under which upstreams ended, and those that were cleared lately.
-    pub remembered: usize,
+    pub tracked: usize,
     /// Those that are held now.
-    pub held: usize,
+    pub quarantined: usize,
 }
 
 /// What changed by an end or by a peer's word.
@@ -170,15 +170,15 @@
     ///
     /// ```
     /// let suspects = sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default();
-    /// assert_eq!(suspects.counts(0).remembered, 0);
+    /// assert_eq!(suspects.counts(0).tracked, 0);
     /// ```
     #[must_use]
-    pub fn counts(&self, now_ms: u64) -> Counts {
+    pub fn counts(&self, now_ms: u64) -> SuspectCounts {
         let now_ms = moment(now_ms);
         let is_held = |record: &&Record| record.hold.is_some_and(|hold| !hold.is_over(now_ms));
-        Counts {
-            remembered: self.records.len(),
-            held: self.records.values().filter(is_held).count(),
+        SuspectCounts {
+            tracked: self.records.len(),
+            quarantined: self.records.values().filter(is_held).count(),
         }
     }
 
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -464,8 +464,8 @@
         let at_rest = notices.rests(self.now_ms()).len();
         figures.upstreams_at_rest.set(signed(at_rest));
         let suspects = self.suspects.borrow().counts(self.now_ms());
-        figures.suspects.set(signed(suspects.remembered));
-        figures.held_requests.set(signed(suspects.held));
+        figures.suspects.set(signed(suspects.tracked));
+        figures.held_requests.set(signed(suspects.quarantined));
         if let Some(catalog) = self.catalog.borrow().as_ref() {
             let version = i64::try_from(catalog.version).unwrap_or(i64::MAX);
             figures.catalog_version.set(version);
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -158,7 +158,7 @@
     end(&mut suspects, 2, 2_000, &[1, 7, 12, 13]);
     end(&mut suspects, 3, 3_000, &[1, 14]);
     assert!(is_held(&suspects, 1, 4_000));
-    assert_eq!(suspects.counts(4_000).held, 1);
+    assert_eq!(suspects.counts(4_000).quarantined, 1);
 }
 
 #[test]
@@ -329,7 +329,7 @@
             &[100 + number],
         );
     }
-    assert!(suspects.counts(9_000).remembered <= 1_024);
+    assert!(suspects.counts(9_000).tracked <= 1_024);
     assert!(is_held(&suspects, 1, 9_000));
 }
 
@@ -398,7 +398,7 @@
         );
         peer.hear(&told, 5_000);
     }
-    assert_eq!(peer.counts(5_000).remembered, 101);
+    assert_eq!(peer.counts(5_000).tracked, 101);
 }
 
 /// A caller that tries up to six times, each run `run_ms` long, while one of so many upstreams ends every
