--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -171,7 +171,7 @@
         }
         let suspects = &mut self.entries[entry].suspects;
         let runs = [(request, began_ms)];
-        let change = suspects.ended(upstream, broke_at_ms, &runs, self.now_ms);
+        let change = suspects.record_crash(upstream, broke_at_ms, &runs, self.now_ms);
         self.tell_all_of(entry, &change.changed);
     }
 
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -57,13 +57,13 @@
 
 /// What changed by an end or by a peer's word.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct SuspectChanges {
     /// Requests of which something new is known.
     pub changed: Vec<Fingerprint>,
     /// Those of them that are held from now on.
-    pub held: Vec<Fingerprint>,
+    pub newly_quarantined: Vec<Fingerprint>,
     /// Short names of upstreams of whose end a peer told.
-    pub ended: Vec<u32>,
+    pub crashed_upstreams: Vec<u32>,
 }
 
 /// What a peer's word does to what is known of a request.
@@ -90,7 +90,7 @@
     }
 }
 
-impl Change {
+impl SuspectChanges {
     fn note(&mut self, request: Fingerprint) {
         if !self.changed.contains(&request) {
             self.changed.push(request);
@@ -110,9 +110,10 @@
     }
 
     fn replace(&mut self, request: Fingerprint, known_times: u8, heard: &Record) {
-        self.ended.extend(heard.ends.iter().map(|end| end.upstream));
+        self.crashed_upstreams
+            .extend(heard.ends.iter().map(|end| end.upstream));
         if heard.times() > known_times {
-            self.held.push(request);
+            self.newly_quarantined.push(request);
         }
         self.changed.push(request);
     }
@@ -123,12 +124,12 @@
         let was_held = known.hold.is_some();
         let is_better = known.take_hold(heard.hold);
         if is_better && !was_held {
-            self.held.push(request);
+            self.newly_quarantined.push(request);
         }
         if is_better || !new_ends.is_empty() {
             self.changed.push(request);
         }
-        self.ended.extend(new_ends);
+        self.crashed_upstreams.extend(new_ends);
         known.changed_at_ms = known.changed_at_ms.max(heard.changed_at_ms);
     }
 }
@@ -144,7 +145,7 @@
 /// for upstream in 1..=3 {
 ///     assert_eq!(suspects.decide(request, 0), QuarantineDecision::Allow);
 ///     let at_ms = u64::from(upstream) * 100;
-///     suspects.ended(upstream, at_ms, &[(request, at_ms - 50)], at_ms);
+///     suspects.record_crash(upstream, at_ms, &[(request, at_ms - 50)], at_ms);
 /// }
 /// assert!(matches!(suspects.decide(request, 300), QuarantineDecision::Refuse { .. }));
 /// ```
@@ -265,19 +266,19 @@
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// let change = SuspectRequests::default().ended(7, 100, &[(request, 50)], 100);
+    /// let change = SuspectRequests::default().record_crash(7, 100, &[(request, 50)], 100);
     /// assert_eq!(change.changed, [request]);
-    /// assert!(change.held.is_empty());
+    /// assert!(change.newly_quarantined.is_empty());
     /// ```
-    pub fn ended(
+    pub fn record_crash(
         &mut self,
         upstream: u32,
         at_ms: u64,
         runs: &[(Fingerprint, u64)],
         now_ms: u64,
-    ) -> Change {
+    ) -> SuspectChanges {
         let now_ms = moment(now_ms);
-        let mut change = Change::default();
+        let mut change = SuspectChanges::default();
         for (request, began_ms) in runs {
             self.make_room(*request);
             let record = self.records.entry(*request).or_default();
@@ -289,7 +290,7 @@
             if record.is_tried(now_ms) && !record.has(upstream) {
                 record.hold = Some(Hold::new(record.times().saturating_add(1), now_ms));
                 record.ends = vec![end];
-                change.held.push(*request);
+                change.newly_quarantined.push(*request);
             } else if !record.note(end) {
                 continue;
             }
@@ -327,12 +328,12 @@
     /// Takes a peer's word.
     ///
     /// ```
-    /// # use sardinewood::direct::quarantine::suspect_requests::{Change, SuspectRequests};
-    /// assert_eq!(SuspectRequests::default().hear(&[], 0), Change::default());
+    /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectChanges, SuspectRequests};
+    /// assert_eq!(SuspectRequests::default().hear(&[], 0), SuspectChanges::default());
     /// ```
-    pub fn hear(&mut self, told: &[Told], now_ms: u64) -> Change {
+    pub fn hear(&mut self, told: &[Told], now_ms: u64) -> SuspectChanges {
         let now_ms = moment(now_ms);
-        let mut change = Change::default();
+        let mut change = SuspectChanges::default();
         for told in told {
             let heard = Record::from_told(told, now_ms);
             if now_ms >= heard.forgotten_at_ms() {
@@ -414,15 +415,15 @@
     }
 
     /// Holds those of the changed requests under which enough upstreams have ended.
-    fn judge(&mut self, change: &mut Change, now_ms: MomentMs) {
+    fn judge(&mut self, change: &mut SuspectChanges, now_ms: MomentMs) {
         for request in change.changed.clone() {
             let record = self.records.get_mut(&request);
             if let Some(record) = record.filter(|record| record.is_guilty()) {
                 record.hold = Some(Hold::new(1, now_ms));
-                change.held.push(request);
+                change.newly_quarantined.push(request);
             }
         }
-        if !change.held.is_empty() {
+        if !change.newly_quarantined.is_empty() {
             self.shorten_shared(change, now_ms);
         }
     }
@@ -433,7 +434,7 @@
     /// What runs beside a deadly request gathers its ends, and a popular request those of several
     /// deadly ones, before any of them has three. Held for a minute, its callers would lose more than by
     /// all these ends.
-    fn shorten_shared(&mut self, change: &mut Change, now_ms: MomentMs) {
+    fn shorten_shared(&mut self, change: &mut SuspectChanges, now_ms: MomentMs) {
         let shared: Vec<Fingerprint> = self
             .records
             .iter()
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -164,11 +164,11 @@
             let known = self.suspects.borrow().told(&change.changed, self.now_ms());
             self.tell_some_of(known, gossip::FORWARD_PEERS);
         }
-        self.log_held(&change.held);
+        self.log_held(&change.newly_quarantined);
         let ends = self
             .crash_detector
             .borrow_mut()
-            .on_peer_crash_reports(&change.ended);
+            .on_peer_crash_reports(&change.crashed_upstreams);
         for end in &ends {
             self.upstream_ended(end);
         }
@@ -223,12 +223,14 @@
             .map(|run| (run.request, run.started_at_ms))
             .collect();
         let upstream = upstream_hash(&end.instance);
-        let change =
-            self.suspects
-                .borrow_mut()
-                .ended(upstream, end.broke_at_ms, &runs, self.now_ms());
+        let change = self.suspects.borrow_mut().record_crash(
+            upstream,
+            end.broke_at_ms,
+            &runs,
+            self.now_ms(),
+        );
         self.tell_all_of(&change.changed);
-        self.log_held(&change.held);
+        self.log_held(&change.newly_quarantined);
     }
 
     fn log_end(&self, end: &UpstreamCrash) {
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -30,7 +30,7 @@
         .iter()
         .map(|number| (request(*number), at_ms - 50))
         .collect();
-    suspects.ended(upstream, at_ms, &runs, at_ms);
+    suspects.record_crash(upstream, at_ms, &runs, at_ms);
 }
 
 fn is_held(suspects: &SuspectRequests, number: u32, now_ms: u64) -> bool {
@@ -414,7 +414,7 @@
         let Some(at_ms) = ends_at else {
             return false;
         };
-        suspects.ended(random.random(), at_ms, &[(request(1), now_ms)], at_ms);
+        suspects.record_crash(random.random(), at_ms, &[(request(1), now_ms)], at_ms);
         if is_held(&suspects, 1, at_ms) {
             return true;
         }
