--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
-use sardinewood::direct::notices::upstream_state::Told;
+use sardinewood::direct::notices::upstream_state::NoticeUpdate;
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::store_view::directory::Upstream;
 
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(super) fn hear_notices(&mut self, entry: usize, told: &[Told]) {
+    pub(super) fn hear_notices(&mut self, entry: usize, told: &[NoticeUpdate]) {
         let changed = self.entries[entry].notices.hear(told, self.now_ms);
         if !changed.is_empty() {
             self.place_notices(entry);
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
-use crate::direct::notices::upstream_state::Told as ToldNotice;
+use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::quarantine::suspect::Told;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::admission::PeerRequestId;
@@ -154,7 +154,7 @@
     /// How far a roll-out has come, or what the sender has seen of it.
     Rollout(RolloutMessage),
     /// What upstreams have said of themselves.
-    Notices(Vec<ToldNotice>),
+    Notices(Vec<NoticeUpdate>),
 }
 
 impl PeerMessage {
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -9,9 +9,9 @@
 use crate::direct::notices::notice::Said;
 use crate::direct::notices::upstream_state::LimitNews;
 use crate::direct::notices::upstream_state::MomentMs;
+use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::notices::upstream_state::Record;
 use crate::direct::notices::upstream_state::Shown;
-use crate::direct::notices::upstream_state::Told;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::numbers::signed;
 
@@ -160,7 +160,7 @@
 
     /// Takes what a peer tells; the short names of the upstreams of which it was news. See
     /// [`Notices`].
-    pub fn hear(&mut self, told: &[Told], now_ms: u64) -> Vec<u32> {
+    pub fn hear(&mut self, told: &[NoticeUpdate], now_ms: u64) -> Vec<u32> {
         let mut changed = Vec::new();
         for told in told {
             let Some(record) = self.record(told.upstream, MAX_HEARD) else {
@@ -183,7 +183,7 @@
     /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().told_of(&[7], 0).is_empty());
     /// ```
     #[must_use]
-    pub fn told_of(&self, upstreams: &[u32], now_ms: u64) -> Vec<Told> {
+    pub fn told_of(&self, upstreams: &[u32], now_ms: u64) -> Vec<NoticeUpdate> {
         let known = upstreams
             .iter()
             .filter_map(|name| Some((name, self.by_upstream.get(name)?)));
@@ -212,7 +212,7 @@
 
     /// What peers are told of an upstream; see [`Notices`].
     #[must_use]
-    pub fn told(&self, instance: &str, now_ms: u64) -> Vec<Told> {
+    pub fn told(&self, instance: &str, now_ms: u64) -> Vec<NoticeUpdate> {
         self.told_of(&[upstream_hash(instance)], now_ms)
     }
 
@@ -221,7 +221,7 @@
     /// ```
     /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().next_told(0).is_empty());
     /// ```
-    pub fn next_told(&mut self, now_ms: u64) -> Vec<Told> {
+    pub fn next_told(&mut self, now_ms: u64) -> Vec<NoticeUpdate> {
         let count = self.by_upstream.len();
         let first = self.next.checked_rem(count).unwrap_or_default();
         self.next = first + MAX_TOLD.min(count);
--- a/lib/src/direct/notices/upstream_state.rs
+++ b/lib/src/direct/notices/upstream_state.rs
@@ -10,18 +10,18 @@
 
 /// What entries tell each other that an upstream has said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct NoticeUpdate {
     /// Short name of the upstream.
     pub upstream: u32,
     /// Its limit, if it ever named one.
-    pub limit: Option<ToldLimit>,
+    pub limit: Option<LimitUpdate>,
     /// Whether it will end.
     pub is_leaving: bool,
 }
 
 /// A limit as entries tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct LimitUpdate {
     /// Requests in 1,000 seconds; none if the upstream no longer names a limit.
     pub per_1000_s: Option<u32>,
     /// How long ago an answer said so.
@@ -137,7 +137,7 @@
     }
 
     /// Takes a peer's word of the limit, if it is of a later answer; whether that changed it.
-    pub(super) fn limit_told(&mut self, told: ToldLimit, now_ms: MomentMs) -> bool {
+    pub(super) fn limit_told(&mut self, told: LimitUpdate, now_ms: MomentMs) -> bool {
         let at_ms = now_ms.saturating_sub(told.ago_ms.max(0));
         if self.limit.is_some_and(|limit| limit.at_ms >= at_ms) {
             return false;
@@ -164,12 +164,12 @@
     }
 
     /// What peers are told of it, if anything concerns them.
-    pub(super) fn told(&self, upstream: u32, now_ms: MomentMs) -> Option<Told> {
-        let limit = self.limit.map(|limit| ToldLimit {
+    pub(super) fn told(&self, upstream: u32, now_ms: MomentMs) -> Option<NoticeUpdate> {
+        let limit = self.limit.map(|limit| LimitUpdate {
             per_1000_s: limit.per_1000_s,
             ago_ms: now_ms.saturating_sub(limit.at_ms),
         });
-        (limit.is_some() || self.is_leaving).then_some(Told {
+        (limit.is_some() || self.is_leaving).then_some(NoticeUpdate {
             upstream,
             limit,
             is_leaving: self.is_leaving,
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -15,7 +15,7 @@
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::notices::notice::Notice;
 use crate::direct::notices::upstream_notices::Change;
-use crate::direct::notices::upstream_state::Told;
+use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::request::call::Call;
 use crate::direct::request::caller::AnswerHeaders;
@@ -68,7 +68,7 @@
     }
 
     /// Takes a peer's word of what upstreams have said.
-    pub fn hear_notices(self: &Rc<Self>, from: SocketAddr, told: &[Told]) {
+    pub fn hear_notices(self: &Rc<Self>, from: SocketAddr, told: &[NoticeUpdate]) {
         let now_ms = self.now_ms();
         let mut notices = self.notices.borrow_mut();
         let changed = notices.hear(told, now_ms);
@@ -168,7 +168,7 @@
         });
     }
 
-    fn tell_some_notices(&self, told: Vec<Told>, most: usize) {
+    fn tell_some_notices(&self, told: Vec<NoticeUpdate>, most: usize) {
         if !told.is_empty() {
             self.tell_some(&PeerMessage::Notices(told), most);
         }
@@ -185,7 +185,7 @@
     }
 
     /// What peers are told of an upstream.
-    fn notices_of(&self, instance: &str) -> Vec<Told> {
+    fn notices_of(&self, instance: &str) -> Vec<NoticeUpdate> {
         self.notices.borrow().told(instance, self.now_ms())
     }
 
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -8,8 +8,8 @@
 use sardinewood::direct::notices::notice::Said;
 use sardinewood::direct::notices::upstream_notices::Change;
 use sardinewood::direct::notices::upstream_notices::Notices;
-use sardinewood::direct::notices::upstream_state::Told;
-use sardinewood::direct::notices::upstream_state::ToldLimit;
+use sardinewood::direct::notices::upstream_state::LimitUpdate;
+use sardinewood::direct::notices::upstream_state::NoticeUpdate;
 use sardinewood::direct::placement::dispatch::upstream_hash;
 
 fn limited(limit_per_1000_s: u32) -> Notice {
@@ -19,10 +19,10 @@
     }
 }
 
-fn told(upstream: u32, per_1000_s: Option<u32>, ago_ms: i64) -> Told {
-    Told {
+fn told(upstream: u32, per_1000_s: Option<u32>, ago_ms: i64) -> NoticeUpdate {
+    NoticeUpdate {
         upstream,
-        limit: Some(ToldLimit { per_1000_s, ago_ms }),
+        limit: Some(LimitUpdate { per_1000_s, ago_ms }),
         is_leaving: false,
     }
 }
