--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -11,7 +11,7 @@
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
-use sardinewood::direct::quarantine::suspect::Told;
+use sardinewood::direct::quarantine::suspect::SuspectUpdate;
 use sardinewood::direct::quarantine::suspect_requests::QuarantineDecision;
 use sardinewood::direct::store_view::directory::Upstream;
 
@@ -187,7 +187,7 @@
         }
     }
 
-    pub(super) fn hear_suspects(&mut self, entry: usize, told: &[Told]) {
+    pub(super) fn hear_suspects(&mut self, entry: usize, told: &[SuspectUpdate]) {
         let suspects = &mut self.entries[entry].suspects;
         let change = suspects.hear(told, self.now_ms);
         let known = suspects.told(&change.changed, self.now_ms);
@@ -223,7 +223,7 @@
         self.tell_some(entry, &told, usize::MAX);
     }
 
-    fn tell_some(&mut self, entry: usize, told: &[Told], most: usize) {
+    fn tell_some(&mut self, entry: usize, told: &[SuspectUpdate], most: usize) {
         if told.is_empty() {
             return;
         }
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -8,7 +8,7 @@
 
 use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::notices::upstream_state::NoticeUpdate;
-use crate::direct::quarantine::suspect::Told;
+use crate::direct::quarantine::suspect::SuspectUpdate;
 use crate::direct::rollout::message::RolloutMessage;
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
@@ -150,7 +150,7 @@
         charge: ChargeOutcome,
     },
     /// What the sender knows of requests under which upstreams ended.
-    SuspectRequests(Vec<Told>),
+    SuspectRequests(Vec<SuspectUpdate>),
     /// How far a roll-out has come, or what the sender has seen of it.
     Rollout(RolloutMessage),
     /// What upstreams have said of themselves.
--- a/lib/src/direct/quarantine/suspect.rs
+++ b/lib/src/direct/quarantine/suspect.rs
@@ -26,7 +26,7 @@
 
 /// An upstream's end under a request, as entries tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEnd {
+pub struct CrashUpdate {
     /// Short name of the upstream.
     pub upstream: u32,
     /// How long ago it was.
@@ -37,7 +37,7 @@
 
 /// How long a request is held yet, as entries tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldHold {
+pub struct QuarantineUpdate {
     /// How long it is held yet; below zero if that is over.
     pub left_ms: i64,
     /// How often it was held, this time included.
@@ -48,7 +48,7 @@
 
 /// What entries tell each other of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct SuspectUpdate {
     /// The request.
     pub request: Fingerprint,
     /// How often it was cleared. What was seen before counts no more.
@@ -56,9 +56,9 @@
     /// How long ago something new was learned of it.
     pub ago_ms: i64,
     /// Upstreams that ended under it since it was cleared or tried.
-    pub ends: Vec<ToldEnd>,
+    pub crashes: Vec<CrashUpdate>,
     /// Whether it is or was held.
-    pub hold: Option<ToldHold>,
+    pub quarantine: Option<QuarantineUpdate>,
 }
 
 /// A moment by this entry's clock. What peers tell may have been before the process began.
@@ -118,14 +118,14 @@
 pub(super) struct Record {
     /// How often it was cleared. What was seen before counts no more.
     pub(super) clears: u32,
-    pub(super) ends: Vec<SeenEnd>,
-    pub(super) hold: Option<Hold>,
+    pub(super) crashes: Vec<SeenEnd>,
+    pub(super) quarantine: Option<Hold>,
     pub(super) changed_at_ms: MomentMs,
 }
 
 impl Record {
     pub(super) fn has(&self, upstream: u32) -> bool {
-        self.ends.iter().any(|end| end.upstream == upstream)
+        self.crashes.iter().any(|end| end.upstream == upstream)
     }
 
     /// Notes an end; whether that changes what is known.
@@ -134,56 +134,56 @@
     /// ones, or they would tell each other of the others for ever.
     pub(super) fn note(&mut self, end: SeenEnd) -> bool {
         match self
-            .ends
+            .crashes
             .iter_mut()
             .find(|seen| seen.upstream == end.upstream)
         {
             Some(seen) if seen.generation >= end.generation => return false,
             Some(seen) => seen.generation = end.generation,
-            None => self.ends.push(end),
+            None => self.crashes.push(end),
         }
-        if self.ends.len() <= MAX_ENDS {
+        if self.crashes.len() <= MAX_ENDS {
             return true;
         }
         let rank = |end: &SeenEnd| (end.generation, end.upstream);
-        self.ends.sort_by_key(|end| std::cmp::Reverse(rank(end)));
-        let dropped = self.ends.pop();
+        self.crashes.sort_by_key(|end| std::cmp::Reverse(rank(end)));
+        let dropped = self.crashes.pop();
         dropped.is_none_or(|dropped| dropped.upstream != end.upstream)
     }
 
     /// Number of a run among those that ended so and followed each other.
     pub(super) fn generation_of(&self, began_ms: MomentMs) -> u8 {
-        let before = self.ends.iter().filter(|end| end.at_ms < began_ms);
+        let before = self.crashes.iter().filter(|end| end.at_ms < began_ms);
         let last = before.map(|end| end.generation).max();
         last.unwrap_or_default().saturating_add(1)
     }
 
     /// Whether the hold is over or an entry tries the request, so that the next end counts by itself.
     pub(super) fn is_tried(&self, now_ms: MomentMs) -> bool {
-        self.hold
-            .is_some_and(|hold| hold.is_trial || hold.is_over(now_ms))
+        self.quarantine
+            .is_some_and(|quarantine| quarantine.is_trial || quarantine.is_over(now_ms))
     }
 
     /// Whether anything is held against it: if not, it was only cleared.
     pub(super) fn is_suspected(&self) -> bool {
-        self.hold.is_some() || !self.ends.is_empty()
+        self.quarantine.is_some() || !self.crashes.is_empty()
     }
 
     pub(super) fn is_guilty(&self) -> bool {
-        let last = self.ends.iter().map(|end| end.generation).max();
-        self.hold.is_none()
-            && self.ends.len() >= ENDS
+        let last = self.crashes.iter().map(|end| end.generation).max();
+        self.quarantine.is_none()
+            && self.crashes.len() >= ENDS
             && last.is_some_and(|last| last >= GENERATIONS)
     }
 
     /// Whether it is held for the first time and not tried yet.
     pub(super) fn is_held_first(&self) -> bool {
-        self.hold
-            .is_some_and(|hold| hold.times == 1 && !hold.is_trial)
+        self.quarantine
+            .is_some_and(|quarantine| quarantine.times == 1 && !quarantine.is_trial)
     }
 
     pub(super) fn times(&self) -> u8 {
-        self.hold.map_or(0, |hold| hold.times)
+        self.quarantine.map_or(0, |quarantine| quarantine.times)
     }
 
     /// How many trials it failed.
@@ -194,56 +194,56 @@
     /// Takes a peer's hold if it knows better; whether it does.
     pub(super) fn take_hold(&mut self, told: Option<Hold>) -> bool {
         let is_better = told.is_some_and(|told| {
-            let known = self.hold;
+            let known = self.quarantine;
             known.is_none_or(|known| told.goes_before(known))
         });
         if is_better {
-            self.hold = told;
+            self.quarantine = told;
         }
         is_better
     }
 
     pub(super) fn forgotten_at_ms(&self) -> MomentMs {
-        match self.hold {
-            Some(hold) => hold.until_ms + HELD_BEFORE_MS,
+        match self.quarantine {
+            Some(quarantine) => quarantine.until_ms + HELD_BEFORE_MS,
             None => self.changed_at_ms + SUSPECT_MS,
         }
     }
 
-    pub(super) fn from_told(told: &Told, now_ms: MomentMs) -> Self {
+    pub(super) fn from_told(told: &SuspectUpdate, now_ms: MomentMs) -> Self {
         let ago = |ago_ms: MomentMs| now_ms - ago_ms.clamp(0, HELD_BEFORE_MS);
-        let end = |end: &ToldEnd| SeenEnd {
+        let end = |end: &CrashUpdate| SeenEnd {
             upstream: end.upstream,
             at_ms: ago(end.ago_ms),
             generation: end.generation,
         };
         Self {
             clears: told.clears,
-            ends: told.ends.iter().map(end).take(MAX_ENDS).collect(),
-            hold: told.hold.map(|hold| Hold {
-                until_ms: now_ms + hold.left_ms.clamp(-HELD_BEFORE_MS, LONGEST_HOLD_MS),
-                times: hold.times,
-                is_trial: hold.is_trial,
+            crashes: told.crashes.iter().map(end).take(MAX_ENDS).collect(),
+            quarantine: told.quarantine.map(|quarantine| Hold {
+                until_ms: now_ms + quarantine.left_ms.clamp(-HELD_BEFORE_MS, LONGEST_HOLD_MS),
+                times: quarantine.times,
+                is_trial: quarantine.is_trial,
             }),
             changed_at_ms: ago(told.ago_ms),
         }
     }
 
-    pub(super) fn told(&self, request: Fingerprint, now_ms: MomentMs) -> Told {
-        let end = |end: &SeenEnd| ToldEnd {
+    pub(super) fn told(&self, request: Fingerprint, now_ms: MomentMs) -> SuspectUpdate {
+        let end = |end: &SeenEnd| CrashUpdate {
             upstream: end.upstream,
             ago_ms: now_ms - end.at_ms,
             generation: end.generation,
         };
-        Told {
+        SuspectUpdate {
             request,
             clears: self.clears,
             ago_ms: now_ms - self.changed_at_ms,
-            ends: self.ends.iter().map(end).collect(),
-            hold: self.hold.map(|hold| ToldHold {
-                left_ms: hold.until_ms - now_ms,
-                times: hold.times,
-                is_trial: hold.is_trial,
+            crashes: self.crashes.iter().map(end).collect(),
+            quarantine: self.quarantine.map(|quarantine| QuarantineUpdate {
+                left_ms: quarantine.until_ms - now_ms,
+                times: quarantine.times,
+                is_trial: quarantine.is_trial,
             }),
         }
     }
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -14,7 +14,7 @@
 use crate::direct::quarantine::suspect::MomentMs;
 use crate::direct::quarantine::suspect::Record;
 use crate::direct::quarantine::suspect::SeenEnd;
-use crate::direct::quarantine::suspect::Told;
+use crate::direct::quarantine::suspect::SuspectUpdate;
 use crate::direct::quarantine::suspect::moment;
 
 /// The least time that a request is held whose ends are shared with another held one: nobody knows which
@@ -111,7 +111,7 @@
 
     fn replace(&mut self, request: Fingerprint, known_times: u8, heard: &Record) {
         self.crashed_upstreams
-            .extend(heard.ends.iter().map(|end| end.upstream));
+            .extend(heard.crashes.iter().map(|end| end.upstream));
         if heard.times() > known_times {
             self.newly_quarantined.push(request);
         }
@@ -119,10 +119,10 @@
     }
 
     fn unite(&mut self, request: Fingerprint, known: &mut Record, heard: &Record) {
-        let new_ends = heard.ends.iter().filter(|end| known.note(**end));
+        let new_ends = heard.crashes.iter().filter(|end| known.note(**end));
         let new_ends: Vec<u32> = new_ends.map(|end| end.upstream).collect();
-        let was_held = known.hold.is_some();
-        let is_better = known.take_hold(heard.hold);
+        let was_held = known.quarantine.is_some();
+        let is_better = known.take_hold(heard.quarantine);
         if is_better && !was_held {
             self.newly_quarantined.push(request);
         }
@@ -176,7 +176,11 @@
     #[must_use]
     pub fn counts(&self, now_ms: u64) -> SuspectCounts {
         let now_ms = moment(now_ms);
-        let is_held = |record: &&Record| record.hold.is_some_and(|hold| !hold.is_over(now_ms));
+        let is_held = |record: &&Record| {
+            record
+                .quarantine
+                .is_some_and(|quarantine| !quarantine.is_over(now_ms))
+        };
         SuspectCounts {
             tracked: self.records.len(),
             quarantined: self.records.values().filter(is_held).count(),
@@ -190,7 +194,9 @@
     /// ```
     #[must_use]
     pub fn holds_any(&self) -> bool {
-        self.records.values().any(|record| record.hold.is_some())
+        self.records
+            .values()
+            .any(|record| record.quarantine.is_some())
     }
 
     /// Whether anything is held against any request. What was only cleared is kept for the other
@@ -215,11 +221,15 @@
     #[must_use]
     pub fn decide(&self, request: Fingerprint, now_ms: u64) -> QuarantineDecision {
         let now_ms = moment(now_ms);
-        match self.records.get(&request).and_then(|record| record.hold) {
+        match self
+            .records
+            .get(&request)
+            .and_then(|record| record.quarantine)
+        {
             None => QuarantineDecision::Allow,
-            Some(hold) if hold.is_over(now_ms) => QuarantineDecision::AllowTrial,
-            Some(hold) => QuarantineDecision::Refuse {
-                retry_after_ms: hold.until_ms.abs_diff(now_ms),
+            Some(quarantine) if quarantine.is_over(now_ms) => QuarantineDecision::AllowTrial,
+            Some(quarantine) => QuarantineDecision::Refuse {
+                retry_after_ms: quarantine.until_ms.abs_diff(now_ms),
             },
         }
     }
@@ -238,9 +248,9 @@
     #[must_use]
     pub fn may_go_on(&self, request: Fingerprint, unproven: usize) -> bool {
         let record = self.records.get(&request);
-        let ends = record.map_or(0, |record| record.ends.len());
-        let was_held = record.is_some_and(|record| record.hold.is_some());
-        !was_held && ends + unproven < ENDS
+        let crashes = record.map_or(0, |record| record.crashes.len());
+        let was_held = record.is_some_and(|record| record.quarantine.is_some());
+        !was_held && crashes + unproven < ENDS
     }
 
     /// Notes that an entry tries a request that was held. The others wait for the outcome, so that a
@@ -254,9 +264,9 @@
     /// ```
     pub fn begin_trial(&mut self, request: Fingerprint, now_ms: u64) {
         let record = self.records.get_mut(&request);
-        if let Some(hold) = record.and_then(|record| record.hold.as_mut()) {
-            hold.is_trial = true;
-            hold.until_ms = moment(now_ms) + TRIAL_MS;
+        if let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) {
+            quarantine.is_trial = true;
+            quarantine.until_ms = moment(now_ms) + TRIAL_MS;
         }
     }
 
@@ -288,8 +298,8 @@
                 generation: record.generation_of(moment(*began_ms)),
             };
             if record.is_tried(now_ms) && !record.has(upstream) {
-                record.hold = Some(Hold::new(record.times().saturating_add(1), now_ms));
-                record.ends = vec![end];
+                record.quarantine = Some(Hold::new(record.times().saturating_add(1), now_ms));
+                record.crashes = vec![end];
                 change.newly_quarantined.push(*request);
             } else if !record.note(end) {
                 continue;
@@ -331,7 +341,7 @@
     /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectChanges, SuspectRequests};
     /// assert_eq!(SuspectRequests::default().hear(&[], 0), SuspectChanges::default());
     /// ```
-    pub fn hear(&mut self, told: &[Told], now_ms: u64) -> SuspectChanges {
+    pub fn hear(&mut self, told: &[SuspectUpdate], now_ms: u64) -> SuspectChanges {
         let now_ms = moment(now_ms);
         let mut change = SuspectChanges::default();
         for told in told {
@@ -359,7 +369,7 @@
     /// assert!(SuspectRequests::default().told(&[], 0).is_empty());
     /// ```
     #[must_use]
-    pub fn told(&self, requests: &[Fingerprint], now_ms: u64) -> Vec<Told> {
+    pub fn told(&self, requests: &[Fingerprint], now_ms: u64) -> Vec<SuspectUpdate> {
         let known = |request: &Fingerprint| {
             let record = self.records.get(request)?;
             Some(record.told(*request, moment(now_ms)))
@@ -373,16 +383,16 @@
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// assert!(SuspectRequests::default().next_told(0).is_empty());
     /// ```
-    pub fn next_told(&mut self, now_ms: u64) -> Vec<Told> {
+    pub fn next_told(&mut self, now_ms: u64) -> Vec<SuspectUpdate> {
         let (held, others): (Vec<_>, Vec<_>) = self
             .records
             .iter()
-            .partition(|(_, record)| record.hold.is_some());
+            .partition(|(_, record)| record.quarantine.is_some());
         let some_of = |all: Vec<(&Fingerprint, &Record)>, most: usize| {
             let first = self.next_told % all.len().max(1);
             let some = all.iter().cycle().skip(first).take(most.min(all.len()));
             some.map(|(request, record)| record.told(**request, moment(now_ms)))
-                .collect::<Vec<Told>>()
+                .collect::<Vec<SuspectUpdate>>()
         };
         let mut told = some_of(held, MAX_HELD_TOLD);
         told.extend(some_of(others, MAX_TOLD - MAX_HELD_TOLD));
@@ -397,7 +407,7 @@
     /// assert!(SuspectRequests::default().all(0).is_empty());
     /// ```
     #[must_use]
-    pub fn all(&self, now_ms: u64) -> Vec<Told> {
+    pub fn all(&self, now_ms: u64) -> Vec<SuspectUpdate> {
         let told =
             |(request, record): (&Fingerprint, &Record)| record.told(*request, moment(now_ms));
         self.records.iter().map(told).collect()
@@ -419,7 +429,7 @@
         for request in change.changed.clone() {
             let record = self.records.get_mut(&request);
             if let Some(record) = record.filter(|record| record.is_guilty()) {
-                record.hold = Some(Hold::new(1, now_ms));
+                record.quarantine = Some(Hold::new(1, now_ms));
                 change.newly_quarantined.push(request);
             }
         }
@@ -445,11 +455,11 @@
         for request in shared {
             let soon_ms = now_ms + SHARED_HOLD_MS + request.spread_over(SHARED_SPREAD_MS);
             let record = self.records.get_mut(&request);
-            let Some(hold) = record.and_then(|record| record.hold.as_mut()) else {
+            let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) else {
                 continue;
             };
-            if hold.until_ms > soon_ms {
-                hold.until_ms = soon_ms;
+            if quarantine.until_ms > soon_ms {
+                quarantine.until_ms = soon_ms;
                 change.note(request);
             }
         }
@@ -460,11 +470,11 @@
         let others: Vec<&Record> = self
             .records
             .iter()
-            .filter(|(other, record)| *other != request && record.hold.is_some())
+            .filter(|(other, record)| *other != request && record.quarantine.is_some())
             .map(|(_, record)| record)
             .collect();
         let is_own = |end: &&SeenEnd| !others.iter().any(|other| other.has(end.upstream));
-        record.ends.iter().filter(is_own).count()
+        record.crashes.iter().filter(is_own).count()
     }
 
     /// Makes room for a request, so that a caller that brings new bodies without end costs no memory:
@@ -473,7 +483,12 @@
         if self.records.len() < MAX_RECORDS || self.records.contains_key(&request) {
             return;
         }
-        let rank = |record: &Record| (record.hold.map(|hold| hold.times), record.changed_at_ms);
+        let rank = |record: &Record| {
+            (
+                record.quarantine.map(|quarantine| quarantine.times),
+                record.changed_at_ms,
+            )
+        };
         let least = self
             .records
             .iter()
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -20,7 +20,7 @@
 use crate::direct::quarantine::crash_detector::PROBE_PAUSES_MS;
 use crate::direct::quarantine::crash_detector::UpstreamCrash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantine::suspect::Told;
+use crate::direct::quarantine::suspect::SuspectUpdate;
 use crate::direct::quarantine::suspect_requests::QuarantineDecision;
 use crate::direct::request::call::Call;
 use crate::direct::request::connections;
@@ -158,7 +158,7 @@
     }
 
     /// Takes a peer's word of requests under which upstreams ended.
-    pub fn hear_suspects(&self, told: &[Told]) {
+    pub fn hear_suspects(&self, told: &[SuspectUpdate]) {
         let change = self.suspects.borrow_mut().hear(told, self.now_ms());
         if !change.changed.is_empty() {
             let known = self.suspects.borrow().told(&change.changed, self.now_ms());
@@ -200,7 +200,7 @@
         self.tell_some_of(told, usize::MAX);
     }
 
-    fn tell_some_of(&self, told: Vec<Told>, most: usize) {
+    fn tell_some_of(&self, told: Vec<SuspectUpdate>, most: usize) {
         if !told.is_empty() {
             self.tell_some(&PeerMessage::SuspectRequests(told), most);
         }
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantine::suspect::Told;
+use crate::direct::quarantine::suspect::SuspectUpdate;
 use crate::direct::request::page;
 use crate::direct::request::page::said;
 use crate::direct::traffic::Traffic;
@@ -27,15 +27,19 @@
     last_change_ms_ago: i64,
 }
 
-impl From<&Told> for Shown {
-    fn from(told: &Told) -> Self {
-        let left_ms = told.hold.and_then(|hold| u64::try_from(hold.left_ms).ok());
+impl From<&SuspectUpdate> for Shown {
+    fn from(told: &SuspectUpdate) -> Self {
+        let left_ms = told
+            .quarantine
+            .and_then(|quarantine| u64::try_from(quarantine.left_ms).ok());
         Self {
             fingerprint: told.request.to_string(),
             held_for_ms: left_ms.filter(|left_ms| *left_ms > 0),
-            times_held: told.hold.map_or(0, |hold| hold.times),
-            is_being_tried: told.hold.is_some_and(|hold| hold.is_trial),
-            upstreams_ended: told.ends.iter().map(|end| end.upstream).collect(),
+            times_held: told.quarantine.map_or(0, |quarantine| quarantine.times),
+            is_being_tried: told
+                .quarantine
+                .is_some_and(|quarantine| quarantine.is_trial),
+            upstreams_ended: told.crashes.iter().map(|end| end.upstream).collect(),
             last_change_ms_ago: told.ago_ms,
         }
     }
@@ -60,8 +64,8 @@
 fn list(traffic: &Traffic) -> Response<Full<Bytes>> {
     let mut all = traffic.suspects.borrow().all(traffic.now_ms());
     // What was only cleared is kept for the other entries' sake.
-    all.retain(|told| told.hold.is_some() || !told.ends.is_empty());
-    all.sort_by_key(|told| std::cmp::Reverse(told.hold.map(|hold| hold.left_ms)));
+    all.retain(|told| told.quarantine.is_some() || !told.crashes.is_empty());
+    all.sort_by_key(|told| std::cmp::Reverse(told.quarantine.map(|quarantine| quarantine.left_ms)));
     let shown: Vec<Shown> = all.iter().map(Shown::from).collect();
     page::shown(&shown)
 }
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -7,9 +7,9 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
-use sardinewood::direct::quarantine::suspect::Told;
-use sardinewood::direct::quarantine::suspect::ToldEnd;
-use sardinewood::direct::quarantine::suspect::ToldHold;
+use sardinewood::direct::quarantine::suspect::CrashUpdate;
+use sardinewood::direct::quarantine::suspect::QuarantineUpdate;
+use sardinewood::direct::quarantine::suspect::SuspectUpdate;
 use sardinewood::direct::quarantine::suspect_requests::QuarantineDecision;
 use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
 
@@ -287,7 +287,7 @@
     // A caller that insists all day gets one trial after a minute, ten minutes, two hours and a day, and each
     // costs one upstream.
     let mut suspects = SuspectRequests::default();
-    let mut ends = 0;
+    let mut crashes = 0;
     let day_ms = 24 * 60 * MINUTE_MS;
     for at_ms in (1_000..day_ms).step_by(1_000) {
         match suspects.decide(request(1), at_ms) {
@@ -295,11 +295,11 @@
             QuarantineDecision::AllowTrial => suspects.begin_trial(request(1), at_ms),
             QuarantineDecision::Allow => {}
         }
-        ends += 1;
-        end(&mut suspects, ends, at_ms + 60, &[1]);
+        crashes += 1;
+        end(&mut suspects, crashes, at_ms + 60, &[1]);
         suspects.sweep(at_ms + 60);
     }
-    assert_eq!(ends, 3 + 3);
+    assert_eq!(crashes, 3 + 3);
 }
 
 #[test]
@@ -473,36 +473,39 @@
     ]
 }
 
-fn nonsense() -> impl Strategy<Value = Told> {
+fn nonsense() -> impl Strategy<Value = SuspectUpdate> {
     let end =
         (any::<u32>(), any::<i64>(), any::<u8>()).prop_map(|(upstream, ago_ms, generation)| {
-            ToldEnd {
+            CrashUpdate {
                 upstream,
                 ago_ms,
                 generation,
             }
         });
-    let hold = (any::<i64>(), any::<u8>(), any::<bool>()).prop_map(|(left_ms, times, is_trial)| {
-        ToldHold {
-            left_ms,
-            times,
-            is_trial,
-        }
-    });
+    let quarantine =
+        (any::<i64>(), any::<u8>(), any::<bool>()).prop_map(|(left_ms, times, is_trial)| {
+            QuarantineUpdate {
+                left_ms,
+                times,
+                is_trial,
+            }
+        });
     (
         0..4_u32,
         any::<u32>(),
         any::<i64>(),
         prop::collection::vec(end, 0..20),
-        prop::option::of(hold),
+        prop::option::of(quarantine),
     )
-        .prop_map(|(number, clears, ago_ms, ends, hold)| Told {
-            request: request(number),
-            clears,
-            ago_ms,
-            ends,
-            hold,
-        })
+        .prop_map(
+            |(number, clears, ago_ms, crashes, quarantine)| SuspectUpdate {
+                request: request(number),
+                clears,
+                ago_ms,
+                crashes,
+                quarantine,
+            },
+        )
 }
 
 proptest! {
@@ -556,14 +559,14 @@
             }
         }
         for _ in 0..3 {
-            let all: Vec<Vec<Told>> = entries.iter().map(|entry| entry.all(now_ms)).collect();
+            let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all(now_ms)).collect();
             for entry in &mut entries {
                 for told in &all {
                     entry.hear(told, now_ms);
                 }
             }
         }
-        let all: Vec<Vec<Told>> = entries.iter().map(|entry| entry.all(now_ms)).collect();
+        let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all(now_ms)).collect();
         for entry in &mut entries {
             for told in &all {
                 let change = entry.hear(told, now_ms);
