--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -189,8 +189,8 @@
 
     pub(super) fn hear_suspects(&mut self, entry: usize, told: &[SuspectUpdate]) {
         let suspects = &mut self.entries[entry].suspects;
-        let change = suspects.hear(told, self.now_ms);
-        let known = suspects.told(&change.changed, self.now_ms);
+        let change = suspects.merge(told, self.now_ms);
+        let known = suspects.updates_for(&change.changed, self.now_ms);
         self.tell_some(entry, &known, gossip::FORWARD_PEERS);
     }
 
@@ -200,7 +200,7 @@
         }
         let known = self.entries[entry].peers.known_entries();
         if gossip::should_sync(known, self.random.random::<u32>() as usize) {
-            let told = self.entries[entry].suspects.next_told(self.now_ms);
+            let told = self.entries[entry].suspects.next_updates(self.now_ms);
             self.tell(entry, peer, PeerMessage::SuspectRequests(told));
         }
     }
@@ -208,7 +208,7 @@
     pub(super) fn repeat_suspects(&mut self, entry: usize) {
         let suspects = &mut self.entries[entry].suspects;
         suspects.sweep(self.now_ms);
-        let told = suspects.next_told(self.now_ms);
+        let told = suspects.next_updates(self.now_ms);
         if self.entries[entry].is_up {
             self.tell_some(entry, &told, gossip::RESEND_PEERS);
         }
@@ -219,7 +219,9 @@
     }
 
     fn tell_all_of(&mut self, entry: usize, requests: &[Fingerprint]) {
-        let told = self.entries[entry].suspects.told(requests, self.now_ms);
+        let told = self.entries[entry]
+            .suspects
+            .updates_for(requests, self.now_ms);
         self.tell_some(entry, &told, usize::MAX);
     }
 
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -219,9 +219,9 @@
     /// What is told in the next repetition: as much as fits into a message, others each time.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().next_told(0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().next_updates(0).is_empty());
     /// ```
-    pub fn next_told(&mut self, now_ms: u64) -> Vec<NoticeUpdate> {
+    pub fn next_updates(&mut self, now_ms: u64) -> Vec<NoticeUpdate> {
         let count = self.by_upstream.len();
         let first = self.next.checked_rem(count).unwrap_or_default();
         self.next = first + MAX_TOLD.min(count);
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -92,7 +92,7 @@
         if self.notices.borrow().is_empty() || !self.is_greeter() {
             return;
         }
-        let told = self.notices.borrow_mut().next_told(self.now_ms());
+        let told = self.notices.borrow_mut().next_updates(self.now_ms());
         if !told.is_empty() {
             self.tell(peer, &PeerMessage::Notices(told));
         }
@@ -107,7 +107,7 @@
         let listed = self.rollouts.borrow().upstream_names();
         let mut notices = self.notices.borrow_mut();
         notices.sweep(&listed, self.now_ms());
-        let told = notices.next_told(self.now_ms());
+        let told = notices.next_updates(self.now_ms());
         drop(notices);
         self.tell_some_notices(told, gossip::RESEND_PEERS);
     }
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -98,7 +98,7 @@
     }
 
     /// Merges what a peer tells of a request into what is known.
-    fn hear(&mut self, request: Fingerprint, known: &mut Record, heard: Record) {
+    fn merge(&mut self, request: Fingerprint, known: &mut Record, heard: Record) {
         match Merge::of(known, &heard) {
             Merge::Nothing => {}
             Merge::Replace => {
@@ -153,7 +153,7 @@
 pub struct SuspectRequests {
     records: IndexMap<Fingerprint, Record>,
     /// Where the next message goes on.
-    next_told: usize,
+    next_updates: usize,
 }
 
 impl SuspectRequests {
@@ -190,10 +190,10 @@
     /// Whether any request is or was held, and so might not be free.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().holds_any());
+    /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().has_quarantined());
     /// ```
     #[must_use]
-    pub fn holds_any(&self) -> bool {
+    pub fn has_quarantined(&self) -> bool {
         self.records
             .values()
             .any(|record| record.quarantine.is_some())
@@ -203,10 +203,10 @@
     /// entries' sake.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().suspects_any());
+    /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().has_suspects());
     /// ```
     #[must_use]
-    pub fn suspects_any(&self) -> bool {
+    pub fn has_suspects(&self) -> bool {
         self.records.values().any(Record::is_suspected)
     }
 
@@ -339,9 +339,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectChanges, SuspectRequests};
-    /// assert_eq!(SuspectRequests::default().hear(&[], 0), SuspectChanges::default());
+    /// assert_eq!(SuspectRequests::default().merge(&[], 0), SuspectChanges::default());
     /// ```
-    pub fn hear(&mut self, told: &[SuspectUpdate], now_ms: u64) -> SuspectChanges {
+    pub fn merge(&mut self, told: &[SuspectUpdate], now_ms: u64) -> SuspectChanges {
         let now_ms = moment(now_ms);
         let mut change = SuspectChanges::default();
         for told in told {
@@ -351,7 +351,7 @@
             }
             self.make_room(told.request);
             match self.records.entry(told.request) {
-                Entry::Occupied(mut known) => change.hear(told.request, known.get_mut(), heard),
+                Entry::Occupied(mut known) => change.merge(told.request, known.get_mut(), heard),
                 Entry::Vacant(place) => {
                     change.replace(told.request, 0, &heard);
                     place.insert(heard);
@@ -366,10 +366,10 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// assert!(SuspectRequests::default().told(&[], 0).is_empty());
+    /// assert!(SuspectRequests::default().updates_for(&[], 0).is_empty());
     /// ```
     #[must_use]
-    pub fn told(&self, requests: &[Fingerprint], now_ms: u64) -> Vec<SuspectUpdate> {
+    pub fn updates_for(&self, requests: &[Fingerprint], now_ms: u64) -> Vec<SuspectUpdate> {
         let known = |request: &Fingerprint| {
             let record = self.records.get(request)?;
             Some(record.told(*request, moment(now_ms)))
@@ -381,22 +381,22 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// assert!(SuspectRequests::default().next_told(0).is_empty());
+    /// assert!(SuspectRequests::default().next_updates(0).is_empty());
     /// ```
-    pub fn next_told(&mut self, now_ms: u64) -> Vec<SuspectUpdate> {
+    pub fn next_updates(&mut self, now_ms: u64) -> Vec<SuspectUpdate> {
         let (held, others): (Vec<_>, Vec<_>) = self
             .records
             .iter()
             .partition(|(_, record)| record.quarantine.is_some());
         let some_of = |all: Vec<(&Fingerprint, &Record)>, most: usize| {
-            let first = self.next_told % all.len().max(1);
+            let first = self.next_updates % all.len().max(1);
             let some = all.iter().cycle().skip(first).take(most.min(all.len()));
             some.map(|(request, record)| record.told(**request, moment(now_ms)))
                 .collect::<Vec<SuspectUpdate>>()
         };
         let mut told = some_of(held, MAX_HELD_TOLD);
         told.extend(some_of(others, MAX_TOLD - MAX_HELD_TOLD));
-        self.next_told = self.next_told.wrapping_add(MAX_HELD_TOLD);
+        self.next_updates = self.next_updates.wrapping_add(MAX_HELD_TOLD);
         told
     }
 
@@ -404,10 +404,10 @@
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// assert!(SuspectRequests::default().all(0).is_empty());
+    /// assert!(SuspectRequests::default().all_updates(0).is_empty());
     /// ```
     #[must_use]
-    pub fn all(&self, now_ms: u64) -> Vec<SuspectUpdate> {
+    pub fn all_updates(&self, now_ms: u64) -> Vec<SuspectUpdate> {
         let told =
             |(request, record): (&Fingerprint, &Record)| record.told(*request, moment(now_ms));
         self.records.iter().map(told).collect()
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -99,7 +99,7 @@
         self.recent_successes
             .borrow_mut()
             .insert(call.fingerprint_input(), self.now_ms());
-        if self.suspects.borrow().suspects_any() {
+        if self.suspects.borrow().has_suspects() {
             self.clear_request(call.fingerprint());
         }
     }
@@ -135,7 +135,7 @@
         fingerprint: impl FnOnce() -> Fingerprint,
     ) -> Result<(), HeldRequest> {
         let now_ms = self.now_ms();
-        if !self.suspects.borrow().holds_any() {
+        if !self.suspects.borrow().has_quarantined() {
             return Ok(());
         }
         let request = fingerprint();
@@ -159,9 +159,12 @@
 
     /// Takes a peer's word of requests under which upstreams ended.
     pub fn hear_suspects(&self, told: &[SuspectUpdate]) {
-        let change = self.suspects.borrow_mut().hear(told, self.now_ms());
+        let change = self.suspects.borrow_mut().merge(told, self.now_ms());
         if !change.changed.is_empty() {
-            let known = self.suspects.borrow().told(&change.changed, self.now_ms());
+            let known = self
+                .suspects
+                .borrow()
+                .updates_for(&change.changed, self.now_ms());
             self.tell_some_of(known, gossip::FORWARD_PEERS);
         }
         self.log_held(&change.newly_quarantined);
@@ -181,7 +184,7 @@
         self.crash_detector.borrow_mut().sweep(now_ms);
         let mut suspects = self.suspects.borrow_mut();
         suspects.sweep(now_ms);
-        let told = suspects.next_told(now_ms);
+        let told = suspects.next_updates(now_ms);
         drop(suspects);
         self.tell_some_of(told, gossip::RESEND_PEERS);
     }
@@ -191,12 +194,12 @@
         if self.suspects.borrow().is_empty() || !self.is_greeter() {
             return;
         }
-        let told = self.suspects.borrow_mut().next_told(self.now_ms());
+        let told = self.suspects.borrow_mut().next_updates(self.now_ms());
         self.tell(peer, &PeerMessage::SuspectRequests(told));
     }
 
     fn tell_all_of(&self, requests: &[Fingerprint]) {
-        let told = self.suspects.borrow().told(requests, self.now_ms());
+        let told = self.suspects.borrow().updates_for(requests, self.now_ms());
         self.tell_some_of(told, usize::MAX);
     }
 
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -62,7 +62,7 @@
 }
 
 fn list(traffic: &Traffic) -> Response<Full<Bytes>> {
-    let mut all = traffic.suspects.borrow().all(traffic.now_ms());
+    let mut all = traffic.suspects.borrow().all_updates(traffic.now_ms());
     // What was only cleared is kept for the other entries' sake.
     all.retain(|told| told.quarantine.is_some() || !told.crashes.is_empty());
     all.sort_by_key(|told| std::cmp::Reverse(told.quarantine.map(|quarantine| quarantine.left_ms)));
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -110,7 +110,7 @@
     for ago_ms in [i64::MIN, i64::MAX, -1, 0] {
         notices.hear(&[told(7, Some(u32::MAX), ago_ms)], 20);
     }
-    assert_eq!(notices.next_told(30).len(), 1);
+    assert_eq!(notices.next_updates(30).len(), 1);
 }
 
 #[test]
@@ -145,7 +145,7 @@
         let one = told(u32::MAX - upstream, Some(u32::MAX), i64::MAX);
         notices.hear(&[one], u64::MAX);
     }
-    let told = notices.next_told(u64::MAX);
+    let told = notices.next_updates(u64::MAX);
     assert!(told.len() >= 50);
     assert!(PeerMessage::Notices(told).encode().is_some());
     let changed: Vec<u32> = (0..200).map(|number| u32::MAX - number).collect();
@@ -160,7 +160,7 @@
         notices.hear(&[told(upstream, Some(1_400), 0)], 10);
     }
     let mut names: Vec<u32> = (0..2)
-        .flat_map(|_| notices.next_told(20))
+        .flat_map(|_| notices.next_updates(20))
         .map(|told| told.upstream)
         .collect();
     names.sort_unstable();
@@ -253,7 +253,7 @@
     let mut notices = Notices::default();
     notices.said("i-1", &rest(3_000), 0);
     assert!(notices.told("i-1", 10).is_empty());
-    assert!(notices.next_told(10).is_empty());
+    assert!(notices.next_updates(10).is_empty());
 }
 
 #[test]
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -50,7 +50,7 @@
 }
 
 fn tell(from: &SuspectRequests, to: &mut SuspectRequests, now_ms: u64) {
-    to.hear(&from.all(now_ms), now_ms);
+    to.merge(&from.all_updates(now_ms), now_ms);
 }
 
 #[test]
@@ -140,9 +140,9 @@
         let at_ms = u64::from(upstream) * 1_000;
         let number = upstream as usize - 1;
         end(&mut entries[number], upstream, at_ms, &[1]);
-        let told = entries[number].all(at_ms);
+        let told = entries[number].all_updates(at_ms);
         for entry in &mut entries {
-            entry.hear(&told, at_ms + 5);
+            entry.merge(&told, at_ms + 5);
         }
     }
     for entry in &entries {
@@ -355,7 +355,7 @@
     let mut old = SuspectRequests::default();
     end(&mut old, 1, 1_000, &[1]);
     let mut young = SuspectRequests::default();
-    young.hear(&old.all(9 * MINUTE_MS), 100);
+    young.merge(&old.all_updates(9 * MINUTE_MS), 100);
     assert!(!young.is_empty());
     young.sweep(100 + 2 * MINUTE_MS);
     assert!(young.is_empty());
@@ -375,11 +375,11 @@
             );
         }
     }
-    let told = suspects.next_told(2 * day_ms);
+    let told = suspects.next_updates(2 * day_ms);
     assert!(told.len() > 5, "{}", told.len());
     assert!(PeerMessage::SuspectRequests(told).encode().is_some());
     let all: Vec<Fingerprint> = (0..40).map(request).collect();
-    let told = suspects.told(&all, 2 * day_ms);
+    let told = suspects.updates_for(&all, 2 * day_ms);
     assert!(PeerMessage::SuspectRequests(told).encode().is_some());
 }
 
@@ -391,12 +391,12 @@
     }
     let mut peer = SuspectRequests::default();
     for round in 0..20 {
-        let told = suspects.next_told(5_000);
+        let told = suspects.next_updates(5_000);
         assert!(
             told.iter().any(|told| told.request == request(1)),
             "{round}"
         );
-        peer.hear(&told, 5_000);
+        peer.merge(&told, 5_000);
     }
     assert_eq!(peer.counts(5_000).tracked, 101);
 }
@@ -516,13 +516,13 @@
         // A peer of another version, or with a broken clock, tells times and counts of any size. The entry
         // goes on, tells nothing that does not fit into a datagram, and an operator can let all of it go.
         let mut suspects = SuspectRequests::default();
-        suspects.hear(&told, 5_000);
+        suspects.merge(&told, 5_000);
         for number in 0..4 {
             end(&mut suspects, 7, 6_000, &[number]);
             let _verdict = suspects.decide(request(number), 6_000);
             suspects.begin_trial(request(number), 6_000);
         }
-        let told = suspects.next_told(6_000);
+        let told = suspects.next_updates(6_000);
         prop_assert!(PeerMessage::SuspectRequests(told).encode().is_some());
         for number in 0..4 {
             suspects.clear(request(number), 7_000);
@@ -553,23 +553,23 @@
                     }
                 }
                 Step::Tell { from, to } => {
-                    let told = entries[from].all(now_ms);
-                    entries[to].hear(&told, now_ms);
+                    let told = entries[from].all_updates(now_ms);
+                    entries[to].merge(&told, now_ms);
                 }
             }
         }
         for _ in 0..3 {
-            let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all(now_ms)).collect();
+            let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all_updates(now_ms)).collect();
             for entry in &mut entries {
                 for told in &all {
-                    entry.hear(told, now_ms);
+                    entry.merge(told, now_ms);
                 }
             }
         }
-        let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all(now_ms)).collect();
+        let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all_updates(now_ms)).collect();
         for entry in &mut entries {
             for told in &all {
-                let change = entry.hear(told, now_ms);
+                let change = entry.merge(told, now_ms);
                 prop_assert!(change.changed.is_empty(), "{:?}", change);
             }
         }
