--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -207,7 +207,7 @@
 
     pub(super) fn repeat_suspects(&mut self, entry: usize) {
         let suspects = &mut self.entries[entry].suspects;
-        suspects.sweep(self.now_ms);
+        suspects.expire(self.now_ms);
         let told = suspects.next_updates(self.now_ms);
         if self.entries[entry].is_up {
             self.tell_some(entry, &told, gossip::RESEND_PEERS);
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -315,9 +315,9 @@
     ///
     /// ```
     /// # use sardinewood::direct::notices::upstream_notices::Notices;
-    /// Notices::default().sweep(&[7].into_iter().collect(), 0);
+    /// Notices::default().expire(&[7].into_iter().collect(), 0);
     /// ```
-    pub fn sweep(&mut self, listed: &IndexSet<u32>, now_ms: u64) {
+    pub fn expire(&mut self, listed: &IndexSet<u32>, now_ms: u64) {
         self.by_upstream.retain(|name, record| {
             if now_ms < record.rests_until_ms {
                 return true;
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -106,7 +106,7 @@
         }
         let listed = self.rollouts.borrow().upstream_names();
         let mut notices = self.notices.borrow_mut();
-        notices.sweep(&listed, self.now_ms());
+        notices.expire(&listed, self.now_ms());
         let told = notices.next_updates(self.now_ms());
         drop(notices);
         self.tell_some_notices(told, gossip::RESEND_PEERS);
--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -283,9 +283,9 @@
     /// Forgets what broke long ago.
     ///
     /// ```
-    /// sardinewood::direct::quarantine::crash_detector::CrashDetector::default().sweep(0);
+    /// sardinewood::direct::quarantine::crash_detector::CrashDetector::default().expire(0);
     /// ```
-    pub fn sweep(&mut self, now_ms: u64) {
+    pub fn expire(&mut self, now_ms: u64) {
         self.by_instance
             .retain(|_, broken| now_ms < broken.broke_at_ms + PROVEN_WITHIN_MS);
     }
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -416,9 +416,9 @@
     /// Forgets what is long ago.
     ///
     /// ```
-    /// sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().sweep(0);
+    /// sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().expire(0);
     /// ```
-    pub fn sweep(&mut self, now_ms: u64) {
+    pub fn expire(&mut self, now_ms: u64) {
         let now_ms = moment(now_ms);
         self.records
             .retain(|_, record| now_ms < record.forgotten_at_ms());
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -181,9 +181,9 @@
     /// and for what an entry missed that was cut off.
     pub fn sweep_quarantine(&self) {
         let now_ms = self.now_ms();
-        self.crash_detector.borrow_mut().sweep(now_ms);
+        self.crash_detector.borrow_mut().expire(now_ms);
         let mut suspects = self.suspects.borrow_mut();
-        suspects.sweep(now_ms);
+        suspects.expire(now_ms);
         let told = suspects.next_updates(now_ms);
         drop(suspects);
         self.tell_some_of(told, gossip::RESEND_PEERS);
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -177,9 +177,9 @@
 fn break_of_long_ago_forgotten() {
     // An upstream that is replaced a minute after a reset did not end by what ran there then.
     let (mut crash_detector, one) = one_broken();
-    crash_detector.sweep(10_099);
+    crash_detector.expire(10_099);
     assert!(crash_detector.is_undecided(&one.instance));
-    crash_detector.sweep(10_100);
+    crash_detector.expire(10_100);
     assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -123,7 +123,7 @@
     assert!(notices.limited() <= 4_096);
     notices.said("i-1", &limited(700), 20);
     assert_eq!(notices.limits()[&upstream_hash("i-1")], 700, "its own word");
-    notices.sweep(&[7].into_iter().collect(), 70_000);
+    notices.expire(&[7].into_iter().collect(), 70_000);
     assert_eq!(notices.limited(), 1);
 }
 
@@ -133,7 +133,7 @@
     let mut notices = Notices::default();
     notices.said("i-1", &limited(400), 0);
     let listed = [upstream_hash("i-1")].into_iter().collect();
-    notices.sweep(&listed, 3_600_000);
+    notices.expire(&listed, 3_600_000);
     assert_eq!(notices.limited(), 1);
 }
 
@@ -209,9 +209,9 @@
     // Guards against an upstream that is used again since nobody has asked it for some time.
     let mut notices = Notices::default();
     notices.said("i-1", &leaving(), 0);
-    notices.sweep(&[upstream_hash("i-1")].into_iter().collect(), 3_600_000);
+    notices.expire(&[upstream_hash("i-1")].into_iter().collect(), 3_600_000);
     assert!(notices.is_leaving("i-1"));
-    notices.sweep(&[7].into_iter().collect(), 3_600_000);
+    notices.expire(&[7].into_iter().collect(), 3_600_000);
     assert!(!notices.is_leaving("i-1"));
 }
 
@@ -261,6 +261,6 @@
     // Guards against a rest that ends since the store has lost the upstream's entry for a moment.
     let mut notices = Notices::default();
     notices.said("i-1", &rest(300_000), 0);
-    notices.sweep(&[7].into_iter().collect(), 200_000);
+    notices.expire(&[7].into_iter().collect(), 200_000);
     assert_eq!(notices.rests(200_000).len(), 1);
 }
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -297,7 +297,7 @@
         }
         crashes += 1;
         end(&mut suspects, crashes, at_ms + 60, &[1]);
-        suspects.sweep(at_ms + 60);
+        suspects.expire(at_ms + 60);
     }
     assert_eq!(crashes, 3 + 3);
 }
@@ -341,9 +341,9 @@
     end(&mut first, 1, 1_000, &[1]);
     let mut second = first.clone();
     for now_ms in (1_000..40 * MINUTE_MS).step_by(500) {
-        first.sweep(now_ms);
+        first.expire(now_ms);
         tell(&first, &mut second, now_ms + 3);
-        second.sweep(now_ms + 200);
+        second.expire(now_ms + 200);
         tell(&second, &mut first, now_ms + 203);
     }
     assert!(first.is_empty() && second.is_empty());
@@ -357,7 +357,7 @@
     let mut young = SuspectRequests::default();
     young.merge(&old.all_updates(9 * MINUTE_MS), 100);
     assert!(!young.is_empty());
-    young.sweep(100 + 2 * MINUTE_MS);
+    young.expire(100 + 2 * MINUTE_MS);
     assert!(young.is_empty());
 }
 
@@ -528,7 +528,7 @@
             suspects.clear(request(number), 7_000);
             prop_assert_eq!(suspects.decide(request(number), 7_000), QuarantineDecision::Allow);
         }
-        suspects.sweep(7_000 + 24 * 60 * MINUTE_MS);
+        suspects.expire(7_000 + 24 * 60 * MINUTE_MS);
         prop_assert!(suspects.is_empty());
     }
 
