--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -242,11 +242,11 @@
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert!(SuspectRequests::default().may_go_on(request, 2));
-    /// assert!(!SuspectRequests::default().may_go_on(request, 3));
+    /// assert!(SuspectRequests::default().may_retry(request, 2));
+    /// assert!(!SuspectRequests::default().may_retry(request, 3));
     /// ```
     #[must_use]
-    pub fn may_go_on(&self, request: Fingerprint, unproven: usize) -> bool {
+    pub fn may_retry(&self, request: Fingerprint, unproven: usize) -> bool {
         let record = self.records.get(&request);
         let crashes = record.map_or(0, |record| record.crashes.len());
         let was_held = record.is_some_and(|record| record.quarantine.is_some());
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -115,14 +115,14 @@
 
     /// Whether a request whose connection broke may be sent to one more upstream.
     #[must_use]
-    pub fn may_go_on(&self, call: &Call) -> bool {
+    pub fn may_retry(&self, call: &Call) -> bool {
         let crash_detector = self.crash_detector.borrow();
         let suspects = self.suspects.borrow();
         if crash_detector.is_empty() && suspects.is_empty() {
             return true;
         }
         let request = call.fingerprint();
-        suspects.may_go_on(request, crash_detector.unconfirmed_crashes(request))
+        suspects.may_retry(request, crash_detector.unconfirmed_crashes(request))
     }
 
     /// Whether a request may be run. Its fingerprint is only asked for if any request is held.
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -394,7 +394,7 @@
     }
     let sent = u32::try_from(call.tried_upstreams.len()).unwrap_or(u32::MAX);
     sent < call.route.max_upstreams
-        && traffic.may_go_on(call)
+        && traffic.may_retry(call)
         && traffic
             .retry_budget
             .borrow_mut()
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -307,13 +307,13 @@
     // A stream goes on at the next upstream milliseconds after the first one ended, and a proof takes
     // longer. Without this, a route of many attempts would end as many upstreams in one try.
     let mut suspects = SuspectRequests::default();
-    assert!(suspects.may_go_on(request(1), 2));
-    assert!(!suspects.may_go_on(request(1), 3));
+    assert!(suspects.may_retry(request(1), 2));
+    assert!(!suspects.may_retry(request(1), 3));
     end(&mut suspects, 1, 1_000, &[1]);
-    assert!(suspects.may_go_on(request(1), 1));
-    assert!(!suspects.may_go_on(request(1), 2));
+    assert!(suspects.may_retry(request(1), 1));
+    assert!(!suspects.may_retry(request(1), 2));
     let held = held();
-    assert!(!held.may_go_on(request(1), 0), "a trial is one run");
+    assert!(!held.may_retry(request(1), 0), "a trial is one run");
 }
 
 #[test]
