--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -32,7 +32,7 @@
 
 /// A request that is not run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldRequest {
+pub struct QuarantinedRequest {
     /// The request.
     pub request: Fingerprint,
     /// Time until it may be tried.
@@ -133,7 +133,7 @@
     pub fn admit_unheld(
         &self,
         fingerprint: impl FnOnce() -> Fingerprint,
-    ) -> Result<(), HeldRequest> {
+    ) -> Result<(), QuarantinedRequest> {
         let now_ms = self.now_ms();
         if !self.suspects.borrow().has_quarantined() {
             return Ok(());
@@ -150,7 +150,7 @@
                 });
                 Ok(())
             }
-            QuarantineDecision::Refuse { retry_after_ms } => Err(HeldRequest {
+            QuarantineDecision::Refuse { retry_after_ms } => Err(QuarantinedRequest {
                 request,
                 retry_after_ms,
             }),
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -25,7 +25,7 @@
 use crate::direct::placement::shared_prefix::SharedPrefix;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantine::fingerprint::FingerprintInput;
-use crate::direct::quarantine_driver::HeldRequest;
+use crate::direct::quarantine_driver::QuarantinedRequest;
 use crate::direct::quota_driver;
 use crate::direct::request::caller::CallerHeaders;
 use crate::direct::request::ending::Counted;
@@ -243,7 +243,7 @@
         *known_fingerprint.get_or_init(|| Fingerprint::of(fingerprint_input))
     });
     if let Err(held) = held {
-        return Err(refuse_held(&held, &route, customer.as_ref(), id));
+        return Err(refuse_quarantined(&held, &route, customer.as_ref(), id));
     }
     let counted = Counted {
         kind: Arc::clone(&route.name),
@@ -353,8 +353,8 @@
 
 /// Says that the request has not run now, and when it may be tried. It is no mistake of its caller's
 /// that is certain, so no status is used that tells it never to come back.
-fn refuse_held(
-    held: &HeldRequest,
+fn refuse_quarantined(
+    held: &QuarantinedRequest,
     route: &Route,
     customer: Option<&Arc<Customer>>,
     id: Option<&HeaderValue>,
