--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -176,7 +176,7 @@
     }
 
     /// Notes that a request ran whole.
-    pub(super) fn succeeded(&mut self, entry: usize, request: usize) {
+    pub(super) fn record_success(&mut self, entry: usize, request: usize) {
         if self.entries[entry].suspects.is_empty() {
             return;
         }
--- a/bench/src/direct/fleet/runs.rs
+++ b/bench/src/direct/fleet/runs.rs
@@ -125,7 +125,7 @@
             let dispatcher = &mut self.entries[self.runs[run].entry].dispatcher;
             let events = numbers::whole_u64(events.ceil());
             dispatcher.record_answer_length(&SERVICE.into(), offered.hint_tokens, events);
-            self.succeeded(self.runs[run].entry, self.runs[run].request);
+            self.record_success(self.runs[run].entry, self.runs[run].request);
         }
         self.end_run(run, AttemptOutcome::Answered, end);
     }
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -44,7 +44,7 @@
     ///
     /// A request that ends whatever runs it was to each entry one of many broken connections. Its caller
     /// sends it again, every try ends an upstream, and all that runs beside it is cut.
-    pub fn run_broke(self: &Rc<Self>, call: &Call, lease: &Lease) {
+    pub fn record_broken_run(self: &Rc<Self>, call: &Call, lease: &Lease) {
         let upstream = &lease.upstream;
         // One that leaves ends when it has done its work, whatever was sent to it.
         if !self.dispatcher.borrow().is_listed(&upstream.instance) {
@@ -73,7 +73,7 @@
     }
 
     /// Notes that nobody listens at an upstream's address.
-    pub fn upstream_refused(&self, instance: &str) {
+    pub fn record_refused_connection(&self, instance: &str) {
         let end = self
             .crash_detector
             .borrow_mut()
@@ -84,7 +84,7 @@
     }
 
     /// Looks for upstreams whose place another incarnation has taken.
-    pub fn upstreams_listed(&self, upstreams: &[Arc<Upstream>]) {
+    pub fn detect_replaced_upstreams(&self, upstreams: &[Arc<Upstream>]) {
         let ends = self
             .crash_detector
             .borrow_mut()
@@ -95,17 +95,17 @@
     }
 
     /// Notes that a request ran whole, which clears it of all ends that it was suspected of.
-    pub fn succeeded(&self, call: &Call) {
+    pub fn record_success(&self, call: &Call) {
         self.recent_successes
             .borrow_mut()
             .insert(call.fingerprint_input(), self.now_ms());
         if self.suspects.borrow().has_suspects() {
-            self.clear_request(call.fingerprint());
+            self.clear_suspicion(call.fingerprint());
         }
     }
 
     /// Holds nothing against a request any more; whether anything was.
-    pub fn clear_request(&self, request: Fingerprint) -> bool {
+    pub fn clear_suspicion(&self, request: Fingerprint) -> bool {
         let is_cleared = self.suspects.borrow_mut().clear(request, self.now_ms());
         if is_cleared {
             self.tell_all_of(&[request]);
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// When it is held.
-    pub fn admit_unheld(
+    pub fn check_quarantine(
         &self,
         fingerprint: impl FnOnce() -> Fingerprint,
     ) -> Result<(), QuarantinedRequest> {
@@ -284,7 +284,7 @@
                     .connections
                     .put(&upstream.instance, connection, None);
             }
-            Err(ConnectError::Refused) => traffic.upstream_refused(&upstream.instance),
+            Err(ConnectError::Refused) => traffic.record_refused_connection(&upstream.instance),
             // It proves neither an end nor that the upstream lives.
             Err(error @ (ConnectError::TimedOut | ConnectError::Unusable)) => {
                 traffic.log(Level::Info, "broken upstream can't be reached", |line| {
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -237,7 +237,7 @@
         return Err(refusal);
     };
     let known_fingerprint = OnceCell::new();
-    let held = traffic.admit_unheld(|| {
+    let held = traffic.check_quarantine(|| {
         let fingerprint_input =
             fingerprint_input(&parts.method, &parts.uri, customer.as_ref(), &body);
         *known_fingerprint.get_or_init(|| Fingerprint::of(fingerprint_input))
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -244,7 +244,7 @@
                 lease.ended = AttemptOutcome::Broken;
             }
             log_attempt(traffic, call, &lease, "connection to upstream broke");
-            traffic.run_broke(call, &lease);
+            traffic.record_broken_run(call, &lease);
             Attempt::Unknown
         }
         Ok(Ok(response)) => judge(traffic, call, response, connection, lease),
@@ -268,7 +268,7 @@
         line.field("error", error.name())
     });
     if error == ConnectError::Refused {
-        traffic.upstream_refused(&lease.upstream.instance);
+        traffic.record_refused_connection(&lease.upstream.instance);
     }
 }
 
@@ -459,7 +459,7 @@
         Ok(Err(_)) => {
             lease.ended = AttemptOutcome::Failed;
             log_attempt(traffic, call, &lease, "answer broke off");
-            traffic.run_broke(call, &lease);
+            traffic.record_broken_run(call, &lease);
             return Finished::Not(next_step(traffic, call, &Attempt::Unknown));
         }
         Err(_) => {
@@ -469,7 +469,7 @@
     };
     keep(traffic, &lease, connection, headers.keep_alive_ms);
     lease.answered();
-    traffic.succeeded(call);
+    traffic.record_success(call);
     let has_failed = parts.status.is_server_error();
     lease.ended = if has_failed {
         AttemptOutcome::Failed
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -71,7 +71,7 @@
 }
 
 fn let_go(traffic: &Traffic, request: Fingerprint) -> Response<Full<Bytes>> {
-    if !traffic.clear_request(request) {
+    if !traffic.clear_suspicion(request) {
         return said(StatusCode::NOT_FOUND, "nothing is held against it here\n");
     }
     traffic.log(Level::Warn, "operator let a request go", |line| {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -336,7 +336,7 @@
         };
         source.lease.ended = AttemptOutcome::Answered;
         self.pace.end(&self.traffic, &self.call, &source.lease);
-        self.traffic.succeeded(&self.call);
+        self.traffic.record_success(&self.call);
         if let (Some(tokens), Some(events)) =
             (self.call.expected_output_tokens, self.scan.last_id())
         {
@@ -373,7 +373,7 @@
     /// Goes on at another upstream, if that is allowed; otherwise how the stream ended.
     async fn go_on(&mut self, why: &'static str) -> Option<Broken> {
         if let Some(source) = &self.source {
-            self.traffic.run_broke(&self.call, &source.lease);
+            self.traffic.record_broken_run(&self.call, &source.lease);
         }
         let instance = leave(&mut self.source);
         self.log_left(why, instance.as_deref().unwrap_or_default());
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -341,7 +341,7 @@
             continue;
         };
         traffic.has_upstreams.set(true);
-        traffic.upstreams_listed(&upstreams);
+        traffic.detect_replaced_upstreams(&upstreams);
         traffic.rollouts.borrow_mut().set_upstreams(&upstreams);
         traffic.update_eligible_upstreams();
         traffic.grant_slots();
