--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -190,7 +190,7 @@
             | PeerMessage::ChargeReply { .. }
             | PeerMessage::Rollout(_) => {}
             PeerMessage::Notices(told) => self.hear_notices(entry, &told),
-            PeerMessage::SuspectRequests(told) => self.hear_suspects(entry, &told),
+            PeerMessage::SuspectRequests(told) => self.merge_suspect_updates(entry, &told),
         }
     }
 
--- a/bench/src/direct/fleet/deadly.rs
+++ b/bench/src/direct/fleet/deadly.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    pub(super) fn hear_suspects(&mut self, entry: usize, told: &[SuspectUpdate]) {
+    pub(super) fn merge_suspect_updates(&mut self, entry: usize, told: &[SuspectUpdate]) {
         let suspects = &mut self.entries[entry].suspects;
         let change = suspects.merge(told, self.now_ms);
         let known = suspects.updates_for(&change.changed, self.now_ms);
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -158,7 +158,7 @@
     }
 
     /// Takes a peer's word of requests under which upstreams ended.
-    pub fn hear_suspects(&self, told: &[SuspectUpdate]) {
+    pub fn merge_suspect_updates(&self, told: &[SuspectUpdate]) {
         let change = self.suspects.borrow_mut().merge(told, self.now_ms());
         if !change.changed.is_empty() {
             let known = self
@@ -179,7 +179,7 @@
 
     /// Forgets what is long ago, and tells one peer a part of the rest: it makes up for lost datagrams
     /// and for what an entry missed that was cut off.
-    pub fn sweep_quarantine(&self) {
+    pub fn maintain_quarantine(&self) {
         let now_ms = self.now_ms();
         self.crash_detector.borrow_mut().expire(now_ms);
         let mut suspects = self.suspects.borrow_mut();
@@ -190,7 +190,7 @@
     }
 
     /// Tells a peer what is known that has started, or was silent.
-    pub fn greet_with_suspects(&self, peer: SocketAddr) {
+    pub fn sync_suspects_to(&self, peer: SocketAddr) {
         if self.suspects.borrow().is_empty() || !self.is_greeter() {
             return;
         }
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -127,7 +127,7 @@
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
                 traffic.complete_charge(request_id, charge)
             }
-            Some(PeerMessage::SuspectRequests(told)) => traffic.hear_suspects(&told),
+            Some(PeerMessage::SuspectRequests(told)) => traffic.merge_suspect_updates(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
             Some(PeerMessage::Notices(told)) => traffic.hear_notices(from, &told),
             None => traffic.log(Level::Warn, "datagram is not understood", |line| {
@@ -159,7 +159,7 @@
             return;
         }
         if heard.is_new || heard.is_back {
-            traffic.greet_with_suspects(from);
+            traffic.sync_suspects_to(from);
             traffic.sync_rollouts_to(from);
             traffic.greet_with_notices(from);
         }
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -353,7 +353,7 @@
 async fn sweep(traffic: Rc<Traffic>) {
     loop {
         sleep(SWEEP_PERIOD).await;
-        traffic.sweep_quarantine();
+        traffic.maintain_quarantine();
         traffic.sweep_notices();
         let dispatcher = traffic.dispatcher.borrow();
         traffic
