--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -4,8 +4,8 @@
 
 use indexmap::IndexSet;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
+use sardinewood::direct::notices::notice::UpstreamNotice;
 use sardinewood::direct::notices::upstream_state::NoticeUpdate;
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::store_view::directory::Upstream;
@@ -70,12 +70,12 @@
     /// Takes in what an engine says of itself in an answer.
     pub(super) fn engine_said(&mut self, entry: usize, engine: usize) {
         let need = self.need_of(engine);
-        let notice = Notice {
+        let notice = UpstreamNotice {
             limit_per_1000_s: match need {
                 Some(Need::Limit) => Said::Value(LIMIT_PER_1000_S),
                 _ => Said::Nothing,
             },
-            rest_ms: match need {
+            backoff_ms: match need {
                 Some(Need::Rest) => Said::Value(REST_MS),
                 _ => Said::Nothing,
             },
--- a/lib/src/direct/notices/notice.rs
+++ b/lib/src/direct/notices/notice.rs
@@ -16,11 +16,11 @@
 
 /// What an answer says of the upstream that gave it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Notice {
+pub struct UpstreamNotice {
     /// Requests in 1,000 seconds that the upstream takes from all entries together.
     pub limit_per_1000_s: Said<u32>,
     /// How long the upstream wants nothing from the entry that it has turned away.
-    pub rest_ms: Said<u32>,
+    pub backoff_ms: Said<u32>,
     /// Whether it says that it will end.
     pub is_leaving: bool,
 }
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -5,8 +5,8 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::direct::notices::notice::Notice;
 use crate::direct::notices::notice::Said;
+use crate::direct::notices::notice::UpstreamNotice;
 use crate::direct::notices::upstream_state::LimitNews;
 use crate::direct::notices::upstream_state::MomentMs;
 use crate::direct::notices::upstream_state::NoticeUpdate;
@@ -69,16 +69,16 @@
 ///
 /// ```
 /// use sardinewood::direct::notices::upstream_notices::{Change, Notices};
-/// use sardinewood::direct::notices::notice::{Notice, Said};
+/// use sardinewood::direct::notices::notice::{UpstreamNotice, Said};
 ///
 /// let (mut one, mut other) = (Notices::default(), Notices::default());
-/// let limited = Notice { limit_per_1000_s: Said::Value(1_400), ..Notice::default() };
+/// let limited = UpstreamNotice { limit_per_1000_s: Said::Value(1_400), ..UpstreamNotice::default() };
 /// assert_eq!(one.said("i-1", &limited, 10), [Change::Limited(1_400)]);
 /// assert_eq!(one.said("i-1", &limited, 20), []);
 ///
 /// assert_eq!(other.hear(&one.told("i-1", 30), 30).len(), 1);
 /// assert_eq!(other.limited(), 1);
-/// assert_eq!(other.said("i-1", &Notice::default(), 40), [Change::Unlimited]);
+/// assert_eq!(other.said("i-1", &UpstreamNotice::default(), 40), [Change::Unlimited]);
 /// assert_eq!(one.hear(&other.told("i-1", 50), 50).len(), 1);
 /// assert_eq!(one.limited(), 0);
 /// ```
@@ -104,10 +104,10 @@
     /// Takes the longest rest that an upstream is given, whatever it asks for.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::{Change, Notices}, notice::{Notice, Said}};
+    /// # use sardinewood::direct::notices::{upstream_notices::{Change, Notices}, notice::{UpstreamNotice, Said}};
     /// let mut notices = Notices::default();
     /// notices.set_longest_rest_ms(5_000);
-    /// let rest = Notice { rest_ms: Said::Value(u32::MAX), ..Notice::default() };
+    /// let rest = UpstreamNotice { backoff_ms: Said::Value(u32::MAX), ..UpstreamNotice::default() };
     /// assert_eq!(notices.said("i-1", &rest, 0), [Change::Rests(5_000)]);
     /// ```
     pub fn set_longest_rest_ms(&mut self, longest_rest_ms: u64) {
@@ -129,10 +129,10 @@
     }
 
     /// Takes what an answer says; see [`Notices`].
-    pub fn said(&mut self, instance: &str, notice: &Notice, now_ms: u64) -> Vec<Change> {
+    pub fn said(&mut self, instance: &str, notice: &UpstreamNotice, now_ms: u64) -> Vec<Change> {
         let name = upstream_hash(instance);
         // Nearly all answers say nothing, of upstreams that never said anything.
-        if *notice == Notice::default() && !self.by_upstream.contains_key(&name) {
+        if *notice == UpstreamNotice::default() && !self.by_upstream.contains_key(&name) {
             return Vec::new();
         }
         let longest_rest_ms = self.longest_rest_ms;
@@ -144,13 +144,13 @@
             LimitNews::Changed(limit) => Some(limit.map_or(Change::Unlimited, Change::Limited)),
             LimitNews::Unreadable(text) => Some(Change::UnreadableLimit(text)),
         };
-        let rest = match &notice.rest_ms {
+        let rest = match &notice.backoff_ms {
             Said::Nothing => None,
-            Said::Value(rest_ms) => {
-                let rest_ms = u64::from(*rest_ms).min(longest_rest_ms);
+            Said::Value(backoff_ms) => {
+                let backoff_ms = u64::from(*backoff_ms).min(longest_rest_ms);
                 record
-                    .rest(rest_ms, now_ms)
-                    .then_some(Change::Rests(rest_ms))
+                    .rest(backoff_ms, now_ms)
+                    .then_some(Change::Rests(backoff_ms))
             }
             Said::Unreadable(text) => Some(Change::UnreadableRest(Arc::clone(text))),
         };
@@ -249,11 +249,11 @@
     /// listed: what ends does not come back.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::Notice};
+    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::UpstreamNotice};
     /// let mut notices = Notices::default();
-    /// let leaving = Notice { is_leaving: true, ..Notice::default() };
+    /// let leaving = UpstreamNotice { is_leaving: true, ..UpstreamNotice::default() };
     /// notices.said("i-1@5", &leaving, 0);
-    /// notices.said("i-1@5", &Notice::default(), 10);
+    /// notices.said("i-1@5", &UpstreamNotice::default(), 10);
     /// assert!(notices.is_leaving("i-1@5") && !notices.is_leaving("i-1@6"));
     /// ```
     #[must_use]
@@ -265,9 +265,9 @@
     /// All that holds, by short name, for operators.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::{Notice, Said}};
+    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::{UpstreamNotice, Said}};
     /// let mut notices = Notices::default();
-    /// let rest = Notice { rest_ms: Said::Value(3_000), ..Notice::default() };
+    /// let rest = UpstreamNotice { backoff_ms: Said::Value(3_000), ..UpstreamNotice::default() };
     /// notices.said("i-1", &rest, 0);
     /// let (_, shown) = notices.shown(1_000).next().unwrap();
     /// assert_eq!(shown.rests_for_ms, 2_000);
--- a/lib/src/direct/notices/upstream_state.rs
+++ b/lib/src/direct/notices/upstream_state.rs
@@ -99,9 +99,9 @@
     }
 
     /// Notes that it wants nothing from this entry for a time; whether that is longer than known.
-    pub(super) fn rest(&mut self, rest_ms: u64, now_ms: u64) -> bool {
+    pub(super) fn rest(&mut self, backoff_ms: u64, now_ms: u64) -> bool {
         self.heard_at_ms = signed(now_ms);
-        let until_ms = now_ms.saturating_add(rest_ms);
+        let until_ms = now_ms.saturating_add(backoff_ms);
         let is_longer = until_ms > self.rests_until_ms;
         self.rests_until_ms = self.rests_until_ms.max(until_ms);
         is_longer
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -13,7 +13,7 @@
 
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
-use crate::direct::notices::notice::Notice;
+use crate::direct::notices::notice::UpstreamNotice;
 use crate::direct::notices::upstream_notices::Change;
 use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::placement::dispatch::upstream_hash;
@@ -43,7 +43,7 @@
         upstream: &Upstream,
         answer: &AnswerHeaders,
     ) {
-        let says_nothing = answer.notice == Notice::default();
+        let says_nothing = answer.notice == UpstreamNotice::default();
         if says_nothing && self.notices.borrow().is_empty() || !speaks_for_itself(call, answer) {
             return;
         }
@@ -210,7 +210,7 @@
                     line.field("requests_per_s", numbers::as_f64((*limit).into()) / LIMIT_S)
                 }
                 Change::Unlimited | Change::Leaves => line,
-                Change::Rests(rest_ms) => line.field("rest_ms", rest_ms),
+                Change::Rests(backoff_ms) => line.field("rest_ms", backoff_ms),
                 Change::UnreadableLimit(text) | Change::UnreadableRest(text) => {
                     line.field("text", text)
                 }
--- a/lib/src/direct/request/caller.rs
+++ b/lib/src/direct/request/caller.rs
@@ -6,7 +6,7 @@
 use http::HeaderValue;
 use http::StatusCode;
 
-use crate::direct::notices::notice::Notice;
+use crate::direct::notices::notice::UpstreamNotice;
 use crate::direct::placement::shared_prefix::SharedPrefix;
 
 /// What a caller's headers say of its request.
@@ -106,7 +106,7 @@
     /// How long the connection may stay idle.
     pub keep_alive_ms: Option<u64>,
     /// What the upstream says of itself.
-    pub notice: Notice,
+    pub notice: UpstreamNotice,
 }
 
 /// How headers are read and written. The platform brings its own; the entry knows no names.
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -4,18 +4,18 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::notices::notice::Notice;
 use sardinewood::direct::notices::notice::Said;
+use sardinewood::direct::notices::notice::UpstreamNotice;
 use sardinewood::direct::notices::upstream_notices::Change;
 use sardinewood::direct::notices::upstream_notices::Notices;
 use sardinewood::direct::notices::upstream_state::LimitUpdate;
 use sardinewood::direct::notices::upstream_state::NoticeUpdate;
 use sardinewood::direct::placement::dispatch::upstream_hash;
 
-fn limited(limit_per_1000_s: u32) -> Notice {
-    Notice {
+fn limited(limit_per_1000_s: u32) -> UpstreamNotice {
+    UpstreamNotice {
         limit_per_1000_s: Said::Value(limit_per_1000_s),
-        ..Notice::default()
+        ..UpstreamNotice::default()
     }
 }
 
@@ -43,7 +43,7 @@
     // Guards against a limit that outlives the process that named it.
     let mut notices = Notices::default();
     notices.said("i-1@5", &limited(1_400), 0);
-    assert_eq!(notices.said("i-1@6", &Notice::default(), 10), []);
+    assert_eq!(notices.said("i-1@6", &UpstreamNotice::default(), 10), []);
     assert_eq!(notices.limits().len(), 1);
     assert!(!notices.limits().contains_key(&upstream_hash("i-1@6")));
 }
@@ -53,9 +53,9 @@
     // Guards against a limit that is lifted, or a log that is flooded, by a header that is no number.
     let mut notices = Notices::default();
     notices.said("i-1", &limited(1_400), 0);
-    let unreadable = Notice {
+    let unreadable = UpstreamNotice {
         limit_per_1000_s: Said::Unreadable("NaN".into()),
-        ..Notice::default()
+        ..UpstreamNotice::default()
     };
     let change = Change::UnreadableLimit("NaN".into());
     assert_eq!(notices.said("i-1", &unreadable, 10), [change]);
@@ -70,7 +70,7 @@
     // Guards against an entry that was cut off and brings back a limit that has ended.
     let mut notices = Notices::default();
     notices.said("i-1", &limited(1_400), 1_000);
-    notices.said("i-1", &Notice::default(), 5_000);
+    notices.said("i-1", &UpstreamNotice::default(), 5_000);
     let old = told(upstream_hash("i-1"), Some(1_400), 3_000);
     assert!(notices.hear(&[old], 6_000).is_empty());
     assert_eq!(notices.limited(), 0);
@@ -177,10 +177,10 @@
     assert_eq!(due.count(), 4);
 }
 
-fn leaving() -> Notice {
-    Notice {
+fn leaving() -> UpstreamNotice {
+    UpstreamNotice {
         is_leaving: true,
-        ..Notice::default()
+        ..UpstreamNotice::default()
     }
 }
 
@@ -215,10 +215,10 @@
     assert!(!notices.is_leaving("i-1"));
 }
 
-fn rest(rest_ms: u32) -> Notice {
-    Notice {
-        rest_ms: Said::Value(rest_ms),
-        ..Notice::default()
+fn rest(backoff_ms: u32) -> UpstreamNotice {
+    UpstreamNotice {
+        backoff_ms: Said::Value(backoff_ms),
+        ..UpstreamNotice::default()
     }
 }
 
