--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexSet;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::notices::notice::Said;
+use sardinewood::direct::notices::notice::NoticeField;
 use sardinewood::direct::notices::notice::UpstreamNotice;
 use sardinewood::direct::notices::upstream_state::NoticeUpdate;
 use sardinewood::direct::placement::health::AttemptOutcome;
@@ -72,12 +72,12 @@
         let need = self.need_of(engine);
         let notice = UpstreamNotice {
             limit_per_1000_s: match need {
-                Some(Need::Limit) => Said::Value(LIMIT_PER_1000_S),
-                _ => Said::Nothing,
+                Some(Need::Limit) => NoticeField::Value(LIMIT_PER_1000_S),
+                _ => NoticeField::Absent,
             },
             backoff_ms: match need {
-                Some(Need::Rest) => Said::Value(REST_MS),
-                _ => Said::Nothing,
+                Some(Need::Rest) => NoticeField::Value(REST_MS),
+                _ => NoticeField::Absent,
             },
             is_leaving: need == Some(Need::Leaving),
         };
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::direct::notices::notice::Said;
+use crate::direct::notices::notice::NoticeField;
 use crate::direct::notices::notice::UpstreamNotice;
 use crate::direct::notices::upstream_state::LimitNews;
 use crate::direct::notices::upstream_state::MomentMs;
@@ -69,10 +69,10 @@
 ///
 /// ```
 /// use sardinewood::direct::notices::upstream_notices::{Change, Notices};
-/// use sardinewood::direct::notices::notice::{UpstreamNotice, Said};
+/// use sardinewood::direct::notices::notice::{UpstreamNotice, NoticeField};
 ///
 /// let (mut one, mut other) = (Notices::default(), Notices::default());
-/// let limited = UpstreamNotice { limit_per_1000_s: Said::Value(1_400), ..UpstreamNotice::default() };
+/// let limited = UpstreamNotice { limit_per_1000_s: NoticeField::Value(1_400), ..UpstreamNotice::default() };
 /// assert_eq!(one.said("i-1", &limited, 10), [Change::Limited(1_400)]);
 /// assert_eq!(one.said("i-1", &limited, 20), []);
 ///
@@ -104,10 +104,10 @@
     /// Takes the longest rest that an upstream is given, whatever it asks for.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::{Change, Notices}, notice::{UpstreamNotice, Said}};
+    /// # use sardinewood::direct::notices::{upstream_notices::{Change, Notices}, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = Notices::default();
     /// notices.set_longest_rest_ms(5_000);
-    /// let rest = UpstreamNotice { backoff_ms: Said::Value(u32::MAX), ..UpstreamNotice::default() };
+    /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
     /// assert_eq!(notices.said("i-1", &rest, 0), [Change::Rests(5_000)]);
     /// ```
     pub fn set_longest_rest_ms(&mut self, longest_rest_ms: u64) {
@@ -145,14 +145,14 @@
             LimitNews::Unreadable(text) => Some(Change::UnreadableLimit(text)),
         };
         let rest = match &notice.backoff_ms {
-            Said::Nothing => None,
-            Said::Value(backoff_ms) => {
+            NoticeField::Absent => None,
+            NoticeField::Value(backoff_ms) => {
                 let backoff_ms = u64::from(*backoff_ms).min(longest_rest_ms);
                 record
                     .rest(backoff_ms, now_ms)
                     .then_some(Change::Rests(backoff_ms))
             }
-            Said::Unreadable(text) => Some(Change::UnreadableRest(Arc::clone(text))),
+            NoticeField::Invalid(text) => Some(Change::UnreadableRest(Arc::clone(text))),
         };
         let leaves = (notice.is_leaving && record.leave(signed(now_ms))).then_some(Change::Leaves);
         limit.into_iter().chain(rest).chain(leaves).collect()
@@ -265,9 +265,9 @@
     /// All that holds, by short name, for operators.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::{UpstreamNotice, Said}};
+    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = Notices::default();
-    /// let rest = UpstreamNotice { backoff_ms: Said::Value(3_000), ..UpstreamNotice::default() };
+    /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(3_000), ..UpstreamNotice::default() };
     /// notices.said("i-1", &rest, 0);
     /// let (_, shown) = notices.shown(1_000).next().unwrap();
     /// assert_eq!(shown.rests_for_ms, 2_000);
--- a/lib/src/direct/notices/upstream_state.rs
+++ b/lib/src/direct/notices/upstream_state.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::direct::notices::notice::Said;
+use crate::direct::notices::notice::NoticeField;
 use crate::numbers::signed;
 
 /// What entries tell each other that an upstream has said.
@@ -108,12 +108,12 @@
     }
 
     /// Takes what an answer says of the limit.
-    pub(super) fn limit_said(&mut self, limit: &Said<u32>, now_ms: MomentMs) -> LimitNews {
+    pub(super) fn limit_said(&mut self, limit: &NoticeField<u32>, now_ms: MomentMs) -> LimitNews {
         self.heard_at_ms = now_ms;
         let per_1000_s = match limit {
-            Said::Nothing => None,
-            Said::Value(limit) => Some(*limit),
-            Said::Unreadable(text) => {
+            NoticeField::Absent => None,
+            NoticeField::Value(limit) => Some(*limit),
+            NoticeField::Invalid(text) => {
                 let is_known = self.unreadable.replace(Arc::clone(text)).as_ref() == Some(text);
                 return if is_known {
                     LimitNews::Same
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -4,7 +4,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sardinewood::direct::membership::peer_message::PeerMessage;
-use sardinewood::direct::notices::notice::Said;
+use sardinewood::direct::notices::notice::NoticeField;
 use sardinewood::direct::notices::notice::UpstreamNotice;
 use sardinewood::direct::notices::upstream_notices::Change;
 use sardinewood::direct::notices::upstream_notices::Notices;
@@ -14,7 +14,7 @@
 
 fn limited(limit_per_1000_s: u32) -> UpstreamNotice {
     UpstreamNotice {
-        limit_per_1000_s: Said::Value(limit_per_1000_s),
+        limit_per_1000_s: NoticeField::Value(limit_per_1000_s),
         ..UpstreamNotice::default()
     }
 }
@@ -54,7 +54,7 @@
     let mut notices = Notices::default();
     notices.said("i-1", &limited(1_400), 0);
     let unreadable = UpstreamNotice {
-        limit_per_1000_s: Said::Unreadable("NaN".into()),
+        limit_per_1000_s: NoticeField::Invalid("NaN".into()),
         ..UpstreamNotice::default()
     };
     let change = Change::UnreadableLimit("NaN".into());
@@ -217,7 +217,7 @@
 
 fn rest(backoff_ms: u32) -> UpstreamNotice {
     UpstreamNotice {
-        backoff_ms: Said::Value(backoff_ms),
+        backoff_ms: NoticeField::Value(backoff_ms),
         ..UpstreamNotice::default()
     }
 }
