--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -19,7 +19,7 @@
 use sardinewood::direct::membership::gossip;
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::membership::peer_table::PeerTable;
-use sardinewood::direct::notices::upstream_notices::Notices;
+use sardinewood::direct::notices::upstream_notices::UpstreamNotices;
 use sardinewood::direct::placement::dispatch::Dispatcher;
 use sardinewood::direct::placement::health::AttemptOutcome;
 use sardinewood::direct::placement::slot_search::SlotSearch;
@@ -246,7 +246,7 @@
     sizes: SizeStats,
     floor: SizeFairness,
     suspects: SuspectRequests,
-    notices: Notices,
+    notices: UpstreamNotices,
     rate_wakes_ms: Option<u64>,
 }
 
@@ -404,7 +404,7 @@
             sizes: SizeStats::default(),
             floor: SizeFairness::default(),
             suspects: SuspectRequests::default(),
-            notices: Notices::default(),
+            notices: UpstreamNotices::default(),
             rate_wakes_ms: None,
         }
     }
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -94,7 +94,7 @@
         self.place_notices(entry);
         let peers: Vec<_> = self.entries[entry].peers.heartbeat_targets().collect();
         for peer in peers.into_iter().filter(|_| !told.is_empty()) {
-            self.tell(entry, peer, PeerMessage::Notices(told.clone()));
+            self.tell(entry, peer, PeerMessage::UpstreamNotices(told.clone()));
         }
     }
 
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -154,7 +154,7 @@
     /// How far a roll-out has come, or what the sender has seen of it.
     Rollout(RolloutMessage),
     /// What upstreams have said of themselves.
-    Notices(Vec<NoticeUpdate>),
+    UpstreamNotices(Vec<NoticeUpdate>),
 }
 
 impl PeerMessage {
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -68,10 +68,10 @@
 /// Entries merge what they have heard in any order: the latest answer holds.
 ///
 /// ```
-/// use sardinewood::direct::notices::upstream_notices::{Change, Notices};
+/// use sardinewood::direct::notices::upstream_notices::{Change, UpstreamNotices};
 /// use sardinewood::direct::notices::notice::{UpstreamNotice, NoticeField};
 ///
-/// let (mut one, mut other) = (Notices::default(), Notices::default());
+/// let (mut one, mut other) = (UpstreamNotices::default(), UpstreamNotices::default());
 /// let limited = UpstreamNotice { limit_per_1000_s: NoticeField::Value(1_400), ..UpstreamNotice::default() };
 /// assert_eq!(one.said("i-1", &limited, 10), [Change::Limited(1_400)]);
 /// assert_eq!(one.said("i-1", &limited, 20), []);
@@ -83,14 +83,14 @@
 /// assert_eq!(one.limited(), 0);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Notices {
+pub struct UpstreamNotices {
     by_upstream: IndexMap<u32, Record>,
     longest_rest_ms: u64,
     /// Which record the next repetition begins with.
     next: usize,
 }
 
-impl Default for Notices {
+impl Default for UpstreamNotices {
     fn default() -> Self {
         Self {
             by_upstream: IndexMap::new(),
@@ -100,12 +100,12 @@
     }
 }
 
-impl Notices {
+impl UpstreamNotices {
     /// Takes the longest rest that an upstream is given, whatever it asks for.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::{Change, Notices}, notice::{UpstreamNotice, NoticeField}};
-    /// let mut notices = Notices::default();
+    /// # use sardinewood::direct::notices::{upstream_notices::{Change, UpstreamNotices}, notice::{UpstreamNotice, NoticeField}};
+    /// let mut notices = UpstreamNotices::default();
     /// notices.set_longest_rest_ms(5_000);
     /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
     /// assert_eq!(notices.said("i-1", &rest, 0), [Change::Rests(5_000)]);
@@ -117,7 +117,7 @@
     /// Until when upstreams want nothing from this entry, by short name.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().rests(0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().rests(0).is_empty());
     /// ```
     #[must_use]
     pub fn rests(&self, now_ms: u64) -> IndexMap<u32, u64> {
@@ -128,7 +128,7 @@
             .collect()
     }
 
-    /// Takes what an answer says; see [`Notices`].
+    /// Takes what an answer says; see [`UpstreamNotices`].
     pub fn said(&mut self, instance: &str, notice: &UpstreamNotice, now_ms: u64) -> Vec<Change> {
         let name = upstream_hash(instance);
         // Nearly all answers say nothing, of upstreams that never said anything.
@@ -159,7 +159,7 @@
     }
 
     /// Takes what a peer tells; the short names of the upstreams of which it was news. See
-    /// [`Notices`].
+    /// [`UpstreamNotices`].
     pub fn hear(&mut self, told: &[NoticeUpdate], now_ms: u64) -> Vec<u32> {
         let mut changed = Vec::new();
         for told in told {
@@ -180,7 +180,7 @@
     /// What peers are told of upstreams, by their short names.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().told_of(&[7], 0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().told_of(&[7], 0).is_empty());
     /// ```
     #[must_use]
     pub fn told_of(&self, upstreams: &[u32], now_ms: u64) -> Vec<NoticeUpdate> {
@@ -197,7 +197,7 @@
     /// counts as done.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::notices::upstream_notices::Notices::default().take_due_repeat("i-1", 0));
+    /// assert!(!sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().take_due_repeat("i-1", 0));
     /// ```
     pub fn take_due_repeat(&mut self, instance: &str, now_ms: u64) -> bool {
         let Some(record) = self.by_upstream.get_mut(&upstream_hash(instance)) else {
@@ -210,7 +210,7 @@
         is_due
     }
 
-    /// What peers are told of an upstream; see [`Notices`].
+    /// What peers are told of an upstream; see [`UpstreamNotices`].
     #[must_use]
     pub fn told(&self, instance: &str, now_ms: u64) -> Vec<NoticeUpdate> {
         self.told_of(&[upstream_hash(instance)], now_ms)
@@ -219,7 +219,7 @@
     /// What is told in the next repetition: as much as fits into a message, others each time.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().next_updates(0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().next_updates(0).is_empty());
     /// ```
     pub fn next_updates(&mut self, now_ms: u64) -> Vec<NoticeUpdate> {
         let count = self.by_upstream.len();
@@ -235,7 +235,7 @@
     /// The limits that hold, by short name, in requests in 1,000 seconds.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().limits().is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().limits().is_empty());
     /// ```
     #[must_use]
     pub fn limits(&self) -> IndexMap<u32, u32> {
@@ -249,8 +249,8 @@
     /// listed: what ends does not come back.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::UpstreamNotice};
-    /// let mut notices = Notices::default();
+    /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::UpstreamNotice};
+    /// let mut notices = UpstreamNotices::default();
     /// let leaving = UpstreamNotice { is_leaving: true, ..UpstreamNotice::default() };
     /// notices.said("i-1@5", &leaving, 0);
     /// notices.said("i-1@5", &UpstreamNotice::default(), 10);
@@ -265,8 +265,8 @@
     /// All that holds, by short name, for operators.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::Notices, notice::{UpstreamNotice, NoticeField}};
-    /// let mut notices = Notices::default();
+    /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::{UpstreamNotice, NoticeField}};
+    /// let mut notices = UpstreamNotices::default();
     /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(3_000), ..UpstreamNotice::default() };
     /// notices.said("i-1", &rest, 0);
     /// let (_, shown) = notices.shown(1_000).next().unwrap();
@@ -282,7 +282,7 @@
     /// How many upstreams limit their requests.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::notices::upstream_notices::Notices::default().limited(), 0);
+    /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().limited(), 0);
     /// ```
     #[must_use]
     pub fn limited(&self) -> usize {
@@ -292,7 +292,7 @@
     /// How many upstreams have said that they will end.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::notices::upstream_notices::Notices::default().leaving(), 0);
+    /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().leaving(), 0);
     /// ```
     #[must_use]
     pub fn leaving(&self) -> usize {
@@ -303,7 +303,7 @@
     /// Whether nothing is known of any upstream.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::Notices::default().is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -314,8 +314,8 @@
     /// the list.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::upstream_notices::Notices;
-    /// Notices::default().expire(&[7].into_iter().collect(), 0);
+    /// # use sardinewood::direct::notices::upstream_notices::UpstreamNotices;
+    /// UpstreamNotices::default().expire(&[7].into_iter().collect(), 0);
     /// ```
     pub fn expire(&mut self, listed: &IndexSet<u32>, now_ms: u64) {
         self.by_upstream.retain(|name, record| {
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -129,7 +129,7 @@
             }
             Some(PeerMessage::SuspectRequests(told)) => traffic.merge_suspect_updates(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
-            Some(PeerMessage::Notices(told)) => traffic.hear_notices(from, &told),
+            Some(PeerMessage::UpstreamNotices(told)) => traffic.hear_notices(from, &told),
             None => traffic.log(Level::Warn, "datagram is not understood", |line| {
                 line.field("from", from)
             }),
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -21,7 +21,7 @@
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_table::PeerTable;
-use crate::direct::notices::upstream_notices::Notices;
+use crate::direct::notices::upstream_notices::UpstreamNotices;
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::AttemptOutcome;
@@ -110,7 +110,7 @@
     /// Requests that may be the cause of upstreams' ends.
     pub suspects: RefCell<SuspectRequests>,
     /// What upstreams say of themselves.
-    pub notices: RefCell<Notices>,
+    pub notices: RefCell<UpstreamNotices>,
     /// Orders to move services to other versions.
     pub rollouts: RefCell<RolloutTable>,
     /// Told when an order has come further than this entry has acted on.
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -7,7 +7,7 @@
 use sardinewood::direct::notices::notice::NoticeField;
 use sardinewood::direct::notices::notice::UpstreamNotice;
 use sardinewood::direct::notices::upstream_notices::Change;
-use sardinewood::direct::notices::upstream_notices::Notices;
+use sardinewood::direct::notices::upstream_notices::UpstreamNotices;
 use sardinewood::direct::notices::upstream_state::LimitUpdate;
 use sardinewood::direct::notices::upstream_state::NoticeUpdate;
 use sardinewood::direct::placement::dispatch::upstream_hash;
@@ -29,7 +29,7 @@
 
 #[test]
 fn said_another_limit() {
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &limited(1_400), 0);
     assert_eq!(
         notices.said("i-1", &limited(700), 1_000),
@@ -41,7 +41,7 @@
 #[test]
 fn said_by_another_incarnation() {
     // Guards against a limit that outlives the process that named it.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1@5", &limited(1_400), 0);
     assert_eq!(notices.said("i-1@6", &UpstreamNotice::default(), 10), []);
     assert_eq!(notices.limits().len(), 1);
@@ -51,7 +51,7 @@
 #[test]
 fn said_unreadable_keeps_what_held_and_is_told_once() {
     // Guards against a limit that is lifted, or a log that is flooded, by a header that is no number.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &limited(1_400), 0);
     let unreadable = UpstreamNotice {
         limit_per_1000_s: NoticeField::Invalid("NaN".into()),
@@ -68,7 +68,7 @@
 #[test]
 fn hear_older_answer_changes_nothing() {
     // Guards against an entry that was cut off and brings back a limit that has ended.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &limited(1_400), 1_000);
     notices.said("i-1", &UpstreamNotice::default(), 5_000);
     let old = told(upstream_hash("i-1"), Some(1_400), 3_000);
@@ -88,7 +88,7 @@
             told(name, Some(900), 100),
         ];
         all.shuffle(&mut random);
-        let mut notices = Notices::default();
+        let mut notices = UpstreamNotices::default();
         for one in all {
             notices.hear(&[one], 50);
         }
@@ -98,7 +98,7 @@
 
 #[test]
 fn hear_before_the_process_began() {
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     let heard = notices.hear(&[told(7, Some(1_400), 60_000)], 20);
     assert_eq!(heard, [7]);
 }
@@ -106,7 +106,7 @@
 #[test]
 fn hear_absurd_times() {
     // Guards against an overflow that ends the traffic thread.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     for ago_ms in [i64::MIN, i64::MAX, -1, 0] {
         notices.hear(&[told(7, Some(u32::MAX), ago_ms)], 20);
     }
@@ -116,7 +116,7 @@
 #[test]
 fn hear_without_end_bounded() {
     // Guards against a peer, or a fleet that is replaced again and again, that fills the memory.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     for upstream in 0..100_000 {
         notices.hear(&[told(upstream, Some(1_400), 0)], 10);
     }
@@ -130,7 +130,7 @@
 #[test]
 fn sweep_keeps_the_limit_of_a_listed_upstream() {
     // Guards against a limit that is forgotten since no answer came for some time.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &limited(400), 0);
     let listed = [upstream_hash("i-1")].into_iter().collect();
     notices.expire(&listed, 3_600_000);
@@ -140,22 +140,22 @@
 #[test]
 fn next_told_fits_into_a_datagram() {
     // Guards against news that are never sent, since their message is too long.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     for upstream in 0..200 {
         let one = told(u32::MAX - upstream, Some(u32::MAX), i64::MAX);
         notices.hear(&[one], u64::MAX);
     }
     let told = notices.next_updates(u64::MAX);
     assert!(told.len() >= 50);
-    assert!(PeerMessage::Notices(told).encode().is_some());
+    assert!(PeerMessage::UpstreamNotices(told).encode().is_some());
     let changed: Vec<u32> = (0..200).map(|number| u32::MAX - number).collect();
     let passed_on = notices.told_of(&changed, u64::MAX);
-    assert!(PeerMessage::Notices(passed_on).encode().is_some());
+    assert!(PeerMessage::UpstreamNotices(passed_on).encode().is_some());
 }
 
 #[test]
 fn next_told_takes_turns() {
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     for upstream in 0..100 {
         notices.hear(&[told(upstream, Some(1_400), 0)], 10);
     }
@@ -171,7 +171,7 @@
 #[test]
 fn repeat_due_once_a_second() {
     // Guards against an entry that tells the keeper of a door with every answer.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &limited(1_400), 5_000);
     let due = (5_000..9_000).filter(|now_ms| notices.take_due_repeat("i-1", *now_ms));
     assert_eq!(due.count(), 4);
@@ -187,7 +187,7 @@
 #[test]
 fn said_leaving_once() {
     // Guards against a log line, and a datagram to every entry, with each answer of one that leaves.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     assert_eq!(notices.said("i-1", &leaving(), 0), [Change::Leaves]);
     assert_eq!(notices.said("i-1", &leaving(), 10), []);
 }
@@ -195,7 +195,7 @@
 #[test]
 fn hear_leaving_in_any_order() {
     // Guards against a word of the limit that takes the leaving back.
-    let (mut one, mut other) = (Notices::default(), Notices::default());
+    let (mut one, mut other) = (UpstreamNotices::default(), UpstreamNotices::default());
     one.said("i-1", &limited(700), 0);
     other.said("i-1", &leaving(), 5);
     assert_eq!(one.hear(&other.told("i-1", 10), 10).len(), 1);
@@ -207,7 +207,7 @@
 #[test]
 fn sweep_remembers_one_that_leaves_while_it_is_listed() {
     // Guards against an upstream that is used again since nobody has asked it for some time.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &leaving(), 0);
     notices.expire(&[upstream_hash("i-1")].into_iter().collect(), 3_600_000);
     assert!(notices.is_leaving("i-1"));
@@ -225,7 +225,7 @@
 #[test]
 fn said_rest_again_longer() {
     // Guards against a later, shorter rest that ends the one before.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     let name = upstream_hash("i-1");
     assert_eq!(notices.said("i-1", &rest(3_000), 0), [Change::Rests(3_000)]);
     assert_eq!(notices.said("i-1", &rest(500), 1_000), []);
@@ -241,7 +241,7 @@
 #[test]
 fn said_rest_without_end_bounded() {
     // Guards against an upstream that is lost for the life of an entry by one header.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &rest(u32::MAX), 0);
     assert!(notices.rests(600_000).is_empty());
     assert_eq!(notices.rests(599_999).len(), 1);
@@ -250,7 +250,7 @@
 #[test]
 fn rest_not_told_to_other_entries() {
     // They were not asked, and what one entry may not use is room for the others.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &rest(3_000), 0);
     assert!(notices.told("i-1", 10).is_empty());
     assert!(notices.next_updates(10).is_empty());
@@ -259,7 +259,7 @@
 #[test]
 fn sweep_keeps_a_rest_of_an_unlisted_upstream() {
     // Guards against a rest that ends since the store has lost the upstream's entry for a moment.
-    let mut notices = Notices::default();
+    let mut notices = UpstreamNotices::default();
     notices.said("i-1", &rest(300_000), 0);
     notices.expire(&[7].into_iter().collect(), 200_000);
     assert_eq!(notices.rests(200_000).len(), 1);
