--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -34,32 +34,32 @@
 
 /// What an answer has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum NoticeChange {
     /// The upstream takes no more than so many requests in 1,000 seconds.
     Limited(u32),
     /// It no longer names a limit.
     Unlimited,
     /// It names a limit that can't be read. What held before holds on.
-    UnreadableLimit(Arc<str>),
+    InvalidLimit(Arc<str>),
     /// It will end.
-    Leaves,
+    Leaving,
     /// It wants nothing from this entry for so long, in milliseconds.
-    Rests(u64),
+    BackingOff(u64),
     /// It asks for rest of a length that can't be read.
-    UnreadableRest(Arc<str>),
+    InvalidBackoff(Arc<str>),
 }
 
-impl Change {
+impl NoticeChange {
     /// Whether the other entries have to know it.
     ///
     /// ```
-    /// use sardinewood::direct::notices::upstream_notices::Change;
+    /// use sardinewood::direct::notices::upstream_notices::NoticeChange;
     ///
-    /// assert!(Change::Leaves.concerns_all() && !Change::Rests(3_000).concerns_all());
+    /// assert!(NoticeChange::Leaving.is_shared() && !NoticeChange::BackingOff(3_000).is_shared());
     /// ```
     #[must_use]
-    pub fn concerns_all(&self) -> bool {
-        matches!(self, Self::Limited(_) | Self::Unlimited | Self::Leaves)
+    pub fn is_shared(&self) -> bool {
+        matches!(self, Self::Limited(_) | Self::Unlimited | Self::Leaving)
     }
 }
 
@@ -68,17 +68,17 @@
 /// Entries merge what they have heard in any order: the latest answer holds.
 ///
 /// ```
-/// use sardinewood::direct::notices::upstream_notices::{Change, UpstreamNotices};
+/// use sardinewood::direct::notices::upstream_notices::{NoticeChange, UpstreamNotices};
 /// use sardinewood::direct::notices::notice::{UpstreamNotice, NoticeField};
 ///
 /// let (mut one, mut other) = (UpstreamNotices::default(), UpstreamNotices::default());
 /// let limited = UpstreamNotice { limit_per_1000_s: NoticeField::Value(1_400), ..UpstreamNotice::default() };
-/// assert_eq!(one.said("i-1", &limited, 10), [Change::Limited(1_400)]);
+/// assert_eq!(one.said("i-1", &limited, 10), [NoticeChange::Limited(1_400)]);
 /// assert_eq!(one.said("i-1", &limited, 20), []);
 ///
 /// assert_eq!(other.hear(&one.told("i-1", 30), 30).len(), 1);
 /// assert_eq!(other.limited(), 1);
-/// assert_eq!(other.said("i-1", &UpstreamNotice::default(), 40), [Change::Unlimited]);
+/// assert_eq!(other.said("i-1", &UpstreamNotice::default(), 40), [NoticeChange::Unlimited]);
 /// assert_eq!(one.hear(&other.told("i-1", 50), 50).len(), 1);
 /// assert_eq!(one.limited(), 0);
 /// ```
@@ -104,11 +104,11 @@
     /// Takes the longest rest that an upstream is given, whatever it asks for.
     ///
     /// ```
-    /// # use sardinewood::direct::notices::{upstream_notices::{Change, UpstreamNotices}, notice::{UpstreamNotice, NoticeField}};
+    /// # use sardinewood::direct::notices::{upstream_notices::{NoticeChange, UpstreamNotices}, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = UpstreamNotices::default();
     /// notices.set_longest_rest_ms(5_000);
     /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
-    /// assert_eq!(notices.said("i-1", &rest, 0), [Change::Rests(5_000)]);
+    /// assert_eq!(notices.said("i-1", &rest, 0), [NoticeChange::BackingOff(5_000)]);
     /// ```
     pub fn set_longest_rest_ms(&mut self, longest_rest_ms: u64) {
         self.longest_rest_ms = longest_rest_ms;
@@ -129,7 +129,12 @@
     }
 
     /// Takes what an answer says; see [`UpstreamNotices`].
-    pub fn said(&mut self, instance: &str, notice: &UpstreamNotice, now_ms: u64) -> Vec<Change> {
+    pub fn said(
+        &mut self,
+        instance: &str,
+        notice: &UpstreamNotice,
+        now_ms: u64,
+    ) -> Vec<NoticeChange> {
         let name = upstream_hash(instance);
         // Nearly all answers say nothing, of upstreams that never said anything.
         if *notice == UpstreamNotice::default() && !self.by_upstream.contains_key(&name) {
@@ -141,8 +146,10 @@
         };
         let limit = match record.limit_said(&notice.limit_per_1000_s, signed(now_ms)) {
             LimitNews::Same => None,
-            LimitNews::Changed(limit) => Some(limit.map_or(Change::Unlimited, Change::Limited)),
-            LimitNews::Unreadable(text) => Some(Change::UnreadableLimit(text)),
+            LimitNews::Changed(limit) => {
+                Some(limit.map_or(NoticeChange::Unlimited, NoticeChange::Limited))
+            }
+            LimitNews::Unreadable(text) => Some(NoticeChange::InvalidLimit(text)),
         };
         let rest = match &notice.backoff_ms {
             NoticeField::Absent => None,
@@ -150,11 +157,12 @@
                 let backoff_ms = u64::from(*backoff_ms).min(longest_rest_ms);
                 record
                     .rest(backoff_ms, now_ms)
-                    .then_some(Change::Rests(backoff_ms))
+                    .then_some(NoticeChange::BackingOff(backoff_ms))
             }
-            NoticeField::Invalid(text) => Some(Change::UnreadableRest(Arc::clone(text))),
+            NoticeField::Invalid(text) => Some(NoticeChange::InvalidBackoff(Arc::clone(text))),
         };
-        let leaves = (notice.is_leaving && record.leave(signed(now_ms))).then_some(Change::Leaves);
+        let leaves =
+            (notice.is_leaving && record.leave(signed(now_ms))).then_some(NoticeChange::Leaving);
         limit.into_iter().chain(rest).chain(leaves).collect()
     }
 
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -14,7 +14,7 @@
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::notices::notice::UpstreamNotice;
-use crate::direct::notices::upstream_notices::Change;
+use crate::direct::notices::upstream_notices::NoticeChange;
 use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::request::call::Call;
@@ -53,7 +53,7 @@
         let changes = notices.said(instance, &answer.notice, now_ms);
         let is_repeat_due = notices.take_due_repeat(instance, now_ms);
         drop(notices);
-        if changes.iter().any(Change::concerns_all) {
+        if changes.iter().any(NoticeChange::is_shared) {
             self.tell_some_notices(self.notices_of(instance), usize::MAX);
             self.update_eligible_upstreams();
             self.grant_slots();
@@ -189,14 +189,14 @@
         self.notices.borrow().told(instance, self.now_ms())
     }
 
-    fn log_notice(&self, call: &Call, upstream: &Upstream, change: &Change) {
+    fn log_notice(&self, call: &Call, upstream: &Upstream, change: &NoticeChange) {
         let message = match change {
-            Change::Limited(_) => "upstream limits its requests",
-            Change::Unlimited => "upstream no longer limits its requests",
-            Change::UnreadableLimit(_) => "upstream's limit can't be read",
-            Change::Leaves => "upstream says that it leaves",
-            Change::Rests(_) => "upstream asks for rest",
-            Change::UnreadableRest(_) => "upstream's time of rest can't be read",
+            NoticeChange::Limited(_) => "upstream limits its requests",
+            NoticeChange::Unlimited => "upstream no longer limits its requests",
+            NoticeChange::InvalidLimit(_) => "upstream's limit can't be read",
+            NoticeChange::Leaving => "upstream says that it leaves",
+            NoticeChange::BackingOff(_) => "upstream asks for rest",
+            NoticeChange::InvalidBackoff(_) => "upstream's time of rest can't be read",
         };
         let notices = &self.figures.notices;
         notices.with_label_values(&[message]).inc();
@@ -206,12 +206,12 @@
                 .field("service", &upstream.service)
                 .field("request", call.name());
             match change {
-                Change::Limited(limit) => {
+                NoticeChange::Limited(limit) => {
                     line.field("requests_per_s", numbers::as_f64((*limit).into()) / LIMIT_S)
                 }
-                Change::Unlimited | Change::Leaves => line,
-                Change::Rests(backoff_ms) => line.field("rest_ms", backoff_ms),
-                Change::UnreadableLimit(text) | Change::UnreadableRest(text) => {
+                NoticeChange::Unlimited | NoticeChange::Leaving => line,
+                NoticeChange::BackingOff(backoff_ms) => line.field("rest_ms", backoff_ms),
+                NoticeChange::InvalidLimit(text) | NoticeChange::InvalidBackoff(text) => {
                     line.field("text", text)
                 }
             }
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -6,7 +6,7 @@
 use sardinewood::direct::membership::peer_message::PeerMessage;
 use sardinewood::direct::notices::notice::NoticeField;
 use sardinewood::direct::notices::notice::UpstreamNotice;
-use sardinewood::direct::notices::upstream_notices::Change;
+use sardinewood::direct::notices::upstream_notices::NoticeChange;
 use sardinewood::direct::notices::upstream_notices::UpstreamNotices;
 use sardinewood::direct::notices::upstream_state::LimitUpdate;
 use sardinewood::direct::notices::upstream_state::NoticeUpdate;
@@ -33,7 +33,7 @@
     notices.said("i-1", &limited(1_400), 0);
     assert_eq!(
         notices.said("i-1", &limited(700), 1_000),
-        [Change::Limited(700)]
+        [NoticeChange::Limited(700)]
     );
     assert_eq!(notices.limits()[&upstream_hash("i-1")], 700);
 }
@@ -57,7 +57,7 @@
         limit_per_1000_s: NoticeField::Invalid("NaN".into()),
         ..UpstreamNotice::default()
     };
-    let change = Change::UnreadableLimit("NaN".into());
+    let change = NoticeChange::InvalidLimit("NaN".into());
     assert_eq!(notices.said("i-1", &unreadable, 10), [change]);
     for now_ms in 11..100 {
         assert_eq!(notices.said("i-1", &unreadable, now_ms), []);
@@ -188,7 +188,7 @@
 fn said_leaving_once() {
     // Guards against a log line, and a datagram to every entry, with each answer of one that leaves.
     let mut notices = UpstreamNotices::default();
-    assert_eq!(notices.said("i-1", &leaving(), 0), [Change::Leaves]);
+    assert_eq!(notices.said("i-1", &leaving(), 0), [NoticeChange::Leaving]);
     assert_eq!(notices.said("i-1", &leaving(), 10), []);
 }
 
@@ -227,12 +227,15 @@
     // Guards against a later, shorter rest that ends the one before.
     let mut notices = UpstreamNotices::default();
     let name = upstream_hash("i-1");
-    assert_eq!(notices.said("i-1", &rest(3_000), 0), [Change::Rests(3_000)]);
+    assert_eq!(
+        notices.said("i-1", &rest(3_000), 0),
+        [NoticeChange::BackingOff(3_000)]
+    );
     assert_eq!(notices.said("i-1", &rest(500), 1_000), []);
     assert_eq!(notices.rests(1_000)[&name], 3_000);
     assert_eq!(
         notices.said("i-1", &rest(3_000), 2_000),
-        [Change::Rests(3_000)]
+        [NoticeChange::BackingOff(3_000)]
     );
     assert_eq!(notices.rests(4_999)[&name], 5_000);
     assert!(notices.rests(5_000).is_empty());
