--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -86,11 +86,11 @@
         }
         let instance = Arc::clone(&self.upstreams[engine].instance);
         let notices = &mut self.entries[entry].notices;
-        let changes = notices.said(&instance, &notice, self.now_ms);
+        let changes = notices.record(&instance, &notice, self.now_ms);
         if changes.is_empty() {
             return;
         }
-        let told = notices.told(&instance, self.now_ms);
+        let told = notices.updates_for_instance(&instance, self.now_ms);
         self.place_notices(entry);
         let peers: Vec<_> = self.entries[entry].peers.heartbeat_targets().collect();
         for peer in peers.into_iter().filter(|_| !told.is_empty()) {
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn hear_notices(&mut self, entry: usize, told: &[NoticeUpdate]) {
-        let changed = self.entries[entry].notices.hear(told, self.now_ms);
+        let changed = self.entries[entry].notices.merge(told, self.now_ms);
         if !changed.is_empty() {
             self.place_notices(entry);
         }
@@ -114,7 +114,9 @@
         let limited: IndexSet<u32> = limits.keys().copied().collect();
         state.dispatcher.set_upstreams(&there);
         state.dispatcher.set_limited(&limited);
-        state.dispatcher.set_backoffs(&state.notices.rests(now_ms));
+        state
+            .dispatcher
+            .set_backoffs(&state.notices.backoffs(now_ms));
         let slots = there.iter().map(|up| (Arc::clone(&up.instance), up.slots));
         state.admission.set_upstreams(slots);
         state.admission.set_limits(limits, now_ms);
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -73,14 +73,14 @@
 ///
 /// let (mut one, mut other) = (UpstreamNotices::default(), UpstreamNotices::default());
 /// let limited = UpstreamNotice { limit_per_1000_s: NoticeField::Value(1_400), ..UpstreamNotice::default() };
-/// assert_eq!(one.said("i-1", &limited, 10), [NoticeChange::Limited(1_400)]);
-/// assert_eq!(one.said("i-1", &limited, 20), []);
+/// assert_eq!(one.record("i-1", &limited, 10), [NoticeChange::Limited(1_400)]);
+/// assert_eq!(one.record("i-1", &limited, 20), []);
 ///
-/// assert_eq!(other.hear(&one.told("i-1", 30), 30).len(), 1);
-/// assert_eq!(other.limited(), 1);
-/// assert_eq!(other.said("i-1", &UpstreamNotice::default(), 40), [NoticeChange::Unlimited]);
-/// assert_eq!(one.hear(&other.told("i-1", 50), 50).len(), 1);
-/// assert_eq!(one.limited(), 0);
+/// assert_eq!(other.merge(&one.updates_for_instance("i-1", 30), 30).len(), 1);
+/// assert_eq!(other.limited_count(), 1);
+/// assert_eq!(other.record("i-1", &UpstreamNotice::default(), 40), [NoticeChange::Unlimited]);
+/// assert_eq!(one.merge(&other.updates_for_instance("i-1", 50), 50).len(), 1);
+/// assert_eq!(one.limited_count(), 0);
 /// ```
 #[derive(Clone, Debug)]
 pub struct UpstreamNotices {
@@ -108,7 +108,7 @@
     /// let mut notices = UpstreamNotices::default();
     /// notices.set_longest_rest_ms(5_000);
     /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
-    /// assert_eq!(notices.said("i-1", &rest, 0), [NoticeChange::BackingOff(5_000)]);
+    /// assert_eq!(notices.record("i-1", &rest, 0), [NoticeChange::BackingOff(5_000)]);
     /// ```
     pub fn set_longest_rest_ms(&mut self, longest_rest_ms: u64) {
         self.longest_rest_ms = longest_rest_ms;
@@ -117,10 +117,10 @@
     /// Until when upstreams want nothing from this entry, by short name.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().rests(0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().backoffs(0).is_empty());
     /// ```
     #[must_use]
-    pub fn rests(&self, now_ms: u64) -> IndexMap<u32, u64> {
+    pub fn backoffs(&self, now_ms: u64) -> IndexMap<u32, u64> {
         self.by_upstream
             .iter()
             .map(|(name, record)| (*name, record.rests_until_ms))
@@ -129,7 +129,7 @@
     }
 
     /// Takes what an answer says; see [`UpstreamNotices`].
-    pub fn said(
+    pub fn record(
         &mut self,
         instance: &str,
         notice: &UpstreamNotice,
@@ -141,7 +141,7 @@
             return Vec::new();
         }
         let longest_rest_ms = self.longest_rest_ms;
-        let Some(record) = self.record(name, MAX_UPSTREAMS) else {
+        let Some(record) = self.get_or_insert(name, MAX_UPSTREAMS) else {
             return Vec::new();
         };
         let limit = match record.limit_said(&notice.limit_per_1000_s, signed(now_ms)) {
@@ -168,10 +168,10 @@
 
     /// Takes what a peer tells; the short names of the upstreams of which it was news. See
     /// [`UpstreamNotices`].
-    pub fn hear(&mut self, told: &[NoticeUpdate], now_ms: u64) -> Vec<u32> {
+    pub fn merge(&mut self, told: &[NoticeUpdate], now_ms: u64) -> Vec<u32> {
         let mut changed = Vec::new();
         for told in told {
-            let Some(record) = self.record(told.upstream, MAX_HEARD) else {
+            let Some(record) = self.get_or_insert(told.upstream, MAX_HEARD) else {
                 continue;
             };
             let is_other_limit = told
@@ -188,10 +188,10 @@
     /// What peers are told of upstreams, by their short names.
     ///
     /// ```
-    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().told_of(&[7], 0).is_empty());
+    /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().updates_for(&[7], 0).is_empty());
     /// ```
     #[must_use]
-    pub fn told_of(&self, upstreams: &[u32], now_ms: u64) -> Vec<NoticeUpdate> {
+    pub fn updates_for(&self, upstreams: &[u32], now_ms: u64) -> Vec<NoticeUpdate> {
         let known = upstreams
             .iter()
             .filter_map(|name| Some((name, self.by_upstream.get(name)?)));
@@ -205,9 +205,9 @@
     /// counts as done.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().take_due_repeat("i-1", 0));
+    /// assert!(!sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().take_due_resend("i-1", 0));
     /// ```
-    pub fn take_due_repeat(&mut self, instance: &str, now_ms: u64) -> bool {
+    pub fn take_due_resend(&mut self, instance: &str, now_ms: u64) -> bool {
         let Some(record) = self.by_upstream.get_mut(&upstream_hash(instance)) else {
             return false;
         };
@@ -220,8 +220,8 @@
 
     /// What peers are told of an upstream; see [`UpstreamNotices`].
     #[must_use]
-    pub fn told(&self, instance: &str, now_ms: u64) -> Vec<NoticeUpdate> {
-        self.told_of(&[upstream_hash(instance)], now_ms)
+    pub fn updates_for_instance(&self, instance: &str, now_ms: u64) -> Vec<NoticeUpdate> {
+        self.updates_for(&[upstream_hash(instance)], now_ms)
     }
 
     /// What is told in the next repetition: as much as fits into a message, others each time.
@@ -260,8 +260,8 @@
     /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::UpstreamNotice};
     /// let mut notices = UpstreamNotices::default();
     /// let leaving = UpstreamNotice { is_leaving: true, ..UpstreamNotice::default() };
-    /// notices.said("i-1@5", &leaving, 0);
-    /// notices.said("i-1@5", &UpstreamNotice::default(), 10);
+    /// notices.record("i-1@5", &leaving, 0);
+    /// notices.record("i-1@5", &UpstreamNotice::default(), 10);
     /// assert!(notices.is_leaving("i-1@5") && !notices.is_leaving("i-1@6"));
     /// ```
     #[must_use]
@@ -276,7 +276,7 @@
     /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = UpstreamNotices::default();
     /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(3_000), ..UpstreamNotice::default() };
-    /// notices.said("i-1", &rest, 0);
+    /// notices.record("i-1", &rest, 0);
     /// let (_, shown) = notices.shown(1_000).next().unwrap();
     /// assert_eq!(shown.rests_for_ms, 2_000);
     /// assert_eq!(notices.shown(3_000).count(), 0);
@@ -290,20 +290,20 @@
     /// How many upstreams limit their requests.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().limited(), 0);
+    /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().limited_count(), 0);
     /// ```
     #[must_use]
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.limits().len()
     }
 
     /// How many upstreams have said that they will end.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().leaving(), 0);
+    /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().leaving_count(), 0);
     /// ```
     #[must_use]
-    pub fn leaving(&self) -> usize {
+    pub fn leaving_count(&self) -> usize {
         let records = self.by_upstream.values();
         records.filter(|record| record.is_leaving).count()
     }
@@ -339,7 +339,7 @@
         });
     }
 
-    fn record(&mut self, name: u32, most: usize) -> Option<&mut Record> {
+    fn get_or_insert(&mut self, name: u32, most: usize) -> Option<&mut Record> {
         let has_room = self.by_upstream.len() < most;
         if !has_room && !self.by_upstream.contains_key(&name) {
             return None;
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -50,8 +50,8 @@
         let now_ms = self.now_ms();
         let instance = &upstream.instance;
         let mut notices = self.notices.borrow_mut();
-        let changes = notices.said(instance, &answer.notice, now_ms);
-        let is_repeat_due = notices.take_due_repeat(instance, now_ms);
+        let changes = notices.record(instance, &answer.notice, now_ms);
+        let is_repeat_due = notices.take_due_resend(instance, now_ms);
         drop(notices);
         if changes.iter().any(NoticeChange::is_shared) {
             self.tell_some_notices(self.notices_of(instance), usize::MAX);
@@ -71,8 +71,8 @@
     pub fn hear_notices(self: &Rc<Self>, from: SocketAddr, told: &[NoticeUpdate]) {
         let now_ms = self.now_ms();
         let mut notices = self.notices.borrow_mut();
-        let changed = notices.hear(told, now_ms);
-        let news = notices.told_of(&changed, now_ms);
+        let changed = notices.merge(told, now_ms);
+        let news = notices.updates_for(&changed, now_ms);
         drop(notices);
         if news.is_empty() {
             return;
@@ -119,7 +119,7 @@
         let limited: IndexSet<u32> = limits.keys().copied().collect();
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.set_limited(&limited);
-        dispatcher.set_backoffs(&notices.rests(self.now_ms()));
+        dispatcher.set_backoffs(&notices.backoffs(self.now_ms()));
         drop(dispatcher);
         let mut admission = self.admission.borrow_mut();
         admission.set_limits(limits, self.now_ms());
@@ -186,7 +186,9 @@
 
     /// What peers are told of an upstream.
     fn notices_of(&self, instance: &str) -> Vec<NoticeUpdate> {
-        self.notices.borrow().told(instance, self.now_ms())
+        self.notices
+            .borrow()
+            .updates_for_instance(instance, self.now_ms())
     }
 
     fn log_notice(&self, call: &Call, upstream: &Upstream, change: &NoticeChange) {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -459,9 +459,13 @@
             .upstreams
             .set(signed(self.dispatcher.borrow().listed_count()));
         let notices = self.notices.borrow();
-        figures.limited_upstreams.set(signed(notices.limited()));
-        figures.leaving_upstreams.set(signed(notices.leaving()));
-        let at_rest = notices.rests(self.now_ms()).len();
+        figures
+            .limited_upstreams
+            .set(signed(notices.limited_count()));
+        figures
+            .leaving_upstreams
+            .set(signed(notices.leaving_count()));
+        let at_rest = notices.backoffs(self.now_ms()).len();
         figures.upstreams_at_rest.set(signed(at_rest));
         let suspects = self.suspects.borrow().counts(self.now_ms());
         figures.suspects.set(signed(suspects.tracked));
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -30,9 +30,9 @@
 #[test]
 fn said_another_limit() {
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &limited(1_400), 0);
+    notices.record("i-1", &limited(1_400), 0);
     assert_eq!(
-        notices.said("i-1", &limited(700), 1_000),
+        notices.record("i-1", &limited(700), 1_000),
         [NoticeChange::Limited(700)]
     );
     assert_eq!(notices.limits()[&upstream_hash("i-1")], 700);
@@ -42,8 +42,8 @@
 fn said_by_another_incarnation() {
     // Guards against a limit that outlives the process that named it.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1@5", &limited(1_400), 0);
-    assert_eq!(notices.said("i-1@6", &UpstreamNotice::default(), 10), []);
+    notices.record("i-1@5", &limited(1_400), 0);
+    assert_eq!(notices.record("i-1@6", &UpstreamNotice::default(), 10), []);
     assert_eq!(notices.limits().len(), 1);
     assert!(!notices.limits().contains_key(&upstream_hash("i-1@6")));
 }
@@ -52,28 +52,28 @@
 fn said_unreadable_keeps_what_held_and_is_told_once() {
     // Guards against a limit that is lifted, or a log that is flooded, by a header that is no number.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &limited(1_400), 0);
+    notices.record("i-1", &limited(1_400), 0);
     let unreadable = UpstreamNotice {
         limit_per_1000_s: NoticeField::Invalid("NaN".into()),
         ..UpstreamNotice::default()
     };
     let change = NoticeChange::InvalidLimit("NaN".into());
-    assert_eq!(notices.said("i-1", &unreadable, 10), [change]);
+    assert_eq!(notices.record("i-1", &unreadable, 10), [change]);
     for now_ms in 11..100 {
-        assert_eq!(notices.said("i-1", &unreadable, now_ms), []);
+        assert_eq!(notices.record("i-1", &unreadable, now_ms), []);
     }
-    assert_eq!(notices.limited(), 1);
+    assert_eq!(notices.limited_count(), 1);
 }
 
 #[test]
 fn hear_older_answer_changes_nothing() {
     // Guards against an entry that was cut off and brings back a limit that has ended.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &limited(1_400), 1_000);
-    notices.said("i-1", &UpstreamNotice::default(), 5_000);
+    notices.record("i-1", &limited(1_400), 1_000);
+    notices.record("i-1", &UpstreamNotice::default(), 5_000);
     let old = told(upstream_hash("i-1"), Some(1_400), 3_000);
-    assert!(notices.hear(&[old], 6_000).is_empty());
-    assert_eq!(notices.limited(), 0);
+    assert!(notices.merge(&[old], 6_000).is_empty());
+    assert_eq!(notices.limited_count(), 0);
 }
 
 #[test]
@@ -90,7 +90,7 @@
         all.shuffle(&mut random);
         let mut notices = UpstreamNotices::default();
         for one in all {
-            notices.hear(&[one], 50);
+            notices.merge(&[one], 50);
         }
         assert_eq!(notices.limits()[&name], 900, "seed {seed}");
     }
@@ -99,7 +99,7 @@
 #[test]
 fn hear_before_the_process_began() {
     let mut notices = UpstreamNotices::default();
-    let heard = notices.hear(&[told(7, Some(1_400), 60_000)], 20);
+    let heard = notices.merge(&[told(7, Some(1_400), 60_000)], 20);
     assert_eq!(heard, [7]);
 }
 
@@ -108,7 +108,7 @@
     // Guards against an overflow that ends the traffic thread.
     let mut notices = UpstreamNotices::default();
     for ago_ms in [i64::MIN, i64::MAX, -1, 0] {
-        notices.hear(&[told(7, Some(u32::MAX), ago_ms)], 20);
+        notices.merge(&[told(7, Some(u32::MAX), ago_ms)], 20);
     }
     assert_eq!(notices.next_updates(30).len(), 1);
 }
@@ -118,23 +118,23 @@
     // Guards against a peer, or a fleet that is replaced again and again, that fills the memory.
     let mut notices = UpstreamNotices::default();
     for upstream in 0..100_000 {
-        notices.hear(&[told(upstream, Some(1_400), 0)], 10);
+        notices.merge(&[told(upstream, Some(1_400), 0)], 10);
     }
-    assert!(notices.limited() <= 4_096);
-    notices.said("i-1", &limited(700), 20);
+    assert!(notices.limited_count() <= 4_096);
+    notices.record("i-1", &limited(700), 20);
     assert_eq!(notices.limits()[&upstream_hash("i-1")], 700, "its own word");
     notices.expire(&[7].into_iter().collect(), 70_000);
-    assert_eq!(notices.limited(), 1);
+    assert_eq!(notices.limited_count(), 1);
 }
 
 #[test]
 fn sweep_keeps_the_limit_of_a_listed_upstream() {
     // Guards against a limit that is forgotten since no answer came for some time.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &limited(400), 0);
+    notices.record("i-1", &limited(400), 0);
     let listed = [upstream_hash("i-1")].into_iter().collect();
     notices.expire(&listed, 3_600_000);
-    assert_eq!(notices.limited(), 1);
+    assert_eq!(notices.limited_count(), 1);
 }
 
 #[test]
@@ -143,13 +143,13 @@
     let mut notices = UpstreamNotices::default();
     for upstream in 0..200 {
         let one = told(u32::MAX - upstream, Some(u32::MAX), i64::MAX);
-        notices.hear(&[one], u64::MAX);
+        notices.merge(&[one], u64::MAX);
     }
     let told = notices.next_updates(u64::MAX);
     assert!(told.len() >= 50);
     assert!(PeerMessage::UpstreamNotices(told).encode().is_some());
     let changed: Vec<u32> = (0..200).map(|number| u32::MAX - number).collect();
-    let passed_on = notices.told_of(&changed, u64::MAX);
+    let passed_on = notices.updates_for(&changed, u64::MAX);
     assert!(PeerMessage::UpstreamNotices(passed_on).encode().is_some());
 }
 
@@ -157,7 +157,7 @@
 fn next_told_takes_turns() {
     let mut notices = UpstreamNotices::default();
     for upstream in 0..100 {
-        notices.hear(&[told(upstream, Some(1_400), 0)], 10);
+        notices.merge(&[told(upstream, Some(1_400), 0)], 10);
     }
     let mut names: Vec<u32> = (0..2)
         .flat_map(|_| notices.next_updates(20))
@@ -172,8 +172,8 @@
 fn repeat_due_once_a_second() {
     // Guards against an entry that tells the keeper of a door with every answer.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &limited(1_400), 5_000);
-    let due = (5_000..9_000).filter(|now_ms| notices.take_due_repeat("i-1", *now_ms));
+    notices.record("i-1", &limited(1_400), 5_000);
+    let due = (5_000..9_000).filter(|now_ms| notices.take_due_resend("i-1", *now_ms));
     assert_eq!(due.count(), 4);
 }
 
@@ -188,19 +188,25 @@
 fn said_leaving_once() {
     // Guards against a log line, and a datagram to every entry, with each answer of one that leaves.
     let mut notices = UpstreamNotices::default();
-    assert_eq!(notices.said("i-1", &leaving(), 0), [NoticeChange::Leaving]);
-    assert_eq!(notices.said("i-1", &leaving(), 10), []);
+    assert_eq!(
+        notices.record("i-1", &leaving(), 0),
+        [NoticeChange::Leaving]
+    );
+    assert_eq!(notices.record("i-1", &leaving(), 10), []);
 }
 
 #[test]
 fn hear_leaving_in_any_order() {
     // Guards against a word of the limit that takes the leaving back.
     let (mut one, mut other) = (UpstreamNotices::default(), UpstreamNotices::default());
-    one.said("i-1", &limited(700), 0);
-    other.said("i-1", &leaving(), 5);
-    assert_eq!(one.hear(&other.told("i-1", 10), 10).len(), 1);
-    other.hear(&one.told("i-1", 20), 20);
-    one.hear(&[told(upstream_hash("i-1"), None, 0)], 30);
+    one.record("i-1", &limited(700), 0);
+    other.record("i-1", &leaving(), 5);
+    assert_eq!(
+        one.merge(&other.updates_for_instance("i-1", 10), 10).len(),
+        1
+    );
+    other.merge(&one.updates_for_instance("i-1", 20), 20);
+    one.merge(&[told(upstream_hash("i-1"), None, 0)], 30);
     assert!(one.is_leaving("i-1") && other.is_leaving("i-1"));
 }
 
@@ -208,7 +214,7 @@
 fn sweep_remembers_one_that_leaves_while_it_is_listed() {
     // Guards against an upstream that is used again since nobody has asked it for some time.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &leaving(), 0);
+    notices.record("i-1", &leaving(), 0);
     notices.expire(&[upstream_hash("i-1")].into_iter().collect(), 3_600_000);
     assert!(notices.is_leaving("i-1"));
     notices.expire(&[7].into_iter().collect(), 3_600_000);
@@ -228,34 +234,34 @@
     let mut notices = UpstreamNotices::default();
     let name = upstream_hash("i-1");
     assert_eq!(
-        notices.said("i-1", &rest(3_000), 0),
+        notices.record("i-1", &rest(3_000), 0),
         [NoticeChange::BackingOff(3_000)]
     );
-    assert_eq!(notices.said("i-1", &rest(500), 1_000), []);
-    assert_eq!(notices.rests(1_000)[&name], 3_000);
+    assert_eq!(notices.record("i-1", &rest(500), 1_000), []);
+    assert_eq!(notices.backoffs(1_000)[&name], 3_000);
     assert_eq!(
-        notices.said("i-1", &rest(3_000), 2_000),
+        notices.record("i-1", &rest(3_000), 2_000),
         [NoticeChange::BackingOff(3_000)]
     );
-    assert_eq!(notices.rests(4_999)[&name], 5_000);
-    assert!(notices.rests(5_000).is_empty());
+    assert_eq!(notices.backoffs(4_999)[&name], 5_000);
+    assert!(notices.backoffs(5_000).is_empty());
 }
 
 #[test]
 fn said_rest_without_end_bounded() {
     // Guards against an upstream that is lost for the life of an entry by one header.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &rest(u32::MAX), 0);
-    assert!(notices.rests(600_000).is_empty());
-    assert_eq!(notices.rests(599_999).len(), 1);
+    notices.record("i-1", &rest(u32::MAX), 0);
+    assert!(notices.backoffs(600_000).is_empty());
+    assert_eq!(notices.backoffs(599_999).len(), 1);
 }
 
 #[test]
 fn rest_not_told_to_other_entries() {
     // They were not asked, and what one entry may not use is room for the others.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &rest(3_000), 0);
-    assert!(notices.told("i-1", 10).is_empty());
+    notices.record("i-1", &rest(3_000), 0);
+    assert!(notices.updates_for_instance("i-1", 10).is_empty());
     assert!(notices.next_updates(10).is_empty());
 }
 
@@ -263,7 +269,7 @@
 fn sweep_keeps_a_rest_of_an_unlisted_upstream() {
     // Guards against a rest that ends since the store has lost the upstream's entry for a moment.
     let mut notices = UpstreamNotices::default();
-    notices.said("i-1", &rest(300_000), 0);
+    notices.record("i-1", &rest(300_000), 0);
     notices.expire(&[7].into_iter().collect(), 200_000);
-    assert_eq!(notices.rests(200_000).len(), 1);
+    assert_eq!(notices.backoffs(200_000).len(), 1);
 }
