--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -22,7 +22,7 @@
 /// Upstreams in one message: each takes 23 bytes at most.
 const MAX_TOLD: usize = 50;
 /// The longest rest that an upstream is given if no setting says otherwise.
-pub const LONGEST_REST_MS: u64 = 600_000;
+pub const DEFAULT_MAX_BACKOFF_MS: u64 = 600_000;
 /// Time between two repetitions of what answers say to the keeper of an upstream's door.
 const REPEAT_MS: MomentMs = 1_000;
 /// How long it is remembered of an upstream that is not listed, which may be one that this entry
@@ -94,7 +94,7 @@
     fn default() -> Self {
         Self {
             by_upstream: IndexMap::new(),
-            longest_rest_ms: LONGEST_REST_MS,
+            longest_rest_ms: DEFAULT_MAX_BACKOFF_MS,
             next: 0,
         }
     }
@@ -106,11 +106,11 @@
     /// ```
     /// # use sardinewood::direct::notices::{upstream_notices::{NoticeChange, UpstreamNotices}, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = UpstreamNotices::default();
-    /// notices.set_longest_rest_ms(5_000);
+    /// notices.set_max_backoff_ms(5_000);
     /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
     /// assert_eq!(notices.record("i-1", &rest, 0), [NoticeChange::BackingOff(5_000)]);
     /// ```
-    pub fn set_longest_rest_ms(&mut self, longest_rest_ms: u64) {
+    pub fn set_max_backoff_ms(&mut self, longest_rest_ms: u64) {
         self.longest_rest_ms = longest_rest_ms;
     }
 
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -30,10 +30,10 @@
 
 impl Traffic {
     /// Takes the longest rest that an upstream is given, whatever it asks for.
-    pub fn set_longest_rest(&self, longest: Duration) {
+    pub fn set_max_backoff(&self, longest: Duration) {
         let longest_ms = u64::try_from(longest.as_millis()).unwrap_or(u64::MAX);
         let mut notices = self.notices.borrow_mut();
-        notices.set_longest_rest_ms(longest_ms);
+        notices.set_max_backoff_ms(longest_ms);
     }
 
     /// Takes what an answer says of the upstream that gave it.
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -98,7 +98,7 @@
     /// Time between the signal to stop and the end by force.
     pub stop_within: Duration,
     /// The longest rest that an upstream is given, whatever it asks for.
-    pub longest_rest: Duration,
+    pub max_backoff: Duration,
 }
 
 /// What reading the settings again brought.
@@ -247,7 +247,7 @@
         .quotas
         .borrow_mut()
         .set_tolerance(settings.tolerance);
-    traffic.set_longest_rest(settings.longest_rest);
+    traffic.set_max_backoff(settings.max_backoff);
     let callers = listen(settings.callers, "callers").await?;
     let readiness = listen(settings.readiness, "readiness").await?;
     let figures = listen(settings.figures, "figures").await?;
@@ -311,7 +311,7 @@
 fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &Traffic) {
     traffic.retry_budget.borrow_mut().set_limits(new.attempts);
     traffic.quotas.borrow_mut().set_tolerance(new.tolerance);
-    traffic.set_longest_rest(new.longest_rest);
+    traffic.set_max_backoff(new.max_backoff);
     traffic.peers.borrow_mut().add_seeds(&new.seeds);
     let moved =
         old.callers != new.callers || old.readiness != new.readiness || old.peers != new.peers;
