--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -189,7 +189,7 @@
             PeerMessage::ChargeRequest(_)
             | PeerMessage::ChargeReply { .. }
             | PeerMessage::Rollout(_) => {}
-            PeerMessage::UpstreamNotices(told) => self.hear_notices(entry, &told),
+            PeerMessage::UpstreamNotices(told) => self.merge_notice_updates(entry, &told),
             PeerMessage::SuspectRequests(told) => self.merge_suspect_updates(entry, &told),
         }
     }
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -91,21 +91,21 @@
             return;
         }
         let told = notices.updates_for_instance(&instance, self.now_ms);
-        self.place_notices(entry);
+        self.apply_notices(entry);
         let peers: Vec<_> = self.entries[entry].peers.heartbeat_targets().collect();
         for peer in peers.into_iter().filter(|_| !told.is_empty()) {
             self.tell(entry, peer, PeerMessage::UpstreamNotices(told.clone()));
         }
     }
 
-    pub(super) fn hear_notices(&mut self, entry: usize, told: &[NoticeUpdate]) {
+    pub(super) fn merge_notice_updates(&mut self, entry: usize, told: &[NoticeUpdate]) {
         let changed = self.entries[entry].notices.merge(told, self.now_ms);
         if !changed.is_empty() {
-            self.place_notices(entry);
+            self.apply_notices(entry);
         }
     }
 
-    fn place_notices(&mut self, entry: usize) {
+    fn apply_notices(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         let state = &mut self.entries[entry];
         let is_there = |upstream: &&Arc<Upstream>| !state.notices.is_leaving(&upstream.instance);
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes what an answer says of the upstream that gave it.
-    pub fn upstream_said(
+    pub fn record_notice(
         self: &Rc<Self>,
         call: &Call,
         upstream: &Upstream,
@@ -58,7 +58,7 @@
             self.update_eligible_upstreams();
             self.grant_slots();
         } else if !changes.is_empty() {
-            self.place_notices();
+            self.apply_notices();
         } else if !says_nothing && is_repeat_due {
             self.tell_keeper(instance);
         }
@@ -68,7 +68,7 @@
     }
 
     /// Takes a peer's word of what upstreams have said.
-    pub fn hear_notices(self: &Rc<Self>, from: SocketAddr, told: &[NoticeUpdate]) {
+    pub fn merge_notice_updates(self: &Rc<Self>, from: SocketAddr, told: &[NoticeUpdate]) {
         let now_ms = self.now_ms();
         let mut notices = self.notices.borrow_mut();
         let changed = notices.merge(told, now_ms);
@@ -88,7 +88,7 @@
     }
 
     /// Tells a peer what is known that has started, or was silent.
-    pub fn greet_with_notices(&self, peer: SocketAddr) {
+    pub fn sync_notices_to(&self, peer: SocketAddr) {
         if self.notices.borrow().is_empty() || !self.is_greeter() {
             return;
         }
@@ -100,7 +100,7 @@
 
     /// Forgets what concerns no upstream any more, and tells one peer a part of the rest: it makes
     /// up for lost datagrams and for what an entry missed that was cut off.
-    pub fn sweep_notices(&self) {
+    pub fn maintain_notices(&self) {
         if self.notices.borrow().is_empty() {
             return;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Lets doors and placement go by what upstreams say.
-    pub fn place_notices(&self) {
+    pub fn apply_notices(&self) {
         let notices = self.notices.borrow();
         let limits = notices.limits();
         let limited: IndexSet<u32> = limits.keys().copied().collect();
@@ -127,7 +127,7 @@
 
     /// What operators see of what upstreams say, by the upstreams' names.
     #[must_use]
-    pub fn notices_shown(&self) -> Vec<Value> {
+    pub fn notices_json(&self) -> Vec<Value> {
         let notices = self.notices.borrow();
         let shown = notices.shown(self.now_ms());
         shown
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -129,7 +129,7 @@
             }
             Some(PeerMessage::SuspectRequests(told)) => traffic.merge_suspect_updates(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
-            Some(PeerMessage::UpstreamNotices(told)) => traffic.hear_notices(from, &told),
+            Some(PeerMessage::UpstreamNotices(told)) => traffic.merge_notice_updates(from, &told),
             None => traffic.log(Level::Warn, "datagram is not understood", |line| {
                 line.field("from", from)
             }),
@@ -161,7 +161,7 @@
         if heard.is_new || heard.is_back {
             traffic.sync_suspects_to(from);
             traffic.sync_rollouts_to(from);
-            traffic.greet_with_notices(from);
+            traffic.sync_notices_to(from);
         }
         let mut quotas = traffic.quotas.borrow_mut();
         if heard.is_new {
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -337,7 +337,7 @@
 ) -> Attempt {
     let (parts, body) = response.into_parts();
     let headers = (traffic.dialect.read_answer)(parts.status, &parts.headers);
-    traffic.upstream_said(call, &lease.upstream, &headers);
+    traffic.record_notice(call, &lease.upstream, &headers);
     if headers.is_not_run {
         let (ended, why) = if headers.is_misdirected {
             (AttemptOutcome::Misdirected, MISDIRECTED)
--- a/lib/src/direct/request/notices_page.rs
+++ b/lib/src/direct/request/notices_page.rs
@@ -15,7 +15,7 @@
 /// Answers a call to the page: `GET` lists all.
 pub fn answer(traffic: &Traffic, method: &Method, rest: &str) -> Response<Full<Bytes>> {
     match (method, rest) {
-        (&Method::GET, "" | "/") => shown(&traffic.notices_shown()),
+        (&Method::GET, "" | "/") => shown(&traffic.notices_json()),
         (&Method::GET, _) => said(StatusCode::NOT_FOUND, USAGE),
         _ => said(StatusCode::METHOD_NOT_ALLOWED, USAGE),
     }
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -352,7 +352,7 @@
             self.catalog.borrow().as_deref(),
         ));
         drop(admission);
-        self.place_notices();
+        self.apply_notices();
     }
 
     /// Waits for room for a request's first attempt, at an upstream of the version that is judged
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -354,7 +354,7 @@
     loop {
         sleep(SWEEP_PERIOD).await;
         traffic.maintain_quarantine();
-        traffic.sweep_notices();
+        traffic.maintain_notices();
         let dispatcher = traffic.dispatcher.borrow();
         traffic
             .connections
