--- a/bench/src/direct/fleet.rs
+++ b/bench/src/direct/fleet.rs
@@ -247,7 +247,7 @@
     floor: SizeFairness,
     suspects: SuspectRequests,
     notices: UpstreamNotices,
-    rate_wakes_ms: Option<u64>,
+    rate_wakeup_at_ms: Option<u64>,
 }
 
 struct Run {
@@ -405,7 +405,7 @@
             floor: SizeFairness::default(),
             suspects: SuspectRequests::default(),
             notices: UpstreamNotices::default(),
-            rate_wakes_ms: None,
+            rate_wakeup_at_ms: None,
         }
     }
 
--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -123,7 +123,7 @@
                 ),
             }
         }
-        self.grant_by_rate(entry);
+        self.schedule_rate_limited_grant(entry);
     }
 
     pub(super) fn handle_grant(&mut self, entry: usize, request_id: PeerRequestId, upstream: u32) {
--- a/bench/src/direct/fleet/need.rs
+++ b/bench/src/direct/fleet/need.rs
@@ -124,22 +124,22 @@
     }
 
     /// Looks again when the rate of a limited engine allows a grant.
-    pub(super) fn grant_by_rate(&mut self, entry: usize) {
+    pub(super) fn schedule_rate_limited_grant(&mut self, entry: usize) {
         let state = &mut self.entries[entry];
         let Some(after_ms) = state.admission.next_grant_in_ms(self.now_ms) else {
             return;
         };
         let due_ms = self.now_ms + after_ms.max(1);
-        if state.rate_wakes_ms.is_none_or(|at_ms| at_ms > due_ms) {
-            state.rate_wakes_ms = Some(due_ms);
+        if state.rate_wakeup_at_ms.is_none_or(|at_ms| at_ms > due_ms) {
+            state.rate_wakeup_at_ms = Some(due_ms);
             self.at(due_ms, Event::RateAllows { entry });
         }
     }
 
     pub(super) fn rate_allows(&mut self, entry: usize) {
         let state = &mut self.entries[entry];
-        if state.rate_wakes_ms == Some(self.now_ms) {
-            state.rate_wakes_ms = None;
+        if state.rate_wakeup_at_ms == Some(self.now_ms) {
+            state.rate_wakeup_at_ms = None;
             self.grant(entry);
         }
     }
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -144,25 +144,25 @@
     }
 
     /// Grants again when the rate of a limited upstream allows it.
-    pub fn grant_by_rate(self: &Rc<Self>) {
+    pub fn schedule_rate_limited_grant(self: &Rc<Self>) {
         let now_ms = self.now_ms();
         let Some(after_ms) = self.admission.borrow().next_grant_in_ms(now_ms) else {
             return;
         };
         let due_ms = now_ms + after_ms.max(1);
         if self
-            .rate_wakes_ms
+            .rate_wakeup_at_ms
             .get()
             .is_some_and(|at_ms| at_ms <= due_ms)
         {
             return;
         }
-        self.rate_wakes_ms.set(Some(due_ms));
+        self.rate_wakeup_at_ms.set(Some(due_ms));
         let traffic = Rc::clone(self);
         spawn_local(async move {
             sleep(Duration::from_millis(due_ms - now_ms)).await;
-            if traffic.rate_wakes_ms.get() == Some(due_ms) {
-                traffic.rate_wakes_ms.set(None);
+            if traffic.rate_wakeup_at_ms.get() == Some(due_ms) {
+                traffic.rate_wakeup_at_ms.set(None);
                 traffic.grant_slots();
             }
         });
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -253,7 +253,7 @@
         loop {
             let grant = self.admission.borrow_mut().next_grant(self.now_ms());
             let Some(grant) = grant else {
-                self.grant_by_rate();
+                self.schedule_rate_limited_grant();
                 return;
             };
             match grant.to {
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -116,7 +116,7 @@
     /// Told when an order has come further than this entry has acted on.
     pub rollouts_changed: Notify,
     /// When doors are looked at again for the rate of a limited upstream.
-    pub rate_wakes_ms: Cell<Option<u64>>,
+    pub rate_wakeup_at_ms: Cell<Option<u64>>,
     sizes: RefCell<IndexMap<Arc<str>, MovingAverage>>,
     expected_holds: RefCell<IndexMap<Arc<str>, MovingAverage>>,
     log: RefCell<LogBudget>,
@@ -289,7 +289,7 @@
             notices: RefCell::default(),
             rollouts: RefCell::new(rollouts),
             rollouts_changed: Notify::new(),
-            rate_wakes_ms: Cell::default(),
+            rate_wakeup_at_ms: Cell::default(),
             sizes: RefCell::default(),
             expected_holds: RefCell::default(),
             log: RefCell::default(),
