--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -11,9 +11,9 @@
 //! The direct mode uses the library's store client, headers and logs, and no claims, agents or
 //! operators.
 
-pub mod figures;
 pub mod log_budget;
 pub mod membership;
+pub mod metrics;
 pub mod notices;
 pub mod notices_driver;
 pub mod placement;
--- a/lib/src/direct/figures.rs
+++ b/lib/src/direct/metrics.rs
@@ -19,12 +19,12 @@
 /// The figures of one process. `docs/OPERATIONS.md` says what each tells.
 ///
 /// ```
-/// let figures = sardinewood::direct::figures::Figures::new().unwrap();
-/// figures.requests.inc();
-/// assert!(figures.text().contains("sardinewood_requests_total 1"));
+/// let metrics = sardinewood::direct::metrics::DirectMetrics::new().unwrap();
+/// metrics.requests.inc();
+/// assert!(metrics.text().contains("sardinewood_requests_total 1"));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct DirectMetrics {
     registry: Registry,
     /// Requests that were read.
     pub requests: IntCounter,
@@ -98,18 +98,18 @@
     HistogramOpts::new(format!("sardinewood_{name}"), help).buckets(BUCKETS_MS.to_vec())
 }
 
-impl Figures {
+impl DirectMetrics {
     /// Figures that are all zero.
     ///
     /// ```
-    /// assert!(sardinewood::direct::figures::Figures::new().is_ok());
+    /// assert!(sardinewood::direct::metrics::DirectMetrics::new().is_ok());
     /// ```
     ///
     /// # Errors
     ///
     /// When the library refuses a name, which would be a mistake here.
     pub fn new() -> prometheus::Result<Self> {
-        let figures = Self {
+        let metrics = Self {
             registry: Registry::new(),
             requests: counter("requests_total", "Requests that were read.")?,
             answers: counters("answers_total", "Requests answered.", &["status"])?,
@@ -163,8 +163,8 @@
             held_requests: gauge("held_requests", "Requests that are not run.")?,
             catalog_version: gauge("catalog_version", "Configuration in force.")?,
         };
-        figures.register()?;
-        Ok(figures)
+        metrics.register()?;
+        Ok(metrics)
     }
 
     fn register(&self) -> prometheus::Result<()> {
@@ -212,7 +212,7 @@
     /// All figures as text, one a line.
     ///
     /// ```
-    /// let text = sardinewood::direct::figures::Figures::new().unwrap().text();
+    /// let text = sardinewood::direct::metrics::DirectMetrics::new().unwrap().text();
     /// assert!(text.contains("sardinewood_wait_ms_count 0"));
     /// ```
     #[must_use]
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -200,7 +200,7 @@
             NoticeChange::BackingOff(_) => "upstream asks for rest",
             NoticeChange::InvalidBackoff(_) => "upstream's time of rest can't be read",
         };
-        let notices = &self.figures.notices;
+        let notices = &self.metrics.notices;
         notices.with_label_values(&[message]).inc();
         self.log(Level::Warn, message, |line| {
             let line = line
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -238,7 +238,7 @@
 
     fn log_end(&self, end: &UpstreamCrash) {
         if end.is_first_report {
-            let ends = &self.figures.upstream_ends;
+            let ends = &self.metrics.upstream_ends;
             ends.with_label_values(&[&*end.service]).inc();
         }
         self.log(
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -117,7 +117,7 @@
         let first_ms = traffic.now_ms() - self.arrived_ms;
         let tier = self.tier.to_string();
         traffic
-            .figures
+            .metrics
             .first_ms
             .with_label_values(&[tier.as_str()])
             .observe(numbers::as_f64(first_ms));
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -100,7 +100,7 @@
         }
         let tier = tier.to_string();
         self.traffic
-            .figures
+            .metrics
             .ended
             .with_label_values(&[service, tier.as_str(), size.name(), end.name()])
             .inc();
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -93,7 +93,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let open = OpenRequest::new(&traffic);
-    traffic.figures.requests.inc();
+    traffic.metrics.requests.inc();
     let headers = (traffic.dialect.read_caller)(request.headers());
     let request_id = headers.request_id.clone();
     let mut response = match read(&traffic, request, headers).await {
@@ -162,7 +162,7 @@
             return answer.deliver(traffic, &call);
         }
         match next {
-            Next::TryAnother => traffic.figures.second_attempts.inc(),
+            Next::TryAnother => traffic.metrics.second_attempts.inc(),
             Next::RefuseNotRun => {
                 let retry_after_ms = traffic.retry_after_ms(&call.job());
                 return refuse(traffic, &call, retry_after_ms);
@@ -255,11 +255,11 @@
     if call.prompt_tokens == 0 {
         return;
     }
-    let figures = &traffic.figures;
+    let metrics = &traffic.metrics;
     let service: &[&str] = &[&call.service];
-    let sent = figures.prompt_tokens.with_label_values(service);
+    let sent = metrics.prompt_tokens.with_label_values(service);
     sent.inc_by(call.prompt_tokens.into());
-    let kept = figures.cached_tokens.with_label_values(service);
+    let kept = metrics.cached_tokens.with_label_values(service);
     kept.inc_by(lease.cached_tokens.into());
 }
 
@@ -283,8 +283,8 @@
     message: &'static str,
     fill: impl FnOnce(Line) -> Line,
 ) {
-    let figures = &traffic.figures;
-    figures.failed_attempts.with_label_values(&[message]).inc();
+    let metrics = &traffic.metrics;
+    metrics.failed_attempts.with_label_values(&[message]).inc();
     traffic.log(Level::Warn, message, |line| {
         let line = line
             .field("request", call.name())
@@ -424,7 +424,7 @@
             let after_ms = traffic.now_ms() - call.arrived_ms;
             call.ending.set_whole(call.is_in_time(after_ms));
         }
-        let answers = &traffic.figures.answers;
+        let answers = &traffic.metrics.answers;
         answers.with_label_values(&[status.as_str()]).inc();
         let outcome = if status.is_server_error() {
             Outcome::Failure
--- a/lib/src/direct/request/front.rs
+++ b/lib/src/direct/request/front.rs
@@ -128,7 +128,7 @@
         let path = request.uri().path();
         if path == METRICS_PATH {
             traffic.set_gauges();
-            return Response::new(traffic.figures.text().into());
+            return Response::new(traffic.metrics.text().into());
         }
         if let Some(rest) = path.strip_prefix(QUARANTINE_PATH) {
             return quarantine_page::answer(traffic, request.method(), rest);
--- a/lib/src/direct/request/refusal.rs
+++ b/lib/src/direct/request/refusal.rs
@@ -57,7 +57,7 @@
                 .field("inputs", &self.inputs)
         });
         traffic
-            .figures
+            .metrics
             .refusals
             .with_label_values(&[self.why])
             .inc();
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -255,7 +255,7 @@
         };
         if self.take_over(attempt) {
             leave(&mut former);
-            self.traffic.figures.resumed.inc();
+            self.traffic.metrics.resumed.inc();
             return Came::Silence;
         }
         self.source = former;
@@ -355,9 +355,9 @@
         let is_in_time = |first_ms| self.call.is_in_time(first_ms);
         let ending = &self.call.ending;
         ending.set_whole(self.first_ms.is_some_and(is_in_time));
-        let figures = &self.traffic.figures;
+        let metrics = &self.traffic.metrics;
         let status = self.parts.status;
-        figures.answers.with_label_values(&[status.as_str()]).inc();
+        metrics.answers.with_label_values(&[status.as_str()]).inc();
         let success = Outcome::Success;
         self.traffic
             .log_of(success, Level::Info, "streamed", |line| {
@@ -382,7 +382,7 @@
         {
             match self.resume().await {
                 Resumed::GoesOn => {
-                    self.traffic.figures.resumed.inc();
+                    self.traffic.metrics.resumed.inc();
                     return None;
                 }
                 Resumed::Failed => {}
@@ -447,8 +447,8 @@
     }
 
     fn log_left(&self, why: &'static str, instance: &str) {
-        let figures = &self.traffic.figures;
-        figures.failed_attempts.with_label_values(&[why]).inc();
+        let metrics = &self.traffic.metrics;
+        metrics.failed_attempts.with_label_values(&[why]).inc();
         self.traffic.log(Level::Warn, why, |line| {
             line.field("request", self.call.name())
                 .field("upstream", instance)
@@ -460,7 +460,7 @@
     }
 
     fn log_cut(&self, message: &'static str) {
-        self.traffic.figures.cut.inc();
+        self.traffic.metrics.cut.inc();
         self.traffic.log(Level::Warn, message, |line| {
             self.call
                 .fields(line)
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -273,7 +273,7 @@
 
     fn log_rollout(&self, service: &str, reason: DecisionReason) {
         let page = self.rollout_json(service);
-        let decided = &self.figures.rollouts_decided;
+        let decided = &self.metrics.rollouts_decided;
         decided.with_label_values(&[service, reason.name()]).inc();
         self.log(Level::Warn, "roll-out decided", |line| {
             line.field("rollout", self.rollout_name(service))
@@ -373,7 +373,7 @@
                 ..job
             };
             if let Turn::Start(lease) = self.turn(trial).await {
-                let trials = &self.figures.trials;
+                let trials = &self.metrics.trials;
                 trials.with_label_values(&[&*call.service]).inc();
                 return Turn::Start(lease);
             }
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -23,10 +23,10 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::direct::figures::Figures;
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::Revisions;
 use crate::direct::membership::peer_table::PeerTable;
+use crate::direct::metrics::DirectMetrics;
 use crate::direct::replication::heartbeats::ControlChannels;
 use crate::direct::replication::heartbeats::HeartbeatTask;
 use crate::direct::replication::peer_pull;
@@ -84,7 +84,7 @@
     /// Where readiness is asked.
     pub readiness: SocketAddr,
     /// Where counters and histograms are asked.
-    pub figures: SocketAddr,
+    pub metrics: SocketAddr,
     /// Where other entries reach this one, by datagram and connection.
     pub peers: SocketAddr,
     /// Some other entries.
@@ -233,14 +233,14 @@
         .await
         .wrap_err_with(|| format!("can't hear peers on {}", settings.peers))?;
     let peers = PeerTable::new(settings.peers, &settings.seeds);
-    let figures = Figures::new().wrap_err("can't count")?;
+    let metrics = DirectMetrics::new().wrap_err("can't count")?;
     let table = RolloutTable::new(settings.rollouts, rand::random());
     let traffic = Traffic::new(
         adapter.dialect,
         settings.attempts,
         peers,
         socket,
-        figures,
+        metrics,
         table,
     );
     traffic
@@ -250,10 +250,10 @@
     traffic.set_max_backoff(settings.max_backoff);
     let callers = listen(settings.callers, "callers").await?;
     let readiness = listen(settings.readiness, "readiness").await?;
-    let figures = listen(settings.figures, "figures").await?;
+    let metrics = listen(settings.metrics, "figures").await?;
     spawn_local(front::serve_callers(callers, Rc::clone(&traffic)));
     spawn_local(front::serve_readiness(readiness, Rc::clone(&traffic)));
-    spawn_local(front::serve_figures(figures, Rc::clone(&traffic)));
+    spawn_local(front::serve_figures(metrics, Rc::clone(&traffic)));
     spawn_local(HeartbeatTask::new(&traffic, links).run());
     spawn_local(take_views(view, own_revisions, Rc::clone(&traffic)));
     spawn_local(sweep(Rc::clone(&traffic)));
@@ -261,7 +261,7 @@
     spawn_local(log_size_shares(Rc::clone(&traffic)));
     Line::new(Level::Info, "started")
         .field("address", settings.callers)
-        .field("figures_address", settings.figures)
+        .field("figures_address", settings.metrics)
         .field("seeds", &settings.seeds)
         .send();
     let stop_within = Rc::new(Cell::new(settings.stop_within));
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -15,12 +15,12 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::direct::figures::Figures;
 use crate::direct::log_budget::LogBudget;
 use crate::direct::log_budget::Outcome;
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_table::PeerTable;
+use crate::direct::metrics::DirectMetrics;
 use crate::direct::notices::upstream_notices::UpstreamNotices;
 use crate::direct::placement::dispatch::Dispatcher;
 use crate::direct::placement::dispatch::upstream_hash;
@@ -94,7 +94,7 @@
     /// Requests that have no answer yet.
     pub open_requests: Cell<usize>,
     /// Counters and histograms.
-    pub figures: Figures,
+    pub metrics: DirectMetrics,
     /// Told when the first configuration and the first upstreams are there.
     pub configured: Notify,
     /// How many requests begin with the same parts.
@@ -258,7 +258,7 @@
         limits: RetryLimits,
         peers: PeerTable,
         socket: UdpSocket,
-        figures: Figures,
+        metrics: DirectMetrics,
         rollouts: RolloutTable,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -278,7 +278,7 @@
             is_closing: Cell::new(false),
             closing: Notify::new(),
             open_requests: Cell::new(0),
-            figures,
+            metrics,
             configured: Notify::new(),
             prefix_popularity: RefCell::default(),
             size_stats: RefCell::default(),
@@ -357,7 +357,7 @@
     ) {
         let left_out = self.log.borrow_mut().take(message, outcome, self.now_ms());
         match left_out {
-            None => self.figures.left_out_lines.inc(),
+            None => self.metrics.left_out_lines.inc(),
             Some(0) => fill(Line::new(level, message)).send(),
             Some(lines) => fill(Line::new(level, message))
                 .field("left_out_lines", lines)
@@ -446,33 +446,33 @@
 
     /// Brings the gauges up to date, for whoever reads them.
     pub fn set_gauges(&self) {
-        let figures = &self.figures;
+        let metrics = &self.metrics;
         let signed = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         let peers = self.peers.borrow();
         let heard = peers.live_peers(self.now_ms()).len();
-        figures.open_requests.set(signed(self.open_requests.get()));
-        figures
+        metrics.open_requests.set(signed(self.open_requests.get()));
+        metrics
             .open_asks
             .set(signed(self.pending_slot_requests.borrow().len()));
-        figures.peers.set(signed(heard));
-        figures
+        metrics.peers.set(signed(heard));
+        metrics
             .upstreams
             .set(signed(self.dispatcher.borrow().listed_count()));
         let notices = self.notices.borrow();
-        figures
+        metrics
             .limited_upstreams
             .set(signed(notices.limited_count()));
-        figures
+        metrics
             .leaving_upstreams
             .set(signed(notices.leaving_count()));
         let at_rest = notices.backoffs(self.now_ms()).len();
-        figures.upstreams_at_rest.set(signed(at_rest));
+        metrics.upstreams_at_rest.set(signed(at_rest));
         let suspects = self.suspects.borrow().counts(self.now_ms());
-        figures.suspects.set(signed(suspects.tracked));
-        figures.held_requests.set(signed(suspects.quarantined));
+        metrics.suspects.set(signed(suspects.tracked));
+        metrics.held_requests.set(signed(suspects.quarantined));
         if let Some(catalog) = self.catalog.borrow().as_ref() {
             let version = i64::try_from(catalog.version).unwrap_or(i64::MAX);
-            figures.catalog_version.set(version);
+            metrics.catalog_version.set(version);
         }
     }
 
@@ -481,7 +481,7 @@
         let began = Instant::now();
         let turn = slot_driver::acquire_slot(self, job).await;
         let waited_ms = began.elapsed().as_secs_f64() * 1_000.0;
-        self.figures.wait_ms.observe(waited_ms);
+        self.metrics.wait_ms.observe(waited_ms);
         turn
     }
 }
