--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -11,7 +11,7 @@
 //! The direct mode uses the library's store client, headers and logs, and no claims, agents or
 //! operators.
 
-pub mod log_budget;
+pub mod log_rate_limit;
 pub mod membership;
 pub mod metrics;
 pub mod notices;
--- a/lib/src/direct/log_budget.rs
+++ b/lib/src/direct/log_rate_limit.rs
@@ -12,7 +12,7 @@
 
 /// What a line tells of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum LogCategory {
     /// A request that went well, of which a sample is enough.
     Success,
     /// A request that did not, or a change of what the process believes.
@@ -33,33 +33,33 @@
 /// success is written at all, so a failure never gives way to a success beside it.
 ///
 /// ```
-/// use sardinewood::direct::log_budget::{LogBudget, Outcome};
+/// use sardinewood::direct::log_rate_limit::{LogRateLimiter, LogCategory};
 ///
-/// let mut budget = LogBudget::default();
-/// assert_eq!(budget.take("request failed", Outcome::Failure, 0), Some(0));
+/// let mut budget = LogRateLimiter::default();
+/// assert_eq!(budget.take("request failed", LogCategory::Failure, 0), Some(0));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct LogBudget {
+pub struct LogRateLimiter {
     kinds: IndexMap<&'static str, Used>,
     failures_left_out_at: Option<u64>,
 }
 
-impl LogBudget {
+impl LogRateLimiter {
     /// Whether a line may be written; if so, how many of its kind were left out before it.
     ///
     /// ```
-    /// # use sardinewood::direct::log_budget::{LogBudget, Outcome};
-    /// let mut budget = LogBudget::default();
-    /// let write = |budget: &mut LogBudget, at| budget.take("k", Outcome::Failure, at);
+    /// # use sardinewood::direct::log_rate_limit::{LogRateLimiter, LogCategory};
+    /// let mut budget = LogRateLimiter::default();
+    /// let write = |budget: &mut LogRateLimiter, at| budget.take("k", LogCategory::Failure, at);
     /// let written = (0..100).filter(|_| write(&mut budget, 0).is_some()).count();
     /// assert_eq!(write(&mut budget, 1_000), Some(100 - written as u64));
     /// ```
-    pub fn take(&mut self, kind: &'static str, outcome: Outcome, now_ms: u64) -> Option<u64> {
+    pub fn take(&mut self, kind: &'static str, outcome: LogCategory, now_ms: u64) -> Option<u64> {
         let second = now_ms / SECOND_MS;
         let most = match outcome {
-            Outcome::Failure => FAILURES_PER_S,
-            Outcome::Success if self.leaves_out_failures(second) => 0,
-            Outcome::Success => SUCCESSES_PER_S,
+            LogCategory::Failure => FAILURES_PER_S,
+            LogCategory::Success if self.leaves_out_failures(second) => 0,
+            LogCategory::Success => SUCCESSES_PER_S,
         };
         let used = self.kinds.entry(kind).or_default();
         if used.second != second {
@@ -71,7 +71,7 @@
             return Some(std::mem::take(&mut used.left_out));
         }
         used.left_out += 1;
-        if outcome == Outcome::Failure {
+        if outcome == LogCategory::Failure {
             self.failures_left_out_at = Some(second);
         }
         None
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -16,7 +16,7 @@
 use hyper::body::Incoming;
 use tokio::time::timeout_at;
 
-use crate::direct::log_budget::Outcome;
+use crate::direct::log_rate_limit::LogCategory;
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::answer_body::AnswerBody;
 use crate::direct::request::call::Call;
@@ -427,9 +427,9 @@
         let answers = &traffic.metrics.answers;
         answers.with_label_values(&[status.as_str()]).inc();
         let outcome = if status.is_server_error() {
-            Outcome::Failure
+            LogCategory::Failure
         } else {
-            Outcome::Success
+            LogCategory::Success
         };
         traffic.log_of(outcome, Level::Info, "answered", |line| {
             call.fields(line)
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout_at;
 
 use crate::answer::event_scan::EventScan;
-use crate::direct::log_budget::Outcome;
+use crate::direct::log_rate_limit::LogCategory;
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::call::Call;
 use crate::direct::request::connections::Connection;
@@ -358,7 +358,7 @@
         let metrics = &self.traffic.metrics;
         let status = self.parts.status;
         metrics.answers.with_label_values(&[status.as_str()]).inc();
-        let success = Outcome::Success;
+        let success = LogCategory::Success;
         self.traffic
             .log_of(success, Level::Info, "streamed", |line| {
                 self.call
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -15,8 +15,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::direct::log_budget::LogBudget;
-use crate::direct::log_budget::Outcome;
+use crate::direct::log_rate_limit::LogCategory;
+use crate::direct::log_rate_limit::LogRateLimiter;
 use crate::direct::membership::gossip;
 use crate::direct::membership::peer_message::PeerMessage;
 use crate::direct::membership::peer_table::PeerTable;
@@ -119,7 +119,7 @@
     pub rate_wakeup_at_ms: Cell<Option<u64>>,
     sizes: RefCell<IndexMap<Arc<str>, MovingAverage>>,
     expected_holds: RefCell<IndexMap<Arc<str>, MovingAverage>>,
-    log: RefCell<LogBudget>,
+    log: RefCell<LogRateLimiter>,
     next_id: Cell<u64>,
     began: Instant,
 }
@@ -344,13 +344,13 @@
 
     /// Writes a line of a failure or of a change if its kind is within its budget.
     pub fn log(&self, level: Level, message: &'static str, fill: impl FnOnce(Line) -> Line) {
-        self.log_of(Outcome::Failure, level, message, fill);
+        self.log_of(LogCategory::Failure, level, message, fill);
     }
 
     /// Writes a line if its kind is within its budget.
     pub fn log_of(
         &self,
-        outcome: Outcome,
+        outcome: LogCategory,
         level: Level,
         message: &'static str,
         fill: impl FnOnce(Line) -> Line,
