--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -26,7 +26,7 @@
 use crate::direct::request::connections;
 use crate::direct::request::connections::ConnectError;
 use crate::direct::store_view::directory::Upstream;
-use crate::direct::traffic::Lease;
+use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::Traffic;
 use crate::logging::Level;
 
@@ -44,7 +44,7 @@
     ///
     /// A request that ends whatever runs it was to each entry one of many broken connections. Its caller
     /// sends it again, every try ends an upstream, and all that runs beside it is cut.
-    pub fn record_broken_run(self: &Rc<Self>, call: &Call, lease: &Lease) {
+    pub fn record_broken_run(self: &Rc<Self>, call: &Call, lease: &SlotLease) {
         let upstream = &lease.upstream;
         // One that leaves ends when it has done its work, whatever was sent to it.
         if !self.dispatcher.borrow().is_listed(&upstream.instance) {
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -31,7 +31,7 @@
 use crate::direct::request::no_answer::unknown;
 use crate::direct::request::relay::Relay;
 use crate::direct::rollout::table::RunOutcome;
-use crate::direct::traffic::Lease;
+use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
 use crate::logging::Level;
@@ -67,7 +67,7 @@
     /// The connection that it comes on.
     pub connection: Connection,
     /// The room at its upstream.
-    pub lease: Lease,
+    pub lease: SlotLease,
 }
 
 /// What to do after an attempt.
@@ -197,7 +197,7 @@
 pub async fn send(
     traffic: &Rc<Traffic>,
     call: &mut Call,
-    mut lease: Lease,
+    mut lease: SlotLease,
     last_event_id: Option<u64>,
 ) -> Attempt {
     let until = traffic.instant_at(call.deadline_at_ms);
@@ -251,7 +251,7 @@
     }
 }
 
-fn count_tokens(traffic: &Traffic, call: &Call, lease: &Lease) {
+fn count_tokens(traffic: &Traffic, call: &Call, lease: &SlotLease) {
     if call.prompt_tokens == 0 {
         return;
     }
@@ -263,7 +263,7 @@
     kept.inc_by(lease.cached_tokens.into());
 }
 
-fn not_reached(traffic: &Rc<Traffic>, call: &Call, lease: &Lease, error: ConnectError) {
+fn not_reached(traffic: &Rc<Traffic>, call: &Call, lease: &SlotLease, error: ConnectError) {
     log_attempt_with(traffic, call, lease, NOT_REACHED, |line| {
         line.field("error", error.name())
     });
@@ -272,14 +272,14 @@
     }
 }
 
-fn log_attempt(traffic: &Traffic, call: &Call, lease: &Lease, message: &'static str) {
+fn log_attempt(traffic: &Traffic, call: &Call, lease: &SlotLease, message: &'static str) {
     log_attempt_with(traffic, call, lease, message, |line| line);
 }
 
 fn log_attempt_with(
     traffic: &Traffic,
     call: &Call,
-    lease: &Lease,
+    lease: &SlotLease,
     message: &'static str,
     fill: impl FnOnce(Line) -> Line,
 ) {
@@ -306,7 +306,7 @@
 fn upstream_request(
     traffic: &Traffic,
     call: &Call,
-    lease: &Lease,
+    lease: &SlotLease,
     last_event_id: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
@@ -333,7 +333,7 @@
     call: &mut Call,
     response: Response<Incoming>,
     connection: Connection,
-    mut lease: Lease,
+    mut lease: SlotLease,
 ) -> Attempt {
     let (parts, body) = response.into_parts();
     let headers = (traffic.dialect.read_answer)(parts.status, &parts.headers);
@@ -499,7 +499,7 @@
 }
 
 /// Keeps a connection for a next request if its answer was read whole.
-pub fn keep(traffic: &Traffic, lease: &Lease, connection: Connection, idle_ms: Option<u64>) {
+pub fn keep(traffic: &Traffic, lease: &SlotLease, connection: Connection, idle_ms: Option<u64>) {
     let instance = &lease.upstream.instance;
     traffic.connections.put(instance, connection, idle_ms);
 }
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -28,7 +28,7 @@
 use crate::direct::request::exchange::may_try_another;
 use crate::direct::request::exchange::send;
 use crate::direct::request::pace::Pace;
-use crate::direct::traffic::Lease;
+use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
 use crate::logging::Level;
@@ -79,7 +79,7 @@
 struct Source {
     body: Incoming,
     connection: Connection,
-    lease: Lease,
+    lease: SlotLease,
     keep_alive_ms: Option<u64>,
 }
 
@@ -98,7 +98,7 @@
     /// It goes on after all.
     Came(Came),
     /// Another one has room.
-    Room(Lease),
+    Room(SlotLease),
     /// Nobody has.
     NoRoom,
 }
@@ -399,7 +399,7 @@
     /// An upstream that ends often starts again within a second. A refusal means "none just now",
     /// and asking again costs nothing; taken for an end, it cut every stream of a service whose
     /// only upstream had restarted.
-    async fn room_to_go_on(&self) -> Option<Lease> {
+    async fn room_to_go_on(&self) -> Option<SlotLease> {
         let job = self.call.resume_job(self.traffic.now_ms());
         loop {
             if let Turn::Start(lease) = self.traffic.turn(job.clone()).await {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -33,7 +33,7 @@
 use crate::direct::rollout::verdict::RequestCounts;
 use crate::direct::store_view::catalog::Catalog;
 use crate::direct::store_view::directory::Upstream;
-use crate::direct::traffic::Lease;
+use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
 use crate::logging::Level;
@@ -382,7 +382,7 @@
     }
 
     /// Notes that a request goes to an upstream.
-    pub fn record_version_dispatch(&self, call: &Call, lease: &mut Lease) {
+    pub fn record_version_dispatch(&self, call: &Call, lease: &mut SlotLease) {
         let is_pinned = !call.route.retry_policy.is_idempotent();
         let mut table = self.rollouts.borrow_mut();
         if !table.tracks_versions() {
@@ -396,7 +396,7 @@
     }
 
     /// Notes how a request ended at its upstream, or how fast its answer comes.
-    pub fn record_version_outcome(&self, call: &Call, lease: &Lease, came: RunOutcome) {
+    pub fn record_version_outcome(&self, call: &Call, lease: &SlotLease, came: RunOutcome) {
         let mut table = self.rollouts.borrow_mut();
         table.record_run_outcome(&lease.upstream, &call.route.name, came);
     }
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -21,7 +21,7 @@
 use crate::direct::sharing::admission::PeerRequestId;
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
-use crate::direct::traffic::Lease;
+use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::Traffic;
 use crate::direct::traffic::Turn;
 use crate::logging::Level;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// There is room.
-    Granted(Lease),
+    Granted(SlotLease),
     /// The question waits.
     Busy {
         /// The question.
@@ -69,7 +69,7 @@
 
 /// How a wait ended.
 enum End {
-    Started(Lease),
+    Started(SlotLease),
     Refused,
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// Takes room at an upstream whose door does not answer.
-    fn go_unasked(&self, instance: &Arc<str>) -> Option<Lease> {
+    fn go_unasked(&self, instance: &Arc<str>) -> Option<SlotLease> {
         let traffic = &self.traffic;
         let now_ms = traffic.now_ms();
         let upstream = traffic
@@ -148,7 +148,7 @@
             |line| line.field("upstream", instance),
         );
         let cached_tokens = self.asking.job.cached_tokens(instance);
-        Some(Lease::new(traffic, upstream, cached_tokens, false))
+        Some(SlotLease::new(traffic, upstream, cached_tokens, false))
     }
 
     /// Lets the request decide, and carries out what it decided; whether that ends the wait.
@@ -283,7 +283,7 @@
         match started {
             // A request that has just ended drops the lease, which gives the room back.
             Some((replies, cached_tokens, upstream)) => {
-                let lease = Lease::new(self, upstream, cached_tokens, true);
+                let lease = SlotLease::new(self, upstream, cached_tokens, true);
                 let _ = replies.send(Reply::Granted(lease));
             }
             None => self.release_slot(upstream, SlotRelease::Unused),
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -126,7 +126,7 @@
 
 /// A request's room at an upstream; dropping it gives the room back.
 #[derive(Debug)]
-pub struct Lease {
+pub struct SlotLease {
     traffic: Rc<Traffic>,
     /// Where the room is.
     pub upstream: Arc<Upstream>,
@@ -145,7 +145,7 @@
     is_sent: Cell<bool>,
 }
 
-impl Lease {
+impl SlotLease {
     /// Room that the dispatcher has counted.
     #[must_use]
     pub fn new(
@@ -210,7 +210,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for SlotLease {
     fn drop(&mut self) {
         let now_ms = self.traffic.now_ms();
         let held_ms = now_ms - self.since_ms;
@@ -242,7 +242,7 @@
 #[derive(Debug)]
 pub enum Turn {
     /// There is room.
-    Start(Lease),
+    Start(SlotLease),
     /// There will be none in time.
     Refused {
         /// When to come back.
