--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -53,7 +53,7 @@
         let run = BrokenRun {
             request: call.fingerprint(),
             request_id: call.name().into(),
-            started_at_ms: lease.since_ms(),
+            started_at_ms: lease.acquired_at_ms(),
             has_succeeded_recently: self
                 .recent_successes
                 .borrow()
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -298,7 +298,7 @@
                 "left_ms",
                 call.deadline_at_ms.saturating_sub(traffic.now_ms()),
             )
-            .field("held_ms", traffic.now_ms() - lease.since_ms());
+            .field("held_ms", traffic.now_ms() - lease.acquired_at_ms());
         fill(line)
     });
 }
@@ -476,7 +476,7 @@
     } else {
         AttemptOutcome::Answered
     };
-    let held_ms = traffic.now_ms() - lease.since_ms();
+    let held_ms = traffic.now_ms() - lease.acquired_at_ms();
     let came = if has_failed {
         RunOutcome::Failed
     } else {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -303,7 +303,7 @@
         match self.last_event.replace(now) {
             None => {
                 self.pace.first(now);
-                let since = self.traffic.instant_at(source.lease.since_ms());
+                let since = self.traffic.instant_at(source.lease.acquired_at_ms());
                 let after_ms = as_ms(now - since);
                 source.lease.answered();
                 self.call.note_first(&self.traffic);
@@ -365,7 +365,10 @@
                     .fields(line)
                     .field("kept_tokens", source.lease.cached_tokens)
                     .field("first_ms", self.first_ms)
-                    .field("held_ms", self.traffic.now_ms() - source.lease.since_ms())
+                    .field(
+                        "held_ms",
+                        self.traffic.now_ms() - source.lease.acquired_at_ms(),
+                    )
                     .field("last_event", self.scan.last_id())
             });
     }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -139,7 +139,7 @@
     /// Whether it is counted as a request that can't be moved to another upstream.
     pub is_pinned: bool,
     id: u64,
-    since_ms: u64,
+    acquired_at_ms: u64,
     /// When the request was sent there.
     sent_at_ms: Cell<u64>,
     is_sent: Cell<bool>,
@@ -162,7 +162,7 @@
             is_granted,
             is_pinned: false,
             id: traffic.next_id(),
-            since_ms: traffic.now_ms(),
+            acquired_at_ms: traffic.now_ms(),
             sent_at_ms: Cell::new(traffic.now_ms()),
             is_sent: Cell::new(false),
         }
@@ -190,7 +190,7 @@
     pub fn answered(&self) {
         let instance = &self.upstream.instance;
         let mut crash_detector = self.traffic.crash_detector.borrow_mut();
-        crash_detector.on_answer(instance, self.since_ms);
+        crash_detector.on_answer(instance, self.acquired_at_ms);
         self.traffic
             .dispatcher
             .borrow_mut()
@@ -205,15 +205,15 @@
 
     /// When the room was taken.
     #[must_use]
-    pub fn since_ms(&self) -> u64 {
-        self.since_ms
+    pub fn acquired_at_ms(&self) -> u64 {
+        self.acquired_at_ms
     }
 }
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
         let now_ms = self.traffic.now_ms();
-        let held_ms = now_ms - self.since_ms;
+        let held_ms = now_ms - self.acquired_at_ms;
         self.traffic.dispatcher.borrow_mut().finished(
             &self.upstream.instance,
             self.id,
