--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -205,7 +205,7 @@
     let mut connection = match connection {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
-            lease.ended = AttemptOutcome::Broken;
+            lease.outcome = AttemptOutcome::Broken;
             not_reached(traffic, call, &lease, error);
             return Attempt::NotRun;
         }
@@ -229,7 +229,7 @@
     count_tokens(traffic, call, &lease);
     match timeout_at(until, connection.send(request)).await {
         Err(_) => {
-            lease.ended = AttemptOutcome::Failed;
+            lease.outcome = AttemptOutcome::Failed;
             traffic.record_version_outcome(call, &lease, RunOutcome::Failed);
             log_attempt(traffic, call, &lease, "no answer from upstream in time");
             Attempt::TimeUp
@@ -241,7 +241,7 @@
         Ok(Err(SendError::Broken)) => {
             // A kept connection may just have been closed as idle, which says nothing.
             if connection.uses == 1 {
-                lease.ended = AttemptOutcome::Broken;
+                lease.outcome = AttemptOutcome::Broken;
             }
             log_attempt(traffic, call, &lease, "connection to upstream broke");
             traffic.record_broken_run(call, &lease);
@@ -344,14 +344,14 @@
         } else {
             (AttemptOutcome::Declined, DECLINED)
         };
-        lease.ended = ended;
+        lease.outcome = ended;
         log_attempt(traffic, call, &lease, why);
         return Attempt::NotRun;
     }
     // An extra answer to an earlier request may lie on a kept connection. It names that
     // request; passed on, one caller would read another's answer.
     if !headers.is_signed || headers.request_id != call.request_id {
-        lease.ended = AttemptOutcome::Failed;
+        lease.outcome = AttemptOutcome::Failed;
         log_attempt(traffic, call, &lease, "answer belongs to no request");
         return Attempt::Unknown;
     }
@@ -457,13 +457,13 @@
     let body = match timeout_at(until, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
-            lease.ended = AttemptOutcome::Failed;
+            lease.outcome = AttemptOutcome::Failed;
             log_attempt(traffic, call, &lease, "answer broke off");
             traffic.record_broken_run(call, &lease);
             return Finished::Not(next_step(traffic, call, &Attempt::Unknown));
         }
         Err(_) => {
-            lease.ended = AttemptOutcome::Failed;
+            lease.outcome = AttemptOutcome::Failed;
             return Finished::Not(Next::AnswerTimeUp);
         }
     };
@@ -471,7 +471,7 @@
     lease.answered();
     traffic.record_success(call);
     let has_failed = parts.status.is_server_error();
-    lease.ended = if has_failed {
+    lease.outcome = if has_failed {
         AttemptOutcome::Failed
     } else {
         AttemptOutcome::Answered
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -334,7 +334,7 @@
         let Some(mut source) = self.source.take() else {
             return;
         };
-        source.lease.ended = AttemptOutcome::Answered;
+        source.lease.outcome = AttemptOutcome::Answered;
         self.pace.end(&self.traffic, &self.call, &source.lease);
         self.traffic.record_success(&self.call);
         if let (Some(tokens), Some(events)) =
@@ -486,7 +486,7 @@
 /// Closes the connection to an upstream, so that it stops its work.
 fn leave(source: &mut Option<Source>) -> Option<Arc<str>> {
     let mut source = source.take()?;
-    source.lease.ended = AttemptOutcome::Broken;
+    source.lease.outcome = AttemptOutcome::Broken;
     Some(Arc::clone(&source.lease.upstream.instance))
 }
 
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -131,7 +131,7 @@
     /// Where the room is.
     pub upstream: Arc<Upstream>,
     /// How the call ended, as far as it has.
-    pub ended: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     /// Tokens of the prompt that the upstream is likely to keep.
     pub cached_tokens: u32,
     /// Whether the upstream's door granted the room.
@@ -157,7 +157,7 @@
         Self {
             traffic: Rc::clone(traffic),
             upstream,
-            ended: AttemptOutcome::Abandoned,
+            outcome: AttemptOutcome::Abandoned,
             cached_tokens,
             is_granted,
             is_pinned: false,
@@ -217,7 +217,7 @@
         self.traffic.dispatcher.borrow_mut().finished(
             &self.upstream.instance,
             self.id,
-            self.ended,
+            self.outcome,
             held_ms,
             now_ms,
         );
@@ -225,7 +225,7 @@
             self.traffic.rollouts.borrow_mut().unpin(&self.upstream);
         }
         if self.is_granted {
-            let release = match self.ended {
+            let release = match self.outcome {
                 _ if !self.is_sent.get() => SlotRelease::Unused,
                 AttemptOutcome::Answered => SlotRelease::Answered {
                     held_ms: u32::try_from(held_ms).unwrap_or(u32::MAX),
