--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -32,8 +32,8 @@
 use crate::direct::request::relay::Relay;
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::traffic::SlotLease;
+use crate::direct::traffic::SlotResult;
 use crate::direct::traffic::Traffic;
-use crate::direct::traffic::Turn;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::numbers;
@@ -180,15 +180,15 @@
     let turn = if call.tried_upstreams.is_empty() {
         traffic.acquire_first_slot(call).await
     } else {
-        traffic.turn(call.job()).await
+        traffic.acquire_slot(call.job()).await
     };
     call.waited_ms += traffic.now_ms() - asked_ms;
     let lease = match turn {
-        Turn::Start(lease) => {
+        SlotResult::Acquired(lease) => {
             call.ending.set_started();
             lease
         }
-        Turn::Refused { retry_after_ms } => return Err(retry_after_ms),
+        SlotResult::Refused { retry_after_ms } => return Err(retry_after_ms),
     };
     Ok(send(traffic, call, lease, call.last_event_id).await)
 }
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -29,8 +29,8 @@
 use crate::direct::request::exchange::send;
 use crate::direct::request::pace::Pace;
 use crate::direct::traffic::SlotLease;
+use crate::direct::traffic::SlotResult;
 use crate::direct::traffic::Traffic;
-use crate::direct::traffic::Turn;
 use crate::logging::Level;
 
 /// Silence of an upstream after which its stream goes on elsewhere, where it may. Callers
@@ -405,7 +405,7 @@
     async fn room_to_go_on(&self) -> Option<SlotLease> {
         let job = self.call.resume_job(self.traffic.now_ms());
         loop {
-            if let Turn::Start(lease) = self.traffic.turn(job.clone()).await {
+            if let SlotResult::Acquired(lease) = self.traffic.acquire_slot(job.clone()).await {
                 return Some(lease);
             }
             if self.traffic.now_ms() + RESUME_PAUSE_MS >= job.waits_until_ms() {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -34,8 +34,8 @@
 use crate::direct::store_view::catalog::Catalog;
 use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::SlotLease;
+use crate::direct::traffic::SlotResult;
 use crate::direct::traffic::Traffic;
-use crate::direct::traffic::Turn;
 use crate::logging::Level;
 
 /// How often orders that are in progress are looked at, and others.
@@ -357,7 +357,7 @@
 
     /// Waits for room for a request's first attempt, at an upstream of the version that is judged
     /// if it is the request's turn.
-    pub async fn acquire_first_slot(self: &Rc<Self>, call: &Call) -> Turn {
+    pub async fn acquire_first_slot(self: &Rc<Self>, call: &Call) -> SlotResult {
         let target = self.rollouts.borrow_mut().choose_target(
             &call.service,
             &call.route.name,
@@ -372,13 +372,13 @@
                 deadline_at_ms: job.deadline_at_ms.min(self.now_ms() + TRIAL_WAIT_MS),
                 ..job
             };
-            if let Turn::Start(lease) = self.turn(trial).await {
+            if let SlotResult::Acquired(lease) = self.acquire_slot(trial).await {
                 let trials = &self.metrics.trials;
                 trials.with_label_values(&[&*call.service]).inc();
-                return Turn::Start(lease);
+                return SlotResult::Acquired(lease);
             }
         }
-        self.turn(call.job()).await
+        self.acquire_slot(call.job()).await
     }
 
     /// Notes that a request goes to an upstream.
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -22,8 +22,8 @@
 use crate::direct::sharing::admission::SlotRelease;
 use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::traffic::SlotLease;
+use crate::direct::traffic::SlotResult;
 use crate::direct::traffic::Traffic;
-use crate::direct::traffic::Turn;
 use crate::logging::Level;
 
 /// What a door answers to a waiting request.
@@ -194,7 +194,7 @@
 }
 
 /// Waits for room at an upstream until the request's time is up.
-pub async fn acquire_slot(traffic: &Rc<Traffic>, job: Job) -> Turn {
+pub async fn acquire_slot(traffic: &Rc<Traffic>, job: Job) -> SlotResult {
     let until = traffic.instant_at(job.waits_until_ms());
     let (sender, mut replies) = mpsc::unbounded_channel();
     let mut waiting = Waiting {
@@ -203,8 +203,8 @@
         replies: sender,
     };
     match waiting.wait(&mut replies, until).await {
-        End::Started(lease) => Turn::Start(lease),
-        End::Refused => Turn::Refused {
+        End::Started(lease) => SlotResult::Acquired(lease),
+        End::Refused => SlotResult::Refused {
             retry_after_ms: traffic.retry_after_ms(&waiting.asking.job),
         },
     }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -240,9 +240,9 @@
 
 /// How waiting for room ended.
 #[derive(Debug)]
-pub enum Turn {
+pub enum SlotResult {
     /// There is room.
-    Start(SlotLease),
+    Acquired(SlotLease),
     /// There will be none in time.
     Refused {
         /// When to come back.
@@ -477,7 +477,7 @@
     }
 
     /// Waits for room at an upstream until the request's time is up.
-    pub async fn turn(self: &Rc<Self>, job: Job) -> Turn {
+    pub async fn acquire_slot(self: &Rc<Self>, job: Job) -> SlotResult {
         let began = Instant::now();
         let turn = slot_driver::acquire_slot(self, job).await;
         let waited_ms = began.elapsed().as_secs_f64() * 1_000.0;
