--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -94,7 +94,7 @@
         }
         let told = self.notices.borrow_mut().next_updates(self.now_ms());
         if !told.is_empty() {
-            self.tell(peer, &PeerMessage::UpstreamNotices(told));
+            self.send_to_peer(peer, &PeerMessage::UpstreamNotices(told));
         }
     }
 
@@ -170,7 +170,7 @@
 
     fn tell_some_notices(&self, told: Vec<NoticeUpdate>, most: usize) {
         if !told.is_empty() {
-            self.tell_some(&PeerMessage::UpstreamNotices(told), most);
+            self.send_to_random_peers(&PeerMessage::UpstreamNotices(told), most);
         }
     }
 
@@ -180,7 +180,7 @@
         if !told.is_empty()
             && let EntryRef::Peer(keeper) = self.owner(upstream_hash(instance))
         {
-            self.tell(keeper, &PeerMessage::UpstreamNotices(told));
+            self.send_to_peer(keeper, &PeerMessage::UpstreamNotices(told));
         }
     }
 
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -195,7 +195,7 @@
             return;
         }
         let told = self.suspects.borrow_mut().next_updates(self.now_ms());
-        self.tell(peer, &PeerMessage::SuspectRequests(told));
+        self.send_to_peer(peer, &PeerMessage::SuspectRequests(told));
     }
 
     fn tell_all_of(&self, requests: &[Fingerprint]) {
@@ -205,7 +205,7 @@
 
     fn tell_some_of(&self, told: Vec<SuspectUpdate>, most: usize) {
         if !told.is_empty() {
-            self.tell_some(&PeerMessage::SuspectRequests(told), most);
+            self.send_to_random_peers(&PeerMessage::SuspectRequests(told), most);
         }
     }
 
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -92,7 +92,7 @@
         cost,
         contention,
     });
-    traffic.tell(keeper, &question);
+    traffic.send_to_peer(keeper, &question);
     let within = Duration::from_millis(REPLY_TIMEOUT_MS);
     timeout(within, answer).await.ok()?.ok()
 }
@@ -124,7 +124,7 @@
             request_id: question.id,
             charge,
         };
-        self.tell(to, &answer);
+        self.send_to_peer(to, &answer);
     }
 
     /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -77,7 +77,7 @@
                         return;
                     }
                     self.sequence += 1;
-                    self.tell_all();
+                    self.send_to_all_peers();
                 }
                 () = sleep_until(next_heartbeat) => {
                     self.heartbeat();
@@ -213,13 +213,13 @@
         set(&self.links.watches_store, peers.watches_store(now_ms));
         drop(peers);
         self.sequence += 1;
-        self.tell_all();
+        self.send_to_all_peers();
         traffic.grant_slots();
     }
 
-    fn tell_all(&mut self) {
+    fn send_to_all_peers(&mut self) {
         let heartbeat = PeerMessage::Heartbeat(self.own_heartbeat());
-        self.traffic.tell_all(&heartbeat);
+        self.traffic.send_to_all_peers(&heartbeat);
     }
 
     /// Tells all peers that this process ends, so that they need not wait for its silence.
@@ -228,7 +228,7 @@
             is_last: true,
             ..Heartbeat::default()
         });
-        traffic.tell_all(&last_heartbeat);
+        traffic.send_to_all_peers(&last_heartbeat);
     }
 
     fn own_heartbeat(&mut self) -> Heartbeat {
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -153,7 +153,7 @@
     /// Tells a peer how far all orders have come that has started, or was silent.
     pub fn sync_rollouts_to(&self, peer: SocketAddr) {
         for state in self.rollouts.borrow().states(self.now_ms()) {
-            self.tell(peer, &PeerMessage::Rollout(RolloutMessage::State(state)));
+            self.send_to_peer(peer, &PeerMessage::Rollout(RolloutMessage::State(state)));
         }
     }
 
@@ -207,7 +207,7 @@
                     .iter()
                     .filter(|coordinator| **coordinator != own)
                 {
-                    self.tell(*coordinator, &message);
+                    self.send_to_peer(*coordinator, &message);
                 }
             }
             Some(RolloutAction::WriteStatus(status)) => {
@@ -268,7 +268,7 @@
     }
 
     fn tell_all_rollout(&self, message: RolloutMessage) {
-        self.tell_all(&PeerMessage::Rollout(message));
+        self.send_to_all_peers(&PeerMessage::Rollout(message));
     }
 
     fn log_rollout(&self, service: &str, reason: DecisionReason) {
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -106,7 +106,7 @@
         match owner {
             EntryRef::Local => traffic.handle_slot_request(EntryRef::Local, slot_request),
             EntryRef::Peer(address) => {
-                traffic.tell(address, &PeerMessage::RequestSlot(slot_request))
+                traffic.send_to_peer(address, &PeerMessage::RequestSlot(slot_request))
             }
         }
     }
@@ -123,7 +123,7 @@
                 .borrow_mut()
                 .cancel(EntryRef::Local, upstream, id),
             EntryRef::Peer(address) => {
-                traffic.tell(
+                traffic.send_to_peer(
                     address,
                     &PeerMessage::Cancel {
                         upstream,
@@ -238,7 +238,7 @@
         };
         match from {
             EntryRef::Local => self.handle_queued(slot_request.id, wait_ms),
-            EntryRef::Peer(peer) => self.tell(
+            EntryRef::Peer(peer) => self.send_to_peer(
                 peer,
                 &PeerMessage::Queued {
                     request_id: slot_request.id,
@@ -258,7 +258,7 @@
             };
             match grant.to {
                 EntryRef::Local => self.handle_grant(grant.request_id, grant.upstream),
-                EntryRef::Peer(peer) => self.tell(
+                EntryRef::Peer(peer) => self.send_to_peer(
                     peer,
                     &PeerMessage::Grant {
                         request_id: grant.request_id,
@@ -310,7 +310,9 @@
                     .release(EntryRef::Local, upstream, release);
                 self.grant_slots();
             }
-            EntryRef::Peer(peer) => self.tell(peer, &PeerMessage::Released { upstream, release }),
+            EntryRef::Peer(peer) => {
+                self.send_to_peer(peer, &PeerMessage::Released { upstream, release })
+            }
         }
     }
 }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -398,7 +398,7 @@
     }
 
     /// Sends a message to a peer. A lost one is made up for by the next heartbeat or question.
-    pub fn tell(&self, to: SocketAddr, message: &PeerMessage) {
+    pub fn send_to_peer(&self, to: SocketAddr, message: &PeerMessage) {
         let Some(bytes) = message.encode() else {
             self.log(Level::Error, "message to a peer is too long", |line| line);
             return;
@@ -411,18 +411,18 @@
     }
 
     /// Sends a message to all peers and to the seeds that were not heard yet.
-    pub fn tell_all(&self, message: &PeerMessage) {
+    pub fn send_to_all_peers(&self, message: &PeerMessage) {
         let targets: Vec<SocketAddr> = self.peers.borrow().heartbeat_targets().collect();
         for target in targets {
-            self.tell(target, message);
+            self.send_to_peer(target, message);
         }
     }
 
     /// Sends a message to so many of them, drawn anew each time.
-    pub fn tell_some(&self, message: &PeerMessage, most: usize) {
+    pub fn send_to_random_peers(&self, message: &PeerMessage, most: usize) {
         let targets: Vec<SocketAddr> = self.peers.borrow().heartbeat_targets().collect();
         for target in targets.choose_multiple(&mut rand::rng(), most) {
-            self.tell(*target, message);
+            self.send_to_peer(*target, message);
         }
     }
 
