--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -89,7 +89,7 @@
 
     /// Tells a peer what is known that has started, or was silent.
     pub fn sync_notices_to(&self, peer: SocketAddr) {
-        if self.notices.borrow().is_empty() || !self.is_greeter() {
+        if self.notices.borrow().is_empty() || !self.should_sync_peer() {
             return;
         }
         let told = self.notices.borrow_mut().next_updates(self.now_ms());
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -191,7 +191,7 @@
 
     /// Tells a peer what is known that has started, or was silent.
     pub fn sync_suspects_to(&self, peer: SocketAddr) {
-        if self.suspects.borrow().is_empty() || !self.is_greeter() {
+        if self.suspects.borrow().is_empty() || !self.should_sync_peer() {
             return;
         }
         let told = self.suspects.borrow_mut().next_updates(self.now_ms());
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -428,7 +428,7 @@
 
     /// Whether this entry is one of the few that tell a peer that has started, or was silent.
     #[must_use]
-    pub fn is_greeter(&self) -> bool {
+    pub fn should_sync_peer(&self) -> bool {
         let known = self.peers.borrow().known_entries();
         gossip::should_sync(known, rand::random::<u32>() as usize)
     }
