--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -23,8 +23,8 @@
 use crate::direct::quarantine::suspect::SuspectUpdate;
 use crate::direct::quarantine::suspect_requests::QuarantineDecision;
 use crate::direct::request::call::Call;
-use crate::direct::request::connections;
-use crate::direct::request::connections::ConnectError;
+use crate::direct::request::connection_pool;
+use crate::direct::request::connection_pool::ConnectError;
 use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::Traffic;
@@ -274,14 +274,14 @@
         {
             return;
         }
-        match connections::connect(&upstream).await {
+        match connection_pool::connect(&upstream).await {
             Ok(connection) => {
                 traffic
                     .crash_detector
                     .borrow_mut()
                     .on_connection_accepted(&upstream.instance);
                 traffic
-                    .connections
+                    .connection_pool
                     .put(&upstream.instance, connection, None);
             }
             Err(ConnectError::Refused) => traffic.record_refused_connection(&upstream.instance),
--- a/lib/src/direct/request.rs
+++ b/lib/src/direct/request.rs
@@ -4,7 +4,7 @@
 pub mod answer_body;
 pub mod call;
 pub mod caller;
-pub mod connections;
+pub mod connection_pool;
 pub mod ending;
 pub mod exchange;
 pub mod front;
--- a/lib/src/direct/request/connections.rs
+++ b/lib/src/direct/request/connection_pool.rs
@@ -102,11 +102,11 @@
 
 /// The idle connections to all upstreams.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: RefCell<IndexMap<Arc<str>, Vec<Idle>>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// An idle connection to an upstream, or a new one.
     ///
     /// # Errors
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -24,9 +24,9 @@
 use crate::direct::request::call::read;
 use crate::direct::request::caller::AnswerHeaders;
 use crate::direct::request::caller::UpstreamHeaders;
-use crate::direct::request::connections::ConnectError;
-use crate::direct::request::connections::Connection;
-use crate::direct::request::connections::SendError;
+use crate::direct::request::connection_pool::ConnectError;
+use crate::direct::request::connection_pool::Connection;
+use crate::direct::request::connection_pool::SendError;
 use crate::direct::request::no_answer::refuse;
 use crate::direct::request::no_answer::unknown;
 use crate::direct::request::relay::Relay;
@@ -201,7 +201,7 @@
     last_event_id: Option<u64>,
 ) -> Attempt {
     let until = traffic.instant_at(call.deadline_at_ms);
-    let connection = timeout_at(until, traffic.connections.get(&lease.upstream)).await;
+    let connection = timeout_at(until, traffic.connection_pool.get(&lease.upstream)).await;
     let mut connection = match connection {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
@@ -501,7 +501,7 @@
 /// Keeps a connection for a next request if its answer was read whole.
 pub fn keep(traffic: &Traffic, lease: &SlotLease, connection: Connection, idle_ms: Option<u64>) {
     let instance = &lease.upstream.instance;
-    traffic.connections.put(instance, connection, idle_ms);
+    traffic.connection_pool.put(instance, connection, idle_ms);
 }
 
 fn stream_response(relay: Box<Relay>, open: OpenRequest) -> Response<AnswerBody> {
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -21,7 +21,7 @@
 use crate::direct::log_rate_limit::LogCategory;
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::call::Call;
-use crate::direct::request::connections::Connection;
+use crate::direct::request::connection_pool::Connection;
 use crate::direct::request::exchange::Answer;
 use crate::direct::request::exchange::Attempt;
 use crate::direct::request::exchange::keep;
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -357,7 +357,7 @@
         traffic.maintain_notices();
         let dispatcher = traffic.dispatcher.borrow();
         traffic
-            .connections
+            .connection_pool
             .sweep(|instance| dispatcher.is_listed(instance));
     }
 }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -34,7 +34,7 @@
 use crate::direct::quarantine::suspect_requests::SuspectRequests;
 use crate::direct::quota_driver::PendingCharges;
 use crate::direct::request::caller::Dialect;
-use crate::direct::request::connections::Connections;
+use crate::direct::request::connection_pool::ConnectionPool;
 use crate::direct::rollout::table::RolloutTable;
 use crate::direct::sharing::admission;
 use crate::direct::sharing::admission::AdmissionController;
@@ -64,7 +64,7 @@
     /// How headers are read and written.
     pub dialect: Dialect,
     /// Connections to upstreams.
-    pub connections: Rc<Connections>,
+    pub connection_pool: Rc<ConnectionPool>,
     /// Order and places of requests.
     pub dispatcher: RefCell<Dispatcher>,
     /// The doors that this entry keeps.
@@ -263,7 +263,7 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             dialect,
-            connections: Rc::default(),
+            connection_pool: Rc::default(),
             dispatcher: RefCell::default(),
             admission: RefCell::default(),
             peers: RefCell::new(peers),
