--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -18,7 +18,7 @@
 use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::request::call::Call;
-use crate::direct::request::caller::AnswerHeaders;
+use crate::direct::request::headers::AnswerHeaders;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::Traffic;
--- a/lib/src/direct/request.rs
+++ b/lib/src/direct/request.rs
@@ -3,11 +3,11 @@
 
 pub mod answer_body;
 pub mod call;
-pub mod caller;
 pub mod connection_pool;
 pub mod ending;
 pub mod exchange;
 pub mod front;
+pub mod headers;
 pub mod no_answer;
 pub mod notices_page;
 pub mod pace;
--- a/lib/src/direct/request/caller.rs
+++ b/lib/src/direct/request/headers.rs
@@ -39,7 +39,7 @@
     /// ten times as long as one of the prompt. None if nothing was said.
     ///
     /// ```
-    /// let headers = sardinewood::direct::request::caller::CallerHeaders::default();
+    /// let headers = sardinewood::direct::request::headers::CallerHeaders::default();
     /// assert_eq!(headers.size(), None);
     /// ```
     #[must_use]
@@ -56,7 +56,7 @@
     /// takes about a hundredth of that for each token.
     ///
     /// ```
-    /// let headers = sardinewood::direct::request::caller::CallerHeaders::default();
+    /// let headers = sardinewood::direct::request::headers::CallerHeaders::default();
     /// assert_eq!(headers.hold(), None);
     /// ```
     #[must_use]
@@ -69,7 +69,7 @@
     /// What the request counts against an allotment in tokens, if that was said.
     ///
     /// ```
-    /// let headers = sardinewood::direct::request::caller::CallerHeaders::default();
+    /// let headers = sardinewood::direct::request::headers::CallerHeaders::default();
     /// assert_eq!(headers.charged_tokens(), None);
     /// ```
     #[must_use]
