--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -94,14 +94,14 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let open = OpenRequest::new(&traffic);
     traffic.metrics.requests.inc();
-    let headers = (traffic.dialect.read_caller)(request.headers());
+    let headers = (traffic.header_codec.read_request)(request.headers());
     let request_id = headers.request_id.clone();
     let mut response = match read(&traffic, request, headers).await {
         Ok(call) => serve(&traffic, call, open).await,
         Err(refusal) => refusal.response(&traffic),
     };
     if let Some(request_id) = request_id {
-        (traffic.dialect.write_request_id)(response.headers_mut(), &request_id);
+        (traffic.header_codec.write_request_id)(response.headers_mut(), &request_id);
     }
     if traffic.is_stopping.get() {
         let close = HeaderValue::from_static("close");
@@ -322,7 +322,7 @@
             .map(|customer| Arc::clone(&customer.name)),
         last_event_id,
     };
-    (traffic.dialect.write_upstream)(&mut headers, &ours);
+    (traffic.header_codec.write_upstream_request)(&mut headers, &ours);
     *request.headers_mut() = headers;
     request
 }
@@ -336,7 +336,7 @@
     mut lease: SlotLease,
 ) -> Attempt {
     let (parts, body) = response.into_parts();
-    let headers = (traffic.dialect.read_answer)(parts.status, &parts.headers);
+    let headers = (traffic.header_codec.read_response)(parts.status, &parts.headers);
     traffic.record_notice(call, &lease.upstream, &headers);
     if headers.is_not_run {
         let (ended, why) = if headers.is_misdirected {
--- a/lib/src/direct/request/headers.rs
+++ b/lib/src/direct/request/headers.rs
@@ -111,13 +111,13 @@
 
 /// How headers are read and written. The platform brings its own; the entry knows no names.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct HeaderCodec {
     /// Reads a caller's request.
-    pub read_caller: fn(&HeaderMap) -> CallerHeaders,
+    pub read_request: fn(&HeaderMap) -> CallerHeaders,
     /// Takes out what a caller may not set, and adds what the entry says.
-    pub write_upstream: fn(&mut HeaderMap, &UpstreamHeaders),
+    pub write_upstream_request: fn(&mut HeaderMap, &UpstreamHeaders),
     /// Reads an upstream's answer.
-    pub read_answer: fn(StatusCode, &HeaderMap) -> AnswerHeaders,
+    pub read_response: fn(StatusCode, &HeaderMap) -> AnswerHeaders,
     /// Writes when a refused caller should come back.
     pub write_retry_after: fn(&mut HeaderMap, u64),
     /// Names the request in an answer of our own.
--- a/lib/src/direct/request/refusal.rs
+++ b/lib/src/direct/request/refusal.rs
@@ -65,7 +65,7 @@
         let mut response = Response::new(AnswerBody::Whole(body));
         *response.status_mut() = self.status;
         if let Some(retry_after_ms) = self.retry_after_ms {
-            (traffic.dialect.write_retry_after)(response.headers_mut(), retry_after_ms);
+            (traffic.header_codec.write_retry_after)(response.headers_mut(), retry_after_ms);
         }
         response
     }
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -37,7 +37,7 @@
 use crate::direct::replication::store_follower::ObjectSource;
 use crate::direct::replication::store_follower::StoreFollower;
 use crate::direct::request::front;
-use crate::direct::request::headers::Dialect;
+use crate::direct::request::headers::HeaderCodec;
 use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
@@ -116,7 +116,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
     /// How headers are read and written.
-    pub dialect: Dialect,
+    pub header_codec: HeaderCodec,
     /// How stored objects are read.
     pub decoders: ObjectDecoders,
 }
@@ -236,7 +236,7 @@
     let metrics = DirectMetrics::new().wrap_err("can't count")?;
     let table = RolloutTable::new(settings.rollouts, rand::random());
     let traffic = Traffic::new(
-        adapter.dialect,
+        adapter.header_codec,
         settings.attempts,
         peers,
         socket,
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -34,7 +34,7 @@
 use crate::direct::quarantine::suspect_requests::SuspectRequests;
 use crate::direct::quota_driver::PendingCharges;
 use crate::direct::request::connection_pool::ConnectionPool;
-use crate::direct::request::headers::Dialect;
+use crate::direct::request::headers::HeaderCodec;
 use crate::direct::rollout::table::RolloutTable;
 use crate::direct::sharing::admission;
 use crate::direct::sharing::admission::AdmissionController;
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Traffic {
     /// How headers are read and written.
-    pub dialect: Dialect,
+    pub header_codec: HeaderCodec,
     /// Connections to upstreams.
     pub connection_pool: Rc<ConnectionPool>,
     /// Order and places of requests.
@@ -254,7 +254,7 @@
     /// The state of an entry that has neither configuration nor upstreams yet.
     #[must_use]
     pub fn new(
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         limits: RetryLimits,
         peers: PeerTable,
         socket: UdpSocket,
@@ -262,7 +262,7 @@
         rollouts: RolloutTable,
     ) -> Rc<Self> {
         Rc::new(Self {
-            dialect,
+            header_codec,
             connection_pool: Rc::default(),
             dispatcher: RefCell::default(),
             admission: RefCell::default(),
