--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -18,7 +18,7 @@
 use crate::direct::notices::upstream_state::NoticeUpdate;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::request::call::Call;
-use crate::direct::request::headers::AnswerHeaders;
+use crate::direct::request::headers::ResponseHeaders;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::Traffic;
@@ -41,7 +41,7 @@
         self: &Rc<Self>,
         call: &Call,
         upstream: &Upstream,
-        answer: &AnswerHeaders,
+        answer: &ResponseHeaders,
     ) {
         let says_nothing = answer.notice == UpstreamNotice::default();
         if says_nothing && self.notices.borrow().is_empty() || !speaks_for_itself(call, answer) {
@@ -223,7 +223,7 @@
 
 /// Whether an answer comes from the upstream that was asked, and belongs to the request. One that
 /// turns a request away before it has read it may not name it.
-fn speaks_for_itself(call: &Call, answer: &AnswerHeaders) -> bool {
+fn speaks_for_itself(call: &Call, answer: &ResponseHeaders) -> bool {
     let is_unnamed = answer.is_not_run && answer.request_id.is_none();
     !answer.is_misdirected && (is_unnamed || answer.request_id == call.request_id)
 }
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -25,7 +25,7 @@
 use crate::direct::request::connection_pool::ConnectError;
 use crate::direct::request::connection_pool::Connection;
 use crate::direct::request::connection_pool::SendError;
-use crate::direct::request::headers::AnswerHeaders;
+use crate::direct::request::headers::ResponseHeaders;
 use crate::direct::request::headers::UpstreamHeaders;
 use crate::direct::request::no_answer::refuse;
 use crate::direct::request::no_answer::unknown;
@@ -61,7 +61,7 @@
     /// Status and headers.
     pub parts: http::response::Parts,
     /// What the headers say.
-    pub headers: AnswerHeaders,
+    pub headers: ResponseHeaders,
     /// What follows.
     pub body: Incoming,
     /// The connection that it comes on.
@@ -350,7 +350,7 @@
     }
     // An extra answer to an earlier request may lie on a kept connection. It names that
     // request; passed on, one caller would read another's answer.
-    if !headers.is_signed || headers.request_id != call.request_id {
+    if !headers.is_authentic || headers.request_id != call.request_id {
         lease.outcome = AttemptOutcome::Failed;
         log_attempt(traffic, call, &lease, "answer belongs to no request");
         return Attempt::Unknown;
--- a/lib/src/direct/request/headers.rs
+++ b/lib/src/direct/request/headers.rs
@@ -94,11 +94,11 @@
 
 /// What an upstream's headers say of its answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHeaders {
+pub struct ResponseHeaders {
     /// The request that it answers.
     pub request_id: Option<HeaderValue>,
     /// Whether the upstream vouches for the answer.
-    pub is_signed: bool,
+    pub is_authentic: bool,
     /// Whether the upstream says that it has not run the request and never will.
     pub is_not_run: bool,
     /// Whether the answer comes from somebody else than the upstream that was meant.
@@ -117,7 +117,7 @@
     /// Takes out what a caller may not set, and adds what the entry says.
     pub write_upstream_request: fn(&mut HeaderMap, &UpstreamHeaders),
     /// Reads an upstream's answer.
-    pub read_response: fn(StatusCode, &HeaderMap) -> AnswerHeaders,
+    pub read_response: fn(StatusCode, &HeaderMap) -> ResponseHeaders,
     /// Writes when a refused caller should come back.
     pub write_retry_after: fn(&mut HeaderMap, u64),
     /// Names the request in an answer of our own.
