--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -258,7 +258,7 @@
     if let Some(customer) = &customer {
         charge(traffic, customer, &route, service, &headers, &ending).await?;
     }
-    if headers.has_bad_parts {
+    if headers.has_invalid_prompt_parts {
         traffic.log(Level::Warn, "parts of a prompt make no sense", |line| {
             line.field("request", name_of(id))
         });
--- a/lib/src/direct/request/headers.rs
+++ b/lib/src/direct/request/headers.rs
@@ -27,9 +27,9 @@
     /// The start of the prompt that other requests may have as well.
     pub shared_prefix: Option<SharedPrefix>,
     /// Whether the parts of the prompt were given and make no sense.
-    pub has_bad_parts: bool,
+    pub has_invalid_prompt_parts: bool,
     /// Whether the two counts of tokens were given.
-    pub has_tokens: bool,
+    pub has_token_counts: bool,
     /// The last event that the caller has, if it goes on with a stream.
     pub last_event_id: Option<u64>,
 }
@@ -48,7 +48,7 @@
         let output = self
             .expected_output_tokens
             .unwrap_or(self.max_output_tokens);
-        self.has_tokens
+        self.has_token_counts
             .then(|| f64::from(self.prompt_tokens) + OUTPUT_WEIGHT * f64::from(output))
     }
 
@@ -74,7 +74,7 @@
     /// ```
     #[must_use]
     pub fn charged_tokens(&self) -> Option<u64> {
-        self.has_tokens
+        self.has_token_counts
             .then(|| u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens))
     }
 }
