--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -114,7 +114,7 @@
 
 /// What differs between platforms.
 #[derive(Clone, Copy, Debug)]
-pub struct Adapter {
+pub struct PlatformAdapter {
     /// How headers are read and written.
     pub header_codec: HeaderCodec,
     /// How stored objects are read.
@@ -132,7 +132,7 @@
 /// When an address can't be had or a thread can't be started.
 pub fn run<S, R>(
     settings: DirectSettings,
-    adapter: Adapter,
+    adapter: PlatformAdapter,
     source: S,
     reload: R,
 ) -> eyre::Result<()>
@@ -220,7 +220,7 @@
 
 async fn serve(
     settings: DirectSettings,
-    adapter: Adapter,
+    adapter: PlatformAdapter,
     view: watch::Receiver<ReplicaSnapshot>,
     own_revisions: watch::Sender<Revisions>,
     links: ControlChannels,
