--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -103,13 +103,13 @@
 
 /// What reading the settings again brought.
 #[derive(Debug)]
-pub enum Reload {
+pub enum SettingsReload {
     /// Nothing has changed.
-    Same,
+    Unchanged,
     /// They have changed.
     Changed(Box<DirectSettings>),
     /// They can't be used; the last ones stay.
-    Bad(Findings),
+    Invalid(Findings),
 }
 
 /// What differs between platforms.
@@ -138,7 +138,7 @@
 ) -> eyre::Result<()>
 where
     S: ObjectSource + RolloutStore + Send + 'static,
-    R: FnMut() -> Reload + 'static,
+    R: FnMut() -> SettingsReload + 'static,
 {
     let (view_sender, view) = watch::channel(ReplicaSnapshot::default());
     let (ahead_sender, peer_ahead) = watch::channel(None);
@@ -225,7 +225,7 @@
     own_revisions: watch::Sender<Revisions>,
     links: ControlChannels,
     (orders, due): (watch::Receiver<Option<RolloutView>>, StatusWriter),
-    reload: impl FnMut() -> Reload + 'static,
+    reload: impl FnMut() -> SettingsReload + 'static,
 ) -> eyre::Result<()> {
     let mut stop = StopSignal::listen().wrap_err("can't wait for signals")?;
     let hang_up = signal(SignalKind::hangup()).wrap_err("can't wait for signals")?;
@@ -281,7 +281,7 @@
 async fn follow_settings(
     mut settings: DirectSettings,
     mut hang_up: Signal,
-    mut reload: impl FnMut() -> Reload,
+    mut reload: impl FnMut() -> SettingsReload,
     traffic: Rc<Traffic>,
     stop_within: Rc<Cell<Duration>>,
 ) {
@@ -291,14 +291,14 @@
             () = sleep(SETTINGS_PERIOD) => false,
         };
         match reload() {
-            Reload::Same if !is_asked => {}
-            Reload::Same => Line::new(Level::Info, "settings are as before").send(),
-            Reload::Bad(findings) => {
+            SettingsReload::Unchanged if !is_asked => {}
+            SettingsReload::Unchanged => Line::new(Level::Info, "settings are as before").send(),
+            SettingsReload::Invalid(findings) => {
                 Line::new(Level::Error, "settings can't be used; the last ones stay")
                     .field("findings", findings.to_string())
                     .send();
             }
-            Reload::Changed(new) => {
+            SettingsReload::Changed(new) => {
                 take_settings(&settings, &new, &traffic);
                 stop_within.set(new.stop_within);
                 settings = *new;
