--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -80,9 +80,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectSettings {
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where readiness is asked.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where counters and histograms are asked.
     pub metrics: SocketAddr,
     /// Where other entries reach this one, by datagram and connection.
@@ -90,13 +90,13 @@
     /// Some other entries.
     pub seeds: Vec<SocketAddr>,
     /// Second attempts that all entries together may make.
-    pub attempts: RetryLimits,
+    pub retry_limits: RetryLimits,
     /// How far beyond their allotments customers may get.
     pub tolerance: Tolerance,
     /// What a version may get that may be bad; none if versions mean nothing here.
     pub rollouts: Option<ExposureLimit>,
     /// Time between the signal to stop and the end by force.
-    pub stop_within: Duration,
+    pub shutdown_timeout: Duration,
     /// The longest rest that an upstream is given, whatever it asks for.
     pub max_backoff: Duration,
 }
@@ -237,7 +237,7 @@
     let table = RolloutTable::new(settings.rollouts, rand::random());
     let traffic = Traffic::new(
         adapter.header_codec,
-        settings.attempts,
+        settings.retry_limits,
         peers,
         socket,
         metrics,
@@ -248,8 +248,8 @@
         .borrow_mut()
         .set_tolerance(settings.tolerance);
     traffic.set_max_backoff(settings.max_backoff);
-    let callers = listen(settings.callers, "callers").await?;
-    let readiness = listen(settings.readiness, "readiness").await?;
+    let callers = listen(settings.caller_address, "callers").await?;
+    let readiness = listen(settings.readiness_address, "readiness").await?;
     let metrics = listen(settings.metrics, "figures").await?;
     spawn_local(front::serve_callers(callers, Rc::clone(&traffic)));
     spawn_local(front::serve_readiness(readiness, Rc::clone(&traffic)));
@@ -260,20 +260,20 @@
     spawn_local(rollout_driver::run(Rc::clone(&traffic), orders, due));
     spawn_local(log_size_shares(Rc::clone(&traffic)));
     Line::new(Level::Info, "started")
-        .field("address", settings.callers)
+        .field("address", settings.caller_address)
         .field("figures_address", settings.metrics)
         .field("seeds", &settings.seeds)
         .send();
-    let stop_within = Rc::new(Cell::new(settings.stop_within));
+    let shutdown_timeout = Rc::new(Cell::new(settings.shutdown_timeout));
     spawn_local(follow_settings(
         settings,
         hang_up,
         reload,
         Rc::clone(&traffic),
-        Rc::clone(&stop_within),
+        Rc::clone(&shutdown_timeout),
     ));
     stop.wait().await;
-    shut_down(&traffic, stop_within.get()).await;
+    shut_down(&traffic, shutdown_timeout.get()).await;
     Ok(())
 }
 
@@ -283,7 +283,7 @@
     mut hang_up: Signal,
     mut reload: impl FnMut() -> SettingsReload,
     traffic: Rc<Traffic>,
-    stop_within: Rc<Cell<Duration>>,
+    shutdown_timeout: Rc<Cell<Duration>>,
 ) {
     loop {
         let is_asked = tokio::select! {
@@ -300,7 +300,7 @@
             }
             SettingsReload::Changed(new) => {
                 take_settings(&settings, &new, &traffic);
-                stop_within.set(new.stop_within);
+                shutdown_timeout.set(new.shutdown_timeout);
                 settings = *new;
             }
         }
@@ -309,12 +309,16 @@
 
 /// Takes what can change without a new start, and says what can't.
 fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &Traffic) {
-    traffic.retry_budget.borrow_mut().set_limits(new.attempts);
+    traffic
+        .retry_budget
+        .borrow_mut()
+        .set_limits(new.retry_limits);
     traffic.quotas.borrow_mut().set_tolerance(new.tolerance);
     traffic.set_max_backoff(new.max_backoff);
     traffic.peers.borrow_mut().add_seeds(&new.seeds);
-    let moved =
-        old.callers != new.callers || old.readiness != new.readiness || old.peers != new.peers;
+    let moved = old.caller_address != new.caller_address
+        || old.readiness_address != new.readiness_address
+        || old.peers != new.peers;
     Line::new(Level::Info, "settings taken")
         .field("seeds", &new.seeds)
         .field("needs_restart", moved)
