--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -21,14 +21,14 @@
 use crate::direct::request::headers::ResponseHeaders;
 use crate::direct::sharing::admission::EntryRef;
 use crate::direct::store_view::directory::Upstream;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 use crate::numbers;
 
 /// Limits are told in requests in so many seconds.
 const LIMIT_S: f64 = 1_000.0;
 
-impl Traffic {
+impl TrafficState {
     /// Takes the longest rest that an upstream is given, whatever it asks for.
     pub fn set_max_backoff(&self, longest: Duration) {
         let longest_ms = u64::try_from(longest.as_millis()).unwrap_or(u64::MAX);
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -27,7 +27,7 @@
 use crate::direct::request::connection_pool::ConnectError;
 use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::SlotLease;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// A request that is not run now.
@@ -39,7 +39,7 @@
     pub retry_after_ms: u64,
 }
 
-impl Traffic {
+impl TrafficState {
     /// Notes that the connection broke on which a request ran.
     ///
     /// A request that ends whatever runs it was to each entry one of many broken connections. Its caller
@@ -264,7 +264,7 @@
 
 /// Sees whether anybody listens at an upstream's address. A connection that comes of it is kept, in
 /// place of the one that broke.
-async fn probe(traffic: Rc<Traffic>, upstream: Arc<Upstream>) {
+async fn probe(traffic: Rc<TrafficState>, upstream: Arc<Upstream>) {
     for pause_ms in PROBE_PAUSES_MS {
         sleep(Duration::from_millis(pause_ms)).await;
         if !traffic
--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -19,7 +19,7 @@
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
 use crate::direct::store_view::catalog::Customer;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// Questions to keepers that have no answer yet.
@@ -40,7 +40,7 @@
 
 /// Charges a request to its customer.
 pub async fn charge(
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficState>,
     customer: &Customer,
     cost: RequestCost,
     contention: Contention,
@@ -70,7 +70,7 @@
 }
 
 async fn request_charge(
-    traffic: &Traffic,
+    traffic: &TrafficState,
     keeper: SocketAddr,
     customer: &Customer,
     cost: RequestCost,
@@ -97,7 +97,7 @@
     timeout(within, answer).await.ok()?.ok()
 }
 
-impl Traffic {
+impl TrafficState {
     /// Charges a peer's request to a customer that is kept here.
     pub fn charge_for_peer(&self, to: SocketAddr, question: &ChargeRequest) {
         let catalog = self.catalog.borrow();
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -16,7 +16,7 @@
 use crate::direct::membership::peer_table::PeerTable;
 use crate::direct::replication::store_follower::LastStoreResponse;
 use crate::direct::sharing::admission::EntryRef;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 use crate::numbers;
 
@@ -25,7 +25,7 @@
 /// The heartbeats of one entry.
 #[derive(Debug)]
 pub struct HeartbeatTask {
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     incarnation: u64,
     sequence: u64,
     spent: SpendingReport,
@@ -48,7 +48,7 @@
 impl HeartbeatTask {
     /// The heartbeats of a new start of the process.
     #[must_use]
-    pub fn new(traffic: &Rc<Traffic>, links: ControlChannels) -> Self {
+    pub fn new(traffic: &Rc<TrafficState>, links: ControlChannels) -> Self {
         Self {
             traffic: Rc::clone(traffic),
             incarnation: rand::random(),
@@ -223,7 +223,7 @@
     }
 
     /// Tells all peers that this process ends, so that they need not wait for its silence.
-    pub fn announce_exit(traffic: &Traffic) {
+    pub fn announce_exit(traffic: &TrafficState) {
         let last_heartbeat = PeerMessage::Heartbeat(Heartbeat {
             is_last: true,
             ..Heartbeat::default()
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -40,7 +40,7 @@
 use crate::direct::store_view::catalog::Customer;
 use crate::direct::store_view::catalog::Route;
 use crate::direct::store_view::catalog::RouteLookup;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::numbers;
@@ -113,7 +113,7 @@
 
 impl Call {
     /// Notes that the first part of the answer has come.
-    pub fn note_first(&self, traffic: &Traffic) {
+    pub fn note_first(&self, traffic: &TrafficState) {
         let first_ms = traffic.now_ms() - self.arrived_ms;
         let tier = self.tier.to_string();
         traffic
@@ -213,7 +213,7 @@
 ///
 /// When it can't be served; the error is what its caller hears.
 pub async fn read(
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficState>,
     request: Request<Incoming>,
     headers: CallerHeaders,
 ) -> Result<Call, Refusal> {
@@ -321,7 +321,7 @@
 
 /// Charges a request to its customer's allotment; the error is that nothing is left.
 async fn charge(
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficState>,
     customer: &Arc<Customer>,
     route: &Route,
     service: &str,
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/ending.rs
@@ -6,7 +6,7 @@
 
 use crate::direct::sharing::size_stats::CallOutcome;
 use crate::direct::sharing::size_stats::SizeClass;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 
 /// What shares by size are counted by.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 /// that leaves and a stream that is cut count without a line of their own at each such place.
 #[derive(Debug)]
 pub struct Ending {
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     counted: Counted,
     has_started: Cell<bool>,
     end: Cell<CallOutcome>,
@@ -34,7 +34,7 @@
 impl Ending {
     /// Of a request that has just been read.
     #[must_use]
-    pub fn new(traffic: &Rc<Traffic>, counted: Counted) -> Rc<Self> {
+    pub fn new(traffic: &Rc<TrafficState>, counted: Counted) -> Rc<Self> {
         Rc::new(Self {
             traffic: Rc::clone(traffic),
             counted,
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -33,7 +33,7 @@
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::SlotResult;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::numbers;
@@ -89,7 +89,7 @@
 ///
 /// Never; what goes wrong becomes an answer.
 pub async fn handle(
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let open = OpenRequest::new(&traffic);
@@ -113,11 +113,11 @@
 /// Counts a request as open until its answer has left or its caller has.
 #[derive(Debug)]
 pub struct OpenRequest {
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
 }
 
 impl OpenRequest {
-    fn new(traffic: &Rc<Traffic>) -> Self {
+    fn new(traffic: &Rc<TrafficState>) -> Self {
         traffic.open_requests.set(traffic.open_requests.get() + 1);
         Self {
             traffic: Rc::clone(traffic),
@@ -132,7 +132,11 @@
     }
 }
 
-async fn serve(traffic: &Rc<Traffic>, mut call: Call, open: OpenRequest) -> Response<AnswerBody> {
+async fn serve(
+    traffic: &Rc<TrafficState>,
+    mut call: Call,
+    open: OpenRequest,
+) -> Response<AnswerBody> {
     // What an upstream said of its failure, if another one may still do better. If none can,
     // it is the truest answer that there is.
     let mut failure: Option<WholeAnswer> = None;
@@ -175,7 +179,7 @@
 
 /// Waits for room and sends the request there once. The error is when to come back, if
 /// there is no room.
-async fn attempt(traffic: &Rc<Traffic>, call: &mut Call) -> Result<Attempt, u64> {
+async fn attempt(traffic: &Rc<TrafficState>, call: &mut Call) -> Result<Attempt, u64> {
     let asked_ms = traffic.now_ms();
     let turn = if call.tried_upstreams.is_empty() {
         traffic.acquire_first_slot(call).await
@@ -195,7 +199,7 @@
 
 /// Sends a request to the upstream where it has room.
 pub async fn send(
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficState>,
     call: &mut Call,
     mut lease: SlotLease,
     last_event_id: Option<u64>,
@@ -251,7 +255,7 @@
     }
 }
 
-fn count_tokens(traffic: &Traffic, call: &Call, lease: &SlotLease) {
+fn count_tokens(traffic: &TrafficState, call: &Call, lease: &SlotLease) {
     if call.prompt_tokens == 0 {
         return;
     }
@@ -263,7 +267,7 @@
     kept.inc_by(lease.cached_tokens.into());
 }
 
-fn not_reached(traffic: &Rc<Traffic>, call: &Call, lease: &SlotLease, error: ConnectError) {
+fn not_reached(traffic: &Rc<TrafficState>, call: &Call, lease: &SlotLease, error: ConnectError) {
     log_attempt_with(traffic, call, lease, NOT_REACHED, |line| {
         line.field("error", error.name())
     });
@@ -272,12 +276,12 @@
     }
 }
 
-fn log_attempt(traffic: &Traffic, call: &Call, lease: &SlotLease, message: &'static str) {
+fn log_attempt(traffic: &TrafficState, call: &Call, lease: &SlotLease, message: &'static str) {
     log_attempt_with(traffic, call, lease, message, |line| line);
 }
 
 fn log_attempt_with(
-    traffic: &Traffic,
+    traffic: &TrafficState,
     call: &Call,
     lease: &SlotLease,
     message: &'static str,
@@ -304,7 +308,7 @@
 }
 
 fn upstream_request(
-    traffic: &Traffic,
+    traffic: &TrafficState,
     call: &Call,
     lease: &SlotLease,
     last_event_id: Option<u64>,
@@ -329,7 +333,7 @@
 
 /// Sorts an answer by what it says of the request.
 fn judge(
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficState>,
     call: &mut Call,
     response: Response<Incoming>,
     connection: Connection,
@@ -366,7 +370,7 @@
 }
 
 /// What becomes of a request whose attempt failed.
-fn next_step(traffic: &Traffic, call: &mut Call, failed: &Attempt) -> Next {
+fn next_step(traffic: &TrafficState, call: &mut Call, failed: &Attempt) -> Next {
     call.may_have_run |= !matches!(failed, Attempt::NotRun);
     if matches!(failed, Attempt::TimeUp) {
         return Next::AnswerTimeUp;
@@ -385,7 +389,7 @@
 }
 
 /// Whether a request may be sent to one more upstream.
-pub fn may_try_another(traffic: &Traffic, call: &Call) -> bool {
+pub fn may_try_another(traffic: &TrafficState, call: &Call) -> bool {
     if traffic.now_ms() >= call.deadline_at_ms {
         return false;
     }
@@ -417,7 +421,7 @@
 
 impl WholeAnswer {
     /// Counts and logs the answer as the one that the caller gets.
-    fn deliver(self, traffic: &Traffic, call: &Call) -> Response<AnswerBody> {
+    fn deliver(self, traffic: &TrafficState, call: &Call) -> Response<AnswerBody> {
         call.note_first(traffic);
         let status = self.response.status();
         if !status.is_server_error() {
@@ -441,7 +445,7 @@
 }
 
 /// Reads a short answer whole, or begins to pass a stream on.
-async fn finish(traffic: &Rc<Traffic>, call: &mut Call, answer: Answer) -> Finished {
+async fn finish(traffic: &Rc<TrafficState>, call: &mut Call, answer: Answer) -> Finished {
     let is_stream = call.route.retry_policy.is_stream() && answer.parts.status.is_success();
     if is_stream {
         return Finished::Stream(Box::new(Relay::new(traffic, call.clone(), answer)));
@@ -499,7 +503,12 @@
 }
 
 /// Keeps a connection for a next request if its answer was read whole.
-pub fn keep(traffic: &Traffic, lease: &SlotLease, connection: Connection, idle_ms: Option<u64>) {
+pub fn keep(
+    traffic: &TrafficState,
+    lease: &SlotLease,
+    connection: Connection,
+    idle_ms: Option<u64>,
+) {
     let instance = &lease.upstream.instance;
     traffic.connection_pool.put(instance, connection, idle_ms);
 }
--- a/lib/src/direct/request/front.rs
+++ b/lib/src/direct/request/front.rs
@@ -24,7 +24,7 @@
 use crate::direct::request::quarantine_page;
 use crate::direct::request::rollout_page;
 use crate::direct::store_view::catalog::DEFAULT_IDLE_TIMEOUT_MS;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// Pause after a connection could not be accepted, for example for want of descriptors.
@@ -39,7 +39,7 @@
 const ROLLOUTS_PATH: &str = "/rollouts";
 
 /// Serves callers until the process ends.
-pub async fn serve_callers(listener: TcpListener, traffic: Rc<Traffic>) {
+pub async fn serve_callers(listener: TcpListener, traffic: Rc<TrafficState>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -62,7 +62,7 @@
     last_ms: Cell<u64>,
 }
 
-async fn serve_caller(stream: TcpStream, traffic: Rc<Traffic>) {
+async fn serve_caller(stream: TcpStream, traffic: Rc<TrafficState>) {
     if let Err(error) = stream.set_nodelay(true) {
         traffic.log(Level::Warn, "caller's connection is not usable", |line| {
             line.field("error", error.to_string())
@@ -102,7 +102,7 @@
     }
 }
 
-fn idle_timeout_ms(traffic: &Traffic) -> u64 {
+fn idle_timeout_ms(traffic: &TrafficState) -> u64 {
     let catalog = traffic.catalog.borrow();
     catalog
         .as_ref()
@@ -110,7 +110,7 @@
 }
 
 /// Serves the readiness until the process ends.
-pub async fn serve_readiness(listener: TcpListener, traffic: Rc<Traffic>) {
+pub async fn serve_readiness(listener: TcpListener, traffic: Rc<TrafficState>) {
     serve_page(listener, traffic, |traffic, _| {
         status_only(if traffic.is_ready() {
             StatusCode::OK
@@ -123,7 +123,7 @@
 
 /// Serves the counters and histograms, what is known of requests under which upstreams ended, what
 /// upstreams say of themselves, and the roll-outs, until the process ends.
-pub async fn serve_figures(listener: TcpListener, traffic: Rc<Traffic>) {
+pub async fn serve_figures(listener: TcpListener, traffic: Rc<TrafficState>) {
     serve_page(listener, traffic, |traffic, request| {
         let path = request.uri().path();
         if path == METRICS_PATH {
@@ -152,8 +152,8 @@
 
 async fn serve_page(
     listener: TcpListener,
-    traffic: Rc<Traffic>,
-    page: fn(&Traffic, &Request<Incoming>) -> Response<Full<Bytes>>,
+    traffic: Rc<TrafficState>,
+    page: fn(&TrafficState, &Request<Incoming>) -> Response<Full<Bytes>>,
 ) {
     loop {
         let stream = match listener.accept().await {
--- a/lib/src/direct/request/notices_page.rs
+++ b/lib/src/direct/request/notices_page.rs
@@ -8,12 +8,12 @@
 
 use crate::direct::request::page::said;
 use crate::direct::request::page::shown;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 
 const USAGE: &str = "GET /notices lists all\n";
 
 /// Answers a call to the page: `GET` lists all.
-pub fn answer(traffic: &Traffic, method: &Method, rest: &str) -> Response<Full<Bytes>> {
+pub fn answer(traffic: &TrafficState, method: &Method, rest: &str) -> Response<Full<Bytes>> {
     match (method, rest) {
         (&Method::GET, "" | "/") => shown(&traffic.notices_json()),
         (&Method::GET, _) => said(StatusCode::NOT_FOUND, USAGE),
--- a/lib/src/direct/request/pace.rs
+++ b/lib/src/direct/request/pace.rs
@@ -5,7 +5,7 @@
 use crate::direct::request::call::Call;
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::traffic::SlotLease;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 
 /// Events after which the pace of a stream is known.
 const PACE_EVENTS: u32 = 5;
@@ -27,7 +27,7 @@
     }
 
     /// Notes that so many more have come.
-    pub fn next(&mut self, events: u32, traffic: &Traffic, call: &Call, lease: &SlotLease) {
+    pub fn next(&mut self, events: u32, traffic: &TrafficState, call: &Call, lease: &SlotLease) {
         self.events += events;
         if self.events >= PACE_EVENTS {
             self.end(traffic, call, lease);
@@ -35,7 +35,7 @@
     }
 
     /// Tells it if it was not told. What a second upstream goes on with says nothing of either.
-    pub fn end(&mut self, traffic: &Traffic, call: &Call, lease: &SlotLease) {
+    pub fn end(&mut self, traffic: &TrafficState, call: &Call, lease: &SlotLease) {
         let is_told = std::mem::replace(&mut self.is_told, true);
         let Some(first) = self
             .first
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -11,7 +11,7 @@
 use crate::direct::quarantine::suspect::SuspectUpdate;
 use crate::direct::request::page;
 use crate::direct::request::page::said;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// One request under which upstreams ended.
@@ -47,7 +47,7 @@
 
 /// Answers a call to the page: `GET` lists all, `DELETE` with a fingerprint lets one go, at every
 /// entry.
-pub fn answer(traffic: &Traffic, method: &Method, rest: &str) -> Response<Full<Bytes>> {
+pub fn answer(traffic: &TrafficState, method: &Method, rest: &str) -> Response<Full<Bytes>> {
     let request = rest.strip_prefix('/').and_then(Fingerprint::parse);
     match (method, rest, request) {
         (&Method::GET, "" | "/", _) => list(traffic),
@@ -61,7 +61,7 @@
     }
 }
 
-fn list(traffic: &Traffic) -> Response<Full<Bytes>> {
+fn list(traffic: &TrafficState) -> Response<Full<Bytes>> {
     let mut all = traffic.suspects.borrow().all_updates(traffic.now_ms());
     // What was only cleared is kept for the other entries' sake.
     all.retain(|told| told.quarantine.is_some() || !told.crashes.is_empty());
@@ -70,7 +70,7 @@
     page::shown(&shown)
 }
 
-fn let_go(traffic: &Traffic, request: Fingerprint) -> Response<Full<Bytes>> {
+fn let_go(traffic: &TrafficState, request: Fingerprint) -> Response<Full<Bytes>> {
     if !traffic.clear_suspicion(request) {
         return said(StatusCode::NOT_FOUND, "nothing is held against it here\n");
     }
--- a/lib/src/direct/request/refusal.rs
+++ b/lib/src/direct/request/refusal.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::direct::request::answer_body::AnswerBody;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// An answer of our own.
@@ -49,7 +49,7 @@
     }
 
     /// Counts it, logs it and makes it an answer.
-    pub fn response(self, traffic: &Traffic) -> Response<AnswerBody> {
+    pub fn response(self, traffic: &TrafficState) -> Response<AnswerBody> {
         traffic.log(Level::Info, self.why, |line| {
             line.field("request", &self.name)
                 .field("status", self.status.as_u16())
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -30,7 +30,7 @@
 use crate::direct::request::pace::Pace;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::SlotResult;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// Silence of an upstream after which its stream goes on elsewhere, where it may. Callers
@@ -59,7 +59,7 @@
 /// A stream that is being passed on.
 #[derive(Debug)]
 pub struct Relay {
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     call: Call,
     parts: http::response::Parts,
     source: Option<Source>,
@@ -116,7 +116,7 @@
 impl Relay {
     /// Begins with an upstream's answer.
     #[must_use]
-    pub fn new(traffic: &Rc<Traffic>, call: Call, answer: Answer) -> Self {
+    pub fn new(traffic: &Rc<TrafficState>, call: Call, answer: Answer) -> Self {
         Self {
             traffic: Rc::clone(traffic),
             call,
--- a/lib/src/direct/request/rollout_page.rs
+++ b/lib/src/direct/request/rollout_page.rs
@@ -10,13 +10,13 @@
 use crate::direct::request::page::said;
 use crate::direct::request::page::shown;
 use crate::direct::rollout_driver::RolloutCommand;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 
 const USAGE: &str = "GET /rollouts, or POST /rollouts/SERVICE/hold, /resume or /revert\n";
 
 /// Answers a call to the page: `GET` lists all; `POST` with a service and what to do does that, at
 /// every entry.
-pub fn answer(traffic: &Traffic, method: &Method, rest: &str) -> Response<Full<Bytes>> {
+pub fn answer(traffic: &TrafficState, method: &Method, rest: &str) -> Response<Full<Bytes>> {
     let command = rest.strip_prefix('/').and_then(parse);
     match (method, rest, command) {
         (&Method::GET, "" | "/", _) => list(traffic),
@@ -50,7 +50,7 @@
     Some((service, command))
 }
 
-fn list(traffic: &Traffic) -> Response<Full<Bytes>> {
+fn list(traffic: &TrafficState) -> Response<Full<Bytes>> {
     let states = traffic.rollouts.borrow().states(traffic.now_ms());
     let pages: Vec<Value> = states
         .iter()
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -35,7 +35,7 @@
 use crate::direct::store_view::directory::Upstream;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::SlotResult;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// How often orders that are in progress are looked at, and others.
@@ -71,7 +71,7 @@
 
 /// Looks after orders until the process ends.
 pub async fn run(
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     mut view: watch::Receiver<Option<RolloutView>>,
     due: StatusWriter,
 ) {
@@ -98,7 +98,7 @@
     }
 }
 
-impl Traffic {
+impl TrafficState {
     fn apply_stored(&self, view: &RolloutView) {
         let now_ms = self.now_ms();
         let known: Vec<Rollout> = {
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -48,7 +48,7 @@
 use crate::direct::sharing::retry_budget::RetryLimits;
 use crate::direct::store_view::replica::ObjectDecoders;
 use crate::direct::store_view::replica::ReplicaSnapshot;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::findings::Findings;
 use crate::logging::Level;
 use crate::logging::Line;
@@ -235,7 +235,7 @@
     let peers = PeerTable::new(settings.peers, &settings.seeds);
     let metrics = DirectMetrics::new().wrap_err("can't count")?;
     let table = RolloutTable::new(settings.rollouts, rand::random());
-    let traffic = Traffic::new(
+    let traffic = TrafficState::new(
         adapter.header_codec,
         settings.retry_limits,
         peers,
@@ -282,7 +282,7 @@
     mut settings: DirectSettings,
     mut hang_up: Signal,
     mut reload: impl FnMut() -> SettingsReload,
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     shutdown_timeout: Rc<Cell<Duration>>,
 ) {
     loop {
@@ -308,7 +308,7 @@
 }
 
 /// Takes what can change without a new start, and says what can't.
-fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &Traffic) {
+fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &TrafficState) {
     traffic
         .retry_budget
         .borrow_mut()
@@ -335,7 +335,7 @@
 async fn take_views(
     mut view: watch::Receiver<ReplicaSnapshot>,
     own_revisions: watch::Sender<Revisions>,
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
 ) {
     while view.changed().await.is_ok() {
         let view = view.borrow_and_update().clone();
@@ -354,7 +354,7 @@
     Line::new(Level::Error, "the control thread has ended").send();
 }
 
-async fn sweep(traffic: Rc<Traffic>) {
+async fn sweep(traffic: Rc<TrafficState>) {
     loop {
         sleep(SWEEP_PERIOD).await;
         traffic.maintain_quarantine();
@@ -367,7 +367,7 @@
 }
 
 /// Says how requests ended by size, of the kinds of which some were not served.
-async fn log_size_shares(traffic: Rc<Traffic>) {
+async fn log_size_shares(traffic: Rc<TrafficState>) {
     loop {
         sleep(SHARES_PERIOD).await;
         let all = traffic.size_stats.borrow_mut().take_routes_with_unserved();
@@ -380,7 +380,7 @@
 }
 
 /// Lets the balancer look elsewhere, serves what is open, and returns.
-async fn shut_down(traffic: &Traffic, within: Duration) {
+async fn shut_down(traffic: &TrafficState, within: Duration) {
     let began = Instant::now();
     traffic.is_stopping.set(true);
     Line::new(Level::Info, "stopping")
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -23,7 +23,7 @@
 use crate::direct::sharing::admission::SlotRequest;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::SlotResult;
-use crate::direct::traffic::Traffic;
+use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
 /// What a door answers to a waiting request.
@@ -54,7 +54,7 @@
 
 /// A waiting request; dropping it takes its questions back.
 struct Waiting {
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     asking: SlotSearch,
     replies: UnboundedSender<Reply>,
 }
@@ -194,7 +194,7 @@
 }
 
 /// Waits for room at an upstream until the request's time is up.
-pub async fn acquire_slot(traffic: &Rc<Traffic>, job: Job) -> SlotResult {
+pub async fn acquire_slot(traffic: &Rc<TrafficState>, job: Job) -> SlotResult {
     let until = traffic.instant_at(job.waits_until_ms());
     let (sender, mut replies) = mpsc::unbounded_channel();
     let mut waiting = Waiting {
@@ -210,7 +210,7 @@
     }
 }
 
-impl Traffic {
+impl TrafficState {
     /// When a refused caller should come back: when the first upstream has had its rest, if all are at
     /// rest, and otherwise after a part of its time.
     #[must_use]
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -60,7 +60,7 @@
 
 /// The state of the traffic thread.
 #[derive(Debug)]
-pub struct Traffic {
+pub struct TrafficState {
     /// How headers are read and written.
     pub header_codec: HeaderCodec,
     /// Connections to upstreams.
@@ -127,7 +127,7 @@
 /// A request's room at an upstream; dropping it gives the room back.
 #[derive(Debug)]
 pub struct SlotLease {
-    traffic: Rc<Traffic>,
+    traffic: Rc<TrafficState>,
     /// Where the room is.
     pub upstream: Arc<Upstream>,
     /// How the call ended, as far as it has.
@@ -149,7 +149,7 @@
     /// Room that the dispatcher has counted.
     #[must_use]
     pub fn new(
-        traffic: &Rc<Traffic>,
+        traffic: &Rc<TrafficState>,
         upstream: Arc<Upstream>,
         cached_tokens: u32,
         is_granted: bool,
@@ -250,7 +250,7 @@
     },
 }
 
-impl Traffic {
+impl TrafficState {
     /// The state of an entry that has neither configuration nor upstreams yet.
     #[must_use]
     pub fn new(
