--- a/lib/src/direct/request.rs
+++ b/lib/src/direct/request.rs
@@ -1,7 +1,6 @@
 //! One request from its caller's connection to an upstream, and its answer back. It carries bytes
 //! and asks the other parts what to do.
 
-pub mod answer_body;
 pub mod call;
 pub mod connection_pool;
 pub mod ending;
@@ -15,4 +14,5 @@
 pub mod quarantine_page;
 pub mod refusal;
 pub mod relay;
+pub mod response_body;
 pub mod rollout_page;
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -18,7 +18,6 @@
 
 use crate::direct::log_rate_limit::LogCategory;
 use crate::direct::placement::health::AttemptOutcome;
-use crate::direct::request::answer_body::AnswerBody;
 use crate::direct::request::call::Call;
 use crate::direct::request::call::end_to_end;
 use crate::direct::request::call::read;
@@ -30,6 +29,7 @@
 use crate::direct::request::no_answer::refuse;
 use crate::direct::request::no_answer::unknown;
 use crate::direct::request::relay::Relay;
+use crate::direct::request::response_body::ResponseBody;
 use crate::direct::rollout::table::RunOutcome;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::SlotResult;
@@ -91,7 +91,7 @@
 pub async fn handle(
     traffic: Rc<TrafficState>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let open = OpenRequest::new(&traffic);
     traffic.metrics.requests.inc();
     let headers = (traffic.header_codec.read_request)(request.headers());
@@ -136,7 +136,7 @@
     traffic: &Rc<TrafficState>,
     mut call: Call,
     open: OpenRequest,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     // What an upstream said of its failure, if another one may still do better. If none can,
     // it is the truest answer that there is.
     let mut failure: Option<WholeAnswer> = None;
@@ -415,13 +415,13 @@
 
 /// An answer that was read whole, and has not been delivered yet.
 struct WholeAnswer {
-    response: Response<AnswerBody>,
+    response: Response<ResponseBody>,
     held_ms: u64,
 }
 
 impl WholeAnswer {
     /// Counts and logs the answer as the one that the caller gets.
-    fn deliver(self, traffic: &TrafficState, call: &Call) -> Response<AnswerBody> {
+    fn deliver(self, traffic: &TrafficState, call: &Call) -> Response<ResponseBody> {
         call.note_first(traffic);
         let status = self.response.status();
         if !status.is_server_error() {
@@ -492,7 +492,7 @@
     if !has_failed {
         lease.learn(|health| health.answered_after(numbers::as_f64(held_ms)));
     }
-    let mut response = Response::from_parts(parts, AnswerBody::Whole(body));
+    let mut response = Response::from_parts(parts, ResponseBody::Whole(body));
     *response.headers_mut() = end_to_end(std::mem::take(response.headers_mut()));
     let answer = WholeAnswer { response, held_ms };
     if has_failed && call.route.retry_policy.is_idempotent() && may_try_another(traffic, call) {
@@ -513,12 +513,12 @@
     traffic.connection_pool.put(instance, connection, idle_ms);
 }
 
-fn stream_response(relay: Box<Relay>, open: OpenRequest) -> Response<AnswerBody> {
+fn stream_response(relay: Box<Relay>, open: OpenRequest) -> Response<ResponseBody> {
     let mut parts = relay.head();
     parts.headers = end_to_end(parts.headers);
     let chunks = stream::unfold((relay, open), |(mut relay, open)| async move {
         let chunk = relay.next().await?;
         Some((chunk, (relay, open)))
     });
-    Response::from_parts(parts, AnswerBody::Stream(Box::pin(chunks)))
+    Response::from_parts(parts, ResponseBody::Stream(Box::pin(chunks)))
 }
--- a/lib/src/direct/request/no_answer.rs
+++ b/lib/src/direct/request/no_answer.rs
@@ -5,14 +5,14 @@
 use http::StatusCode;
 use serde_json::json;
 
-use crate::direct::request::answer_body::AnswerBody;
 use crate::direct::request::call::Call;
 use crate::direct::request::refusal::Refusal;
+use crate::direct::request::response_body::ResponseBody;
 use crate::direct::sharing::size_stats::CallOutcome;
 use crate::direct::traffic::TrafficState;
 
 /// Refuses a request that found no room. If an upstream may have run it, its outcome is unknown.
-pub fn refuse(traffic: &TrafficState, call: &Call, retry_after_ms: u64) -> Response<AnswerBody> {
+pub fn refuse(traffic: &TrafficState, call: &Call, retry_after_ms: u64) -> Response<ResponseBody> {
     if !call.may_have_run {
         call.ending.set(CallOutcome::NoSlot);
         let id = call.request_id.as_ref();
@@ -48,7 +48,7 @@
 }
 
 /// Tells that a request may have run, and nobody knows.
-pub fn unknown(traffic: &TrafficState, call: &Call, status: StatusCode) -> Response<AnswerBody> {
+pub fn unknown(traffic: &TrafficState, call: &Call, status: StatusCode) -> Response<ResponseBody> {
     let id = call.request_id.as_ref();
     let inputs = json!({
         "route": call.route.name,
--- a/lib/src/direct/request/refusal.rs
+++ b/lib/src/direct/request/refusal.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use serde_json::Value;
 
-use crate::direct::request::answer_body::AnswerBody;
+use crate::direct::request::response_body::ResponseBody;
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
@@ -49,7 +49,7 @@
     }
 
     /// Counts it, logs it and makes it an answer.
-    pub fn response(self, traffic: &TrafficState) -> Response<AnswerBody> {
+    pub fn response(self, traffic: &TrafficState) -> Response<ResponseBody> {
         traffic.log(Level::Info, self.why, |line| {
             line.field("request", &self.name)
                 .field("status", self.status.as_u16())
@@ -62,7 +62,7 @@
             .with_label_values(&[self.why])
             .inc();
         let body = Bytes::from_static(self.why.as_bytes());
-        let mut response = Response::new(AnswerBody::Whole(body));
+        let mut response = Response::new(ResponseBody::Whole(body));
         *response.status_mut() = self.status;
         if let Some(retry_after_ms) = self.retry_after_ms {
             (traffic.header_codec.write_retry_after)(response.headers_mut(), retry_after_ms);
--- a/lib/src/direct/request/answer_body.rs
+++ b/lib/src/direct/request/response_body.rs
@@ -16,7 +16,7 @@
 type Events = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
 
 /// Either whole or a stream that is still coming.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Bytes that are all there.
     Whole(Bytes),
     /// Bytes that come one after another. An error closes the caller's connection without
@@ -24,7 +24,7 @@
     Stream(Events),
 }
 
-impl fmt::Debug for AnswerBody {
+impl fmt::Debug for ResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Whole(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
@@ -33,7 +33,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Broken;
 
