--- a/lib/src/direct/request/notices_page.rs
+++ b/lib/src/direct/request/notices_page.rs
@@ -6,8 +6,8 @@
 use http::StatusCode;
 use http_body_util::Full;
 
-use crate::direct::request::page::said;
-use crate::direct::request::page::shown;
+use crate::direct::request::operator_page::said;
+use crate::direct::request::operator_page::shown;
 use crate::direct::traffic::TrafficState;
 
 const USAGE: &str = "GET /notices lists all\n";
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -9,8 +9,8 @@
 
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantine::suspect::SuspectUpdate;
-use crate::direct::request::page;
-use crate::direct::request::page::said;
+use crate::direct::request::operator_page;
+use crate::direct::request::operator_page::said;
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
@@ -67,7 +67,7 @@
     all.retain(|told| told.quarantine.is_some() || !told.crashes.is_empty());
     all.sort_by_key(|told| std::cmp::Reverse(told.quarantine.map(|quarantine| quarantine.left_ms)));
     let shown: Vec<Shown> = all.iter().map(Shown::from).collect();
-    page::shown(&shown)
+    operator_page::shown(&shown)
 }
 
 fn let_go(traffic: &TrafficState, request: Fingerprint) -> Response<Full<Bytes>> {
--- a/lib/src/direct/request/rollout_page.rs
+++ b/lib/src/direct/request/rollout_page.rs
@@ -7,8 +7,8 @@
 use http_body_util::Full;
 use serde_json::Value;
 
-use crate::direct::request::page::said;
-use crate::direct::request::page::shown;
+use crate::direct::request::operator_page::said;
+use crate::direct::request::operator_page::shown;
 use crate::direct::rollout_driver::RolloutCommand;
 use crate::direct::traffic::TrafficState;
 
