--- a/lib/src/direct/request.rs
+++ b/lib/src/direct/request.rs
@@ -3,13 +3,13 @@
 
 pub mod call;
 pub mod connection_pool;
-pub mod ending;
 pub mod exchange;
 pub mod failure_responses;
 pub mod headers;
 pub mod listeners;
 pub mod notices_page;
 pub mod operator_page;
+pub mod outcome_recorder;
 pub mod pace;
 pub mod quarantine_page;
 pub mod refusal;
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -27,9 +27,9 @@
 use crate::direct::quarantine::fingerprint::FingerprintInput;
 use crate::direct::quarantine_driver::QuarantinedRequest;
 use crate::direct::quota_driver;
-use crate::direct::request::ending::Counted;
-use crate::direct::request::ending::Ending;
 use crate::direct::request::headers::CallerHeaders;
+use crate::direct::request::outcome_recorder::Counted;
+use crate::direct::request::outcome_recorder::OutcomeRecorder;
 use crate::direct::request::refusal::Refusal;
 use crate::direct::request::refusal::name_of;
 use crate::direct::sharing::quota::ChargeOutcome;
@@ -108,7 +108,7 @@
     /// How long it has waited for room, over all attempts.
     pub waited_ms: u64,
     /// Counts how it ends.
-    pub ending: Rc<Ending>,
+    pub ending: Rc<OutcomeRecorder>,
 }
 
 impl Call {
@@ -254,7 +254,7 @@
             .borrow_mut()
             .classify(&route.name, headers.size()),
     };
-    let ending = Ending::new(traffic, counted);
+    let ending = OutcomeRecorder::new(traffic, counted);
     if let Some(customer) = &customer {
         charge(traffic, customer, &route, service, &headers, &ending).await?;
     }
@@ -326,7 +326,7 @@
     route: &Route,
     service: &str,
     headers: &CallerHeaders,
-    ending: &Ending,
+    ending: &OutcomeRecorder,
 ) -> Result<(), Refusal> {
     let cost = RequestCost {
         tokens: headers.charged_tokens(),
--- a/lib/src/direct/request/ending.rs
+++ b/lib/src/direct/request/outcome_recorder.rs
@@ -24,14 +24,14 @@
 /// Counts a request when it is dropped, as not whole unless something else was said: so a caller
 /// that leaves and a stream that is cut count without a line of their own at each such place.
 #[derive(Debug)]
-pub struct Ending {
+pub struct OutcomeRecorder {
     traffic: Rc<TrafficState>,
     counted: Counted,
     has_started: Cell<bool>,
     end: Cell<CallOutcome>,
 }
 
-impl Ending {
+impl OutcomeRecorder {
     /// Of a request that has just been read.
     #[must_use]
     pub fn new(traffic: &Rc<TrafficState>, counted: Counted) -> Rc<Self> {
@@ -81,7 +81,7 @@
     }
 }
 
-impl Drop for Ending {
+impl Drop for OutcomeRecorder {
     fn drop(&mut self) {
         let Counted {
             kind,
