--- a/bench/src/direct/fleet/admission.rs
+++ b/bench/src/direct/fleet/admission.rs
@@ -150,7 +150,7 @@
                 self.grant(entry);
             }
             EntryRef::Peer(peer) => {
-                self.tell(entry, peer, PeerMessage::Released { upstream, release })
+                self.tell(entry, peer, PeerMessage::Released { upstream, release });
             }
         }
     }
@@ -163,7 +163,7 @@
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.hear_heartbeat(entry, peer, &heartbeat),
             PeerMessage::RequestSlot(slot_request) => {
-                self.handle_slot_request(entry, EntryRef::Peer(peer), slot_request)
+                self.handle_slot_request(entry, EntryRef::Peer(peer), slot_request);
             }
             PeerMessage::Cancel {
                 upstream,
--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -225,10 +225,10 @@
         for next in all {
             match next {
                 SearchStep::RequestSlot { id, instance } => {
-                    self.request_slot(entry, request, id, &instance)
+                    self.request_slot(entry, request, id, &instance);
                 }
                 SearchStep::CancelSlotRequest { id, instance } => {
-                    self.take_back(entry, id, &instance)
+                    self.take_back(entry, id, &instance);
                 }
                 SearchStep::StartWithoutGrant { instance } => {
                     return self.start(entry, request, &instance, false);
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -97,7 +97,7 @@
         match PeerMessage::decode(bytes) {
             Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
             Some(PeerMessage::RequestSlot(slot_request)) => {
-                traffic.handle_slot_request(EntryRef::Peer(from), slot_request)
+                traffic.handle_slot_request(EntryRef::Peer(from), slot_request);
             }
             Some(PeerMessage::Cancel {
                 upstream,
@@ -125,7 +125,7 @@
             }
             Some(PeerMessage::ChargeRequest(question)) => traffic.charge_for_peer(from, &question),
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
-                traffic.complete_charge(request_id, charge)
+                traffic.complete_charge(request_id, charge);
             }
             Some(PeerMessage::SuspectRequests(told)) => traffic.merge_suspect_updates(&told),
             Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -106,7 +106,7 @@
         match owner {
             EntryRef::Local => traffic.handle_slot_request(EntryRef::Local, slot_request),
             EntryRef::Peer(address) => {
-                traffic.send_to_peer(address, &PeerMessage::RequestSlot(slot_request))
+                traffic.send_to_peer(address, &PeerMessage::RequestSlot(slot_request));
             }
         }
     }
@@ -311,7 +311,7 @@
                 self.grant_slots();
             }
             EntryRef::Peer(peer) => {
-                self.send_to_peer(peer, &PeerMessage::Released { upstream, release })
+                self.send_to_peer(peer, &PeerMessage::Released { upstream, release });
             }
         }
     }
