--- a/lib/src/direct/rollout.rs
+++ b/lib/src/direct/rollout.rs
@@ -1,9 +1,10 @@
-//! Roll-outs: an operator's order to move a service to another version of its upstreams' software.
+//! Rollouts, by which an operator moves a service to another version of its upstreams' software.
 //!
-//! It decides and knows no socket and no clock: events, facts and the time go in, and what to do
-//! next comes out. A small part of each route's requests goes to the new version, which is judged
-//! beside the old one. [`progress`] is one order at one entry; [`serving_versions`] says which version
-//! serves while there is none.
+//! The module does no I/O and reads no clock: events, facts and the time go in, and actions come
+//! out. A small part of each route's requests goes to the new version, which is compared with the
+//! old one.
+//! [`progress`] holds one rollout at one entry; [`serving_versions`] decides which version serves
+//! while there is none.
 
 pub mod exposure;
 pub mod message;
--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of a roll-out.
+//! Messages that entries send each other about a rollout.
 
 use std::net::SocketAddr;
 
@@ -10,52 +10,52 @@
 use crate::direct::rollout::outcome_counts::OutcomeCounts;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
 
-/// Entries that collect what all others have seen, and write to the store. One would do; the others
-/// are there for the case that it is killed or cut off.
+/// Entries that collect the evidence of all others and write to the store. One would suffice; the
+/// others take over if it is killed or cut off.
 pub const COORDINATORS: usize = 3;
-/// Cells in one report. One takes 18 bytes at most, so that a report fits into a datagram.
-const MAX_CELLS: usize = 60;
-/// Reports that tell a count after it has changed, since some are lost, and counts beyond these in
-/// each report, for a judge that has started anew.
-const TOLD_TIMES: u32 = 3;
-const REPEATED_CELLS: usize = 6;
+/// Counts in one report. One takes 18 bytes at most, so that a report fits into a datagram.
+const MAX_REPORTED_COUNTS: usize = 60;
+/// Reports in which a changed count is repeated, since some reports are lost, and the number of
+/// older counts that each report also repeats, for a coordinator that has restarted.
+const REPEATS_OF_CHANGED: u32 = 3;
+const REPEATED_UNCHANGED: usize = 6;
 
-/// How far an order has come among the entries. A later one is never taken back by an earlier one.
+/// The phase of a rollout among the entries. A phase is never replaced by an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RolloutPhase {
     /// A small part of the requests goes to the new version.
     Judging,
-    /// All go there, and the old version runs out.
+    /// All requests go to the new version, and the old one finishes what it runs.
     Shifting,
-    /// None goes there any more.
+    /// No more requests go to the new version.
     Rejected,
 }
 
-/// Why an order has left a phase.
+/// Why a rollout has entered its phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionReason {
-    /// It has not.
+    /// It is in its first phase.
     Begun,
-    /// The evidence is clean, and its time has come.
+    /// Nothing speaks against the new version, and it is time for the shift.
     Clean,
     /// The old version has no upstreams.
     NothingToMove,
     /// Requests fail at the new version.
     Failing,
-    /// A part of the requests is slow there.
+    /// A part of the requests is slow at the new version.
     PartlySlow,
-    /// All requests are slow there.
+    /// All requests are slow at the new version.
     Slow,
-    /// The window is over, and too little is known of it.
+    /// The window is over, and there is too little evidence about the new version.
     NotProven,
-    /// The window is over, and too few of its upstreams have come.
+    /// The window is over, and the new version has too few upstreams.
     TooFewUpstreams,
     /// An operator has decided.
     Operator,
 }
 
 impl DecisionReason {
-    /// Its name in logs.
+    /// Returns the name used in logs, metrics and on operators' pages.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::rollout::message::DecisionReason::Slow.name(), "all requests are slow");
@@ -76,84 +76,87 @@
     }
 }
 
-/// How far an order has come, as one entry tells all others.
+/// The state of a rollout, as a coordinator sends it to all entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutState {
-    /// The order as the store last showed it.
+    /// The rollout as last read from the store.
     pub rollout: Rollout,
-    /// Time since it was first seen.
+    /// Time since any entry first saw the rollout.
     pub elapsed_ms: u64,
-    /// How far it has come.
+    /// The phase.
     pub phase: RolloutPhase,
-    /// Why.
+    /// Why the phase was entered.
     pub reason: DecisionReason,
-    /// Odd while an operator keeps it from being shifted; counts up with each change.
+    /// Number of times that an operator has put the rollout on hold or resumed it. It is odd while
+    /// the rollout is on hold.
     pub hold_changes: u32,
-    /// Upstreams of the new version that take requests at the same time; only grows.
+    /// Upstreams of the new version that take canary requests at the same time. It only grows.
     pub concurrent_canaries: u8,
-    /// Counts those that have had their turn.
+    /// Number of the rotation: with each, the next upstream takes the canary requests.
     pub rotation: u8,
 }
 
-/// What one entry has seen and does, as it tells the judges.
+/// The evidence and progress of one entry, as it sends them to the coordinators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// The order.
+    /// The rollout.
     pub id: RolloutId,
-    /// A random number of this start of the process.
+    /// A random number that identifies this run of the process.
     pub incarnation: u64,
-    /// Whether it sends the old version nothing any more.
+    /// Whether the entry sends no more requests to the old version.
     pub is_shifted: bool,
-    /// Requests of it that run at the old version and can't be moved.
+    /// Pinned requests of the entry that run at the old version.
     pub pinned_at_old: u32,
-    /// What its requests came to; a part if there is much.
+    /// The entry's counts of requests by outcome. If there are many, each report has a part of
+    /// them.
     pub counts: Vec<(OutcomeKey, u32)>,
 }
 
-/// Chooses what the next report tells: what has changed, and then what was told least of late.
+/// Chooses the counts for the next report: first those that have changed, then those that were sent
+/// least often since their last change.
 ///
 /// ```
-/// use sardinewood::direct::rollout::message::NextCounts;
+/// use sardinewood::direct::rollout::message::ReportCounts;
 /// use sardinewood::direct::rollout::outcome_counts::OutcomeCounts;
 ///
-/// assert!(NextCounts::default().next(&OutcomeCounts::default()).is_empty());
+/// assert!(ReportCounts::default().choose(&OutcomeCounts::default()).is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct NextCounts {
-    told: indexmap::IndexMap<OutcomeKey, (u32, u32)>,
+pub struct ReportCounts {
+    /// The last count sent by key, and how often it was sent.
+    sent_counts: indexmap::IndexMap<OutcomeKey, (u32, u32)>,
 }
 
-impl NextCounts {
-    /// The counts for the next report.
+impl ReportCounts {
+    /// Returns the counts for the next report.
     ///
     /// ```
-    /// # use sardinewood::direct::rollout::{message::NextCounts, outcome_counts::OutcomeCounts};
-    /// assert!(NextCounts::default().next(&OutcomeCounts::default()).is_empty());
+    /// # use sardinewood::direct::rollout::{message::ReportCounts, outcome_counts::OutcomeCounts};
+    /// assert!(ReportCounts::default().choose(&OutcomeCounts::default()).is_empty());
     /// ```
-    pub fn next(&mut self, tally: &OutcomeCounts) -> Vec<(OutcomeKey, u32)> {
-        for (cell, count) in tally.iter() {
-            let told = self.told.entry(cell).or_default();
-            if told.0 != count {
-                *told = (count, 0);
+    pub fn choose(&mut self, outcome_counts: &OutcomeCounts) -> Vec<(OutcomeKey, u32)> {
+        for (key, count) in outcome_counts.iter() {
+            let sent_counts = self.sent_counts.entry(key).or_default();
+            if sent_counts.0 != count {
+                *sent_counts = (count, 0);
             }
         }
-        let mut rollout: Vec<OutcomeKey> = self.told.keys().copied().collect();
-        rollout.sort_by_key(|cell| (self.told[cell].1, cell.outcome));
-        let news = rollout
+        let mut keys: Vec<OutcomeKey> = self.sent_counts.keys().copied().collect();
+        keys.sort_by_key(|key| (self.sent_counts[key].1, key.outcome));
+        let changed = keys
             .iter()
-            .filter(|cell| self.told[*cell].1 < TOLD_TIMES);
-        rollout.truncate(MAX_CELLS.min(news.count() + REPEATED_CELLS));
-        for cell in &rollout {
-            self.told[cell].1 += 1;
+            .filter(|key| self.sent_counts[*key].1 < REPEATS_OF_CHANGED);
+        keys.truncate(MAX_REPORTED_COUNTS.min(changed.count() + REPEATED_UNCHANGED));
+        for key in &keys {
+            self.sent_counts[key].1 += 1;
         }
-        rollout
-            .iter()
-            .map(|cell| (*cell, self.told[cell].0))
+        keys.iter()
+            .map(|key| (*key, self.sent_counts[key].0))
             .collect()
     }
 }
 
-/// The entries that judge: the first of those that are heard, in an order that all agree on.
+/// Returns the coordinators: the first of the live entries, in an order that all entries agree on.
 ///
 /// ```
 /// use sardinewood::direct::rollout::message::coordinators;
@@ -169,18 +172,18 @@
     all
 }
 
-/// Everything of roll-outs that entries send each other.
+/// A message about a rollout from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutMessage {
-    /// To all.
+    /// The state of a rollout, sent to all entries.
     State(RolloutState),
-    /// To the judges.
+    /// The evidence of an entry, sent to the coordinators.
     Report(EvidenceReport),
-    /// To all: an operator's order of this service was taken away.
+    /// An operator has removed the rollout. It is sent to all entries.
     Withdrawn {
-        /// The order.
+        /// The rollout.
         id: RolloutId,
-        /// The store's revision of that.
+        /// The store's revision of the removal.
         revision: u64,
     },
 }
--- a/lib/src/direct/rollout/object.rs
+++ b/lib/src/direct/rollout/object.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, and how far it has come.
+//! Rollouts as the store holds them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How far an order has come, as the store says.
+/// The status of a rollout in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutStatus {
-    /// Nobody has begun it.
+    /// No entry has started it.
     #[default]
     Ordered,
-    /// The new version is being tried.
+    /// The new version is being judged.
     InProgress,
     /// The new version serves, and the old one has been stopped.
     Completed,
-    /// The old version serves, and the new one goes away.
+    /// The old version serves, and the new one is to be removed.
     Reverted,
 }
 
 impl RolloutStatus {
-    /// Whether nothing follows.
+    /// Returns whether the rollout has ended.
     ///
     /// ```
     /// use sardinewood::direct::rollout::object::RolloutStatus;
@@ -33,7 +33,7 @@
         matches!(self, Self::Completed | Self::Reverted)
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs and on operators' pages.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::rollout::object::RolloutStatus::Ordered.name(), "ordered");
@@ -49,14 +49,14 @@
     }
 }
 
-/// Tells one order of a service from another.
+/// Identifies one rollout of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutId {
-    /// The service.
+    /// The service's name.
     pub service: Arc<str>,
-    /// The version that it is to move to.
+    /// The version that the service is to move to.
     pub to: Arc<str>,
-    /// The store's mark of the order's creation: an order that was removed and given again is
+    /// The store's creation mark of the object. A rollout that was removed and created again is
     /// another one.
     pub created: u64,
 }
@@ -67,15 +67,15 @@
     }
 }
 
-/// An operator's order to move a service to another version.
+/// An operator's request to move a service to another version of its upstreams' software.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Which order it is.
+    /// Identifies the rollout.
     pub id: RolloutId,
-    /// The time that it may take.
+    /// The time that the rollout may take.
     pub window_ms: u64,
-    /// Revision of its object in the store.
+    /// Revision of the object in the store.
     pub revision: u64,
-    /// How far it has come.
+    /// The status in the store.
     pub status: RolloutStatus,
 }
--- a/lib/src/direct/rollout/progress.rs
+++ b/lib/src/direct/rollout/progress.rs
@@ -1,4 +1,4 @@
-//! One order at one entry: from its first sight to a final state in the store.
+//! One rollout at one entry, from its first sight to its final status in the store.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::direct::rollout::exposure::ExposureLimit;
 use crate::direct::rollout::message::DecisionReason;
 use crate::direct::rollout::message::EvidenceReport;
-use crate::direct::rollout::message::NextCounts;
+use crate::direct::rollout::message::ReportCounts;
 use crate::direct::rollout::message::RolloutPhase;
 use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
@@ -22,260 +22,263 @@
 use crate::numbers;
 use crate::numbers::signed;
 
-/// Requests at the new version without which nothing is known of it.
-const PROVEN_REQUESTS: u32 = 12;
-/// Silence of all judges after which an entry tries nothing: it would not hear that the version is
-/// bad.
-const JUDGED_WITHIN_MS: u64 = 2_200;
-/// Pause between two reports, and between two states if nothing has changed: at least, and for each
-/// entry that is heard.
-const REPORT_MS: u64 = 100;
-const STATE_MS: u64 = 300;
-const PER_ENTRY_MS: u64 = 2;
-/// Shortest pause between two verdicts.
-const VERDICT_MS: u64 = 100;
-/// How much later each judge writes than the one before it, so that usually one does.
-const TURN_MS: u64 = 400;
-/// Time without any upstream of the old version after which there is nothing to move. Entries of
-/// live upstreams that an outage of the store took are back by then.
-const NO_OLD_MS: u64 = 3_000;
-/// Time before the end of the window at which the last status is written.
-const LAST_WRITE_MS: u64 = 200;
-/// Pause after a write whose outcome is not known.
-const WRITE_AGAIN_MS: u64 = 700;
-/// Time within which an order that nobody has begun is new to the whole fleet.
-const NEW_MS: u64 = 1_000;
-/// Slots of the new version's upstreams for each of the old one's, in percent, without which the
-/// service can't be moved.
-const SLOTS_PERCENT: u32 = 60;
-/// How many upstreams of the new version are judged within a window, one after the other, so that
-/// each is loaded as all will be.
-const TURNS: u64 = 8;
-/// Of these, the latest that are judged by themselves.
-const LATEST_TURNS: u8 = 2;
-/// Requests are sent there in bursts, since the few that may be are no load: how long a burst takes,
-/// and how often there is one.
+/// Requests at the new version without which there is too little evidence about it.
+const MIN_REQUESTS_AT_NEW: u32 = 12;
+/// Silence of all coordinators after which an entry sends no canary requests: it would not hear
+/// that the version is bad.
+const COORDINATOR_SILENCE_MS: u64 = 2_200;
+/// Shortest pause between two reports, shortest pause between two state messages if nothing has
+/// changed, and the pause for each live peer if that is longer.
+const MIN_REPORT_INTERVAL_MS: u64 = 100;
+const MIN_STATE_INTERVAL_MS: u64 = 300;
+const INTERVAL_PER_PEER_MS: u64 = 2;
+/// Shortest pause between two judgements of the evidence.
+const MIN_VERDICT_INTERVAL_MS: u64 = 100;
+/// How much later each coordinator writes to the store than the one before it, so that usually only
+/// one does.
+const WRITE_STAGGER_MS: u64 = 400;
+/// Time without any listed upstream of the old version after which there is nothing to move.
+/// Upstreams that were lost from the list during an outage of the store are listed again by then.
+const OLD_VERSION_GONE_MS: u64 = 3_000;
+/// Time before the end of the window at which the final status is written.
+const FINAL_WRITE_LEAD_MS: u64 = 200;
+/// Pause before a status is written again if the outcome of the write is unknown.
+const WRITE_RETRY_MS: u64 = 700;
+/// Age up to which a rollout that no entry has started counts as new to the whole fleet.
+const MAX_AGE_OF_NEW_MS: u64 = 1_000;
+/// Slots of the new version, in percent of the old one's, without which the service can't be moved.
+const MIN_SLOTS_PERCENT: u32 = 60;
+/// Rotations within a window. In each, one upstream takes all canary requests, so that it is as
+/// loaded as all will be after the shift.
+const ROTATIONS: u64 = 8;
+/// The latest rotations whose evidence is also judged by itself.
+const LATEST_ROTATIONS: u8 = 2;
+/// Length of a burst of canary requests, and the time between the starts of two. The few canary
+/// requests allowed would put no load on the upstream if they were spread evenly.
 const BURST_MS: u64 = 300;
-const BURST_EVERY_MS: u64 = 1_000;
-/// Upstreams that take requests at the same time once those that did seem slow: there may be fast
-/// ones.
-const WIDE: u8 = 4;
-/// Requests at a version that seems slow, and the time from then on, after which no more are sent
-/// there: each may have been a bad answer.
+const BURST_INTERVAL_MS: u64 = 1_000;
+/// Upstreams that take canary requests at the same time once the new version seems slow, for others
+/// may be fast.
+const SEEMS_SLOW_CANARIES: u8 = 4;
+/// Requests at a version that seems slow, and the time from then on, after which it is rejected,
+/// for each may have been a bad answer.
 const SEEMS_SLOW_REQUESTS: u32 = 45;
-const SEEMS_SLOW_MS: u64 = 3_500;
+const MAX_SEEMS_SLOW_MS: u64 = 3_500;
 
-/// What an entry sees around it.
+/// What an entry knows of the fleet and the upstreams when it advances a rollout.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSnapshot {
-    /// Its place among the judges, if it is one.
+    /// The entry's rank among the coordinators, if it is one.
     pub coordinator_rank: Option<usize>,
-    /// Other entries that are heard.
+    /// The live peers.
     pub live_peers: Vec<SocketAddr>,
-    /// Whether there are others that are not heard just now.
+    /// Whether there are other entries that are not live.
     pub has_silent_peers: bool,
-    /// Upstreams of the new version that take requests.
+    /// Listed upstreams of the new version.
     pub new_upstreams: usize,
-    /// Their slots.
+    /// Slots of these upstreams.
     pub new_slots: u32,
-    /// Slots of the old version's upstreams.
+    /// Slots of the listed upstreams of other versions.
     pub old_slots: u32,
-    /// Requests of this entry that run at the old version and can't be moved.
+    /// Pinned requests of this entry that run at the old version.
     pub pinned_at_old: u32,
 }
 
-/// What to do next.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutAction {
-    /// Tells all entries how far the order has come.
+    /// Sends the state of the rollout to all entries.
     Broadcast(RolloutState),
-    /// Tells the judges what this entry has seen.
+    /// Sends this entry's evidence to the coordinators.
     Report(EvidenceReport),
-    /// Writes a status, if the order has not changed meanwhile.
+    /// Writes a status to the store, if the rollout has not changed meanwhile.
     WriteStatus(RolloutStatus),
-    /// Sends requests elsewhere than before.
+    /// Recomputes to which upstreams requests may go.
     UpdateEligibleUpstreams,
-    /// Says why the order has reached another phase.
+    /// Logs why the rollout has entered another phase.
     Log(DecisionReason),
 }
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestTarget {
-    /// To the upstreams that serve.
+    /// To the upstreams of the serving version.
     Serving,
-    /// To one of the new version, which is being judged.
+    /// To an upstream of the new version that takes canary requests.
     Canary,
 }
 
+/// What a peer last reported of its progress.
 #[derive(Clone, Copy, Debug)]
-struct Stage {
+struct PeerProgress {
     is_shifted: bool,
     pinned_at_old: u32,
 }
 
-/// An order as one entry sees it.
+/// The state of a rollout at one entry.
 #[derive(Clone, Debug)]
 pub struct RolloutProgress {
     rollout: Rollout,
-    allowance: ExposureLimit,
+    exposure_limit: ExposureLimit,
     incarnation: u64,
-    /// When the order was first seen anywhere, by this entry's clock; it may lie before its start.
-    began_ms: i64,
+    /// When any entry first saw the rollout, by this entry's clock. It may lie before the start of
+    /// the process.
+    first_seen_ms: i64,
     phase: RolloutPhase,
     reason: DecisionReason,
-    /// Odd while an operator keeps it from being shifted; counts up with each change.
+    /// Counts how often the rollout was put on hold or resumed. It is odd while it is on hold.
     hold_changes: u32,
     exposure: ExposureBudget,
-    own: OutcomeCounts,
-    next_counts: NextCounts,
-    others: IndexMap<u64, OutcomeCounts>,
-    stages: IndexMap<SocketAddr, Stage>,
+    own_counts: OutcomeCounts,
+    report_counts: ReportCounts,
+    peer_counts: IndexMap<u64, OutcomeCounts>,
+    peer_progress: IndexMap<SocketAddr, PeerProgress>,
     verdict: VersionVerdict,
-    is_evidence_new: bool,
+    has_new_evidence: bool,
     verdict_at_ms: u64,
-    judged_at_ms: u64,
+    coordinator_seen_at_ms: u64,
     entered_at_ms: u64,
-    state_at_ms: u64,
-    report_at_ms: u64,
-    /// Requests that can't be moved, as last reported.
-    reported_fixed: u32,
-    wrote_at_ms: Option<u64>,
+    state_sent_at_ms: u64,
+    report_sent_at_ms: u64,
+    /// Pinned requests at the old version, as last reported.
+    reported_pinned: u32,
+    written_at_ms: Option<u64>,
     concurrent_canaries: u8,
     rotation: u8,
-    turn_at_ms: u64,
-    /// Since when it has seemed slow and had many requests.
+    rotated_at_ms: u64,
+    /// Since when the new version has seemed slow after many requests.
     slow_since_ms: Option<u64>,
-    is_early: bool,
-    /// When an upstream of the old version was last listed, or the order first seen.
-    old_seen_ms: u64,
+    is_shifting_pinned: bool,
+    /// When an upstream of the old version was last listed, or the rollout was first seen here.
+    old_version_seen_ms: u64,
 }
 
 impl RolloutProgress {
-    /// An order that this entry sees for the first time, so long after it was first seen anywhere.
-    /// `before` is what came of requests by route until then.
+    /// Creates the state of a rollout that this entry sees for the first time, `elapsed_ms` after
+    /// any entry did. `counts_before` holds the counts of requests by route until then.
     #[must_use]
     pub fn new(
         rollout: Rollout,
-        allowance: ExposureLimit,
+        exposure_limit: ExposureLimit,
         incarnation: u64,
         entries: usize,
         elapsed_ms: u64,
-        before: &IndexMap<u32, RequestCounts>,
+        counts_before: &IndexMap<u32, RequestCounts>,
         now_ms: u64,
     ) -> Self {
-        // An entry that starts in the middle can't know what was spent before.
-        let is_new = rollout.status == RolloutStatus::Ordered && elapsed_ms < NEW_MS;
-        let first = if is_new {
-            ExposureBudget::first_of(allowance, entries)
+        // An entry that starts during a rollout can't know how much of the budget was used before.
+        let is_new = rollout.status == RolloutStatus::Ordered && elapsed_ms < MAX_AGE_OF_NEW_MS;
+        let fixed_requests = if is_new {
+            ExposureBudget::fixed_requests_per_entry(exposure_limit, entries)
         } else {
             0.0
         };
-        let mut own = OutcomeCounts::default();
-        for (route, part) in before {
-            own.add_old(*route, *part);
+        let mut own_counts = OutcomeCounts::default();
+        for (route, counts) in counts_before {
+            own_counts.add_old(*route, *counts);
         }
         Self {
             rollout,
-            allowance,
+            exposure_limit,
             incarnation,
-            began_ms: signed(now_ms) - signed(elapsed_ms),
+            first_seen_ms: signed(now_ms) - signed(elapsed_ms),
             phase: RolloutPhase::Judging,
             reason: DecisionReason::Begun,
             hold_changes: 0,
-            exposure: ExposureBudget::new(allowance, first),
-            own,
-            next_counts: NextCounts::default(),
-            others: IndexMap::new(),
-            stages: IndexMap::new(),
+            exposure: ExposureBudget::new(exposure_limit, fixed_requests),
+            own_counts,
+            report_counts: ReportCounts::default(),
+            peer_counts: IndexMap::new(),
+            peer_progress: IndexMap::new(),
             verdict: VersionVerdict::Clean,
-            is_evidence_new: false,
+            has_new_evidence: false,
             verdict_at_ms: 0,
-            judged_at_ms: now_ms,
+            coordinator_seen_at_ms: now_ms,
             entered_at_ms: now_ms,
-            state_at_ms: 0,
-            report_at_ms: 0,
-            reported_fixed: 0,
-            wrote_at_ms: None,
+            state_sent_at_ms: 0,
+            report_sent_at_ms: 0,
+            reported_pinned: 0,
+            written_at_ms: None,
             concurrent_canaries: 1,
             rotation: 0,
-            turn_at_ms: now_ms,
+            rotated_at_ms: now_ms,
             slow_since_ms: None,
-            is_early: false,
-            old_seen_ms: now_ms,
+            is_shifting_pinned: false,
+            old_version_seen_ms: now_ms,
         }
     }
 
-    /// The order.
+    /// Returns the rollout as last read from the store.
     #[must_use]
     pub fn rollout(&self) -> &Rollout {
         &self.rollout
     }
 
-    /// How far it has come among the entries.
+    /// Returns the phase among the entries.
     #[must_use]
     pub fn phase(&self) -> RolloutPhase {
         self.phase
     }
 
-    /// Whether the store shows its end.
+    /// Returns whether the store has a final status.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.rollout.status.is_final()
     }
 
-    /// Why it has reached its phase.
+    /// Returns why the phase was entered.
     #[must_use]
     pub fn reason(&self) -> DecisionReason {
         self.reason
     }
 
-    /// What the evidence says so far.
+    /// Returns the latest verdict on the evidence.
     #[must_use]
     pub fn verdict(&self) -> VersionVerdict {
         self.verdict
     }
 
-    /// Whether an operator keeps it from being shifted.
+    /// Returns whether an operator has put the rollout on hold, so that it isn't shifted.
     #[must_use]
     pub fn is_on_hold(&self) -> bool {
         !self.hold_changes.is_multiple_of(2)
     }
 
-    /// Time since the order was first seen.
+    /// Returns the time since any entry first saw the rollout.
     #[must_use]
     pub fn elapsed_ms(&self, now_ms: u64) -> u64 {
-        u64::try_from(signed(now_ms) - self.began_ms).unwrap_or_default()
+        u64::try_from(signed(now_ms) - self.first_seen_ms).unwrap_or_default()
     }
 
-    /// What is sent where by this entry.
+    /// Returns what this entry has sent to the old and the new version.
     #[must_use]
     pub fn exposure(&self) -> &ExposureBudget {
         &self.exposure
     }
 
-    /// All evidence that this entry knows.
+    /// Returns all evidence known to this entry.
     #[must_use]
     pub fn evidence(&self) -> VersionEvidence {
         self.evidence_since(0)
     }
 
+    /// Returns the evidence from a rotation on.
     fn evidence_since(&self, rotation: u8) -> VersionEvidence {
         let mut evidence = VersionEvidence::default();
-        for tally in self.others.values().chain([&self.own]) {
-            let cells = tally.iter();
-            for (cell, count) in cells.filter(|(cell, _)| cell.rotation >= rotation) {
-                evidence.add(cell, count);
+        for outcome_counts in self.peer_counts.values().chain([&self.own_counts]) {
+            let counts = outcome_counts.iter();
+            for (key, count) in counts.filter(|(key, _)| key.rotation >= rotation) {
+                evidence.add(key, count);
             }
         }
         evidence
     }
 
-    /// The upstreams of the new version that take requests now, of all in an order that entries
-    /// agree on.
+    /// Returns the upstreams of the new version that take requests now. `all` lists them in an
+    /// order that all entries agree on.
     #[must_use]
-    pub fn loaded<'a, T>(&self, all: &'a [T]) -> Vec<&'a T> {
-        if self.is_early || all.is_empty() {
+    pub fn current_canaries<'a, T>(&self, all: &'a [T]) -> Vec<&'a T> {
+        if self.is_shifting_pinned || all.is_empty() {
             return all.iter().collect();
         }
         let count = usize::from(self.concurrent_canaries).min(all.len());
@@ -284,7 +287,8 @@
             .collect()
     }
 
-    /// Where a route's next request goes. One that is fixed can't be moved once it runs.
+    /// Chooses where a route's next request goes. A pinned request can't be moved to another
+    /// upstream once it runs.
     pub fn choose_target(
         &mut self,
         route: u32,
@@ -292,14 +296,14 @@
         now_ms: u64,
         random: f64,
     ) -> RequestTarget {
-        let is_judged = now_ms < self.judged_at_ms + JUDGED_WITHIN_MS;
+        let is_judged = now_ms < self.coordinator_seen_at_ms + COORDINATOR_SILENCE_MS;
         if self.phase != RolloutPhase::Judging || self.is_over() || !is_judged {
             return RequestTarget::Serving;
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
         let passed = numbers::as_f64(elapsed_ms) / numbers::as_f64(self.rollout.window_ms);
-        let is_burst = self.concurrent_canaries > 1 || elapsed_ms % BURST_EVERY_MS < BURST_MS;
-        if is_pinned && self.is_early {
+        let is_burst = self.concurrent_canaries > 1 || elapsed_ms % BURST_INTERVAL_MS < BURST_MS;
+        if is_pinned && self.is_shifting_pinned {
             return RequestTarget::Canary;
         }
         if is_burst && self.exposure.may_send_canary(route, passed, random) {
@@ -308,70 +312,70 @@
         RequestTarget::Serving
     }
 
-    /// Notes that a request was sent to an upstream of the service.
+    /// Records that a request was sent to an upstream of the service.
     pub fn record_dispatch(&mut self, route: u32, is_new: bool, is_pinned: bool) {
         self.exposure.record_dispatch(route, is_new, is_pinned);
     }
 
-    /// Notes what a request came to.
+    /// Counts a request by its outcome.
     pub fn observe(&mut self, is_new: bool, upstream: u32, route: u32, outcome: OutcomeClass) {
-        self.own.add(OutcomeKey {
+        self.own_counts.add(OutcomeKey {
             is_new,
             upstream,
             route,
             rotation: self.rotation,
             outcome,
         });
-        self.is_evidence_new |= is_new;
+        self.has_new_evidence |= is_new;
     }
 
-    /// Takes the order as the store shows it now.
-    pub fn take_order(&mut self, rollout: Rollout, now_ms: u64) {
+    /// Applies the rollout as last read from the store, if it is newer than the known one.
+    pub fn apply_rollout(&mut self, rollout: Rollout, now_ms: u64) {
         if rollout.revision <= self.rollout.revision {
             return;
         }
         self.rollout = rollout;
-        self.wrote_at_ms = None;
+        self.written_at_ms = None;
         self.entered_at_ms = now_ms;
-        self.state_at_ms = 0;
+        self.state_sent_at_ms = 0;
     }
 
-    /// Takes what another entry tells all.
-    pub fn hear_state(&mut self, state: &RolloutState, now_ms: u64) -> Vec<RolloutAction> {
-        let began_ms = signed(now_ms) - signed(state.elapsed_ms);
-        self.began_ms = self.began_ms.min(began_ms);
-        self.judged_at_ms = now_ms;
+    /// Applies the state that a coordinator has sent.
+    pub fn apply_state(&mut self, state: &RolloutState, now_ms: u64) -> Vec<RolloutAction> {
+        let first_seen_ms = signed(now_ms) - signed(state.elapsed_ms);
+        self.first_seen_ms = self.first_seen_ms.min(first_seen_ms);
+        self.coordinator_seen_at_ms = now_ms;
         self.hold_changes = self.hold_changes.max(state.hold_changes);
         let rotation = self.rotation.max(state.rotation);
-        let mut has_turned = self.take_turn(rotation, now_ms);
-        has_turned |= state.concurrent_canaries > self.concurrent_canaries;
+        let mut has_rotated = self.advance_rotation(rotation, now_ms);
+        has_rotated |= state.concurrent_canaries > self.concurrent_canaries;
         self.concurrent_canaries = self.concurrent_canaries.max(state.concurrent_canaries);
         let status = self.rollout.status;
-        self.take_order(state.rollout.clone(), now_ms);
-        let mut next = Vec::new();
-        if self.rollout.status != status || has_turned {
-            next.push(RolloutAction::UpdateEligibleUpstreams);
+        self.apply_rollout(state.rollout.clone(), now_ms);
+        let mut actions = Vec::new();
+        if self.rollout.status != status || has_rotated {
+            actions.push(RolloutAction::UpdateEligibleUpstreams);
         }
         if state.phase > self.phase {
-            self.enter(state.phase, state.reason, now_ms);
-            next.push(RolloutAction::UpdateEligibleUpstreams);
+            self.enter_phase(state.phase, state.reason, now_ms);
+            actions.push(RolloutAction::UpdateEligibleUpstreams);
         }
-        next
+        actions
     }
 
-    /// Takes what another entry has seen.
-    pub fn hear_report(&mut self, from: SocketAddr, report: &EvidenceReport) {
-        let tally = self.others.entry(report.incarnation).or_default();
-        tally.merge(report.counts.iter().copied());
-        self.is_evidence_new = true;
-        let stage = Stage {
+    /// Adds the evidence that another entry has reported.
+    pub fn merge_report(&mut self, from: SocketAddr, report: &EvidenceReport) {
+        let outcome_counts = self.peer_counts.entry(report.incarnation).or_default();
+        outcome_counts.merge(report.counts.iter().copied());
+        self.has_new_evidence = true;
+        let progress = PeerProgress {
             is_shifted: report.is_shifted,
             pinned_at_old: report.pinned_at_old,
         };
-        self.stages.insert(from, stage);
+        self.peer_progress.insert(from, progress);
     }
 
-    /// Keeps the order from being shifted, or lets it go on.
+    /// Puts the rollout on hold, so that it isn't shifted, or resumes it.
     pub fn set_hold(&mut self, is_on_hold: bool, now_ms: u64) -> Vec<RolloutAction> {
         if is_on_hold == self.is_on_hold() {
             return Vec::new();
@@ -380,42 +384,44 @@
         vec![RolloutAction::Broadcast(self.state(now_ms))]
     }
 
-    /// Gives the new version up, as an operator wishes.
+    /// Rejects the new version by an operator's command.
     pub fn reject(&mut self, now_ms: u64) -> Vec<RolloutAction> {
         if self.phase == RolloutPhase::Rejected || self.is_over() {
             return Vec::new();
         }
-        self.change(RolloutPhase::Rejected, DecisionReason::Operator, now_ms)
+        self.change_phase(RolloutPhase::Rejected, DecisionReason::Operator, now_ms)
     }
 
-    /// What the time that has passed and what is known ask for.
-    pub fn step(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
+    /// Advances the rollout, and returns the actions that are due.
+    pub fn step(&mut self, snapshot: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
         if self.is_over() {
-            return self.repeat(facts, now_ms);
+            return self.due_messages(snapshot, now_ms);
         }
-        if facts.coordinator_rank.is_some() {
-            self.judged_at_ms = now_ms;
+        if snapshot.coordinator_rank.is_some() {
+            self.coordinator_seen_at_ms = now_ms;
         }
-        let is_due = self.is_evidence_new && now_ms >= self.verdict_at_ms + VERDICT_MS;
+        let is_due =
+            self.has_new_evidence && now_ms >= self.verdict_at_ms + MIN_VERDICT_INTERVAL_MS;
         if is_due && self.phase != RolloutPhase::Rejected {
-            self.is_evidence_new = false;
+            self.has_new_evidence = false;
             self.verdict_at_ms = now_ms;
-            self.verdict = self.judge(facts.new_upstreams);
+            self.verdict = self.judge(snapshot.new_upstreams);
         }
-        let mut next = self.decide(facts, now_ms);
-        next.extend(self.write(facts, now_ms));
-        next.extend(self.rotation(facts, now_ms));
-        next.extend(self.repeat(facts, now_ms));
-        next
+        let mut actions = self.decide(snapshot, now_ms);
+        actions.extend(self.due_write(snapshot, now_ms));
+        actions.extend(self.update_canaries(snapshot, now_ms));
+        actions.extend(self.due_messages(snapshot, now_ms));
+        actions
     }
 
-    /// Judges by all evidence and by the latest: a version that has turned bad was good before.
+    /// Judges all evidence, and the latest by itself: a version that has turned bad was good
+    /// before.
     fn judge(&self, new_upstreams: usize) -> VersionVerdict {
         let all = self.evidence().verdict(new_upstreams);
         if all.is_bad() {
             return all;
         }
-        let first = self.rotation.saturating_sub(LATEST_TURNS - 1);
+        let first = self.rotation.saturating_sub(LATEST_ROTATIONS - 1);
         let latest = self.evidence_since(first).verdict(new_upstreams);
         if latest == VersionVerdict::Clean {
             all
@@ -424,7 +430,8 @@
         }
     }
 
-    fn decide(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
+    /// Changes the phase if the evidence, the time or the lack of old upstreams calls for it.
+    fn decide(&mut self, snapshot: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
         let is_slow = self.seems_slow_for_too_long(now_ms);
         if self.phase != RolloutPhase::Rejected && (self.verdict.is_bad() || is_slow) {
             let reason = match self.verdict {
@@ -432,184 +439,197 @@
                 VersionVerdict::PartlySlow => DecisionReason::PartlySlow,
                 _ => DecisionReason::Slow,
             };
-            return self.change(RolloutPhase::Rejected, reason, now_ms);
+            return self.change_phase(RolloutPhase::Rejected, reason, now_ms);
         }
-        if self.phase != RolloutPhase::Judging || facts.coordinator_rank.is_none() {
+        if self.phase != RolloutPhase::Judging || snapshot.coordinator_rank.is_none() {
             return Vec::new();
         }
         let elapsed_ms = self.elapsed_ms(now_ms);
         let window_ms = self.rollout.window_ms;
-        if facts.old_slots > 0 {
-            self.old_seen_ms = now_ms;
+        if snapshot.old_slots > 0 {
+            self.old_version_seen_ms = now_ms;
         }
-        if facts.new_slots > 0 && now_ms >= self.old_seen_ms + NO_OLD_MS {
-            return self.change(
+        if snapshot.new_slots > 0 && now_ms >= self.old_version_seen_ms + OLD_VERSION_GONE_MS {
+            return self.change_phase(
                 RolloutPhase::Shifting,
                 DecisionReason::NothingToMove,
                 now_ms,
             );
         }
-        if elapsed_ms + self.allowance.shift_ms(window_ms) < window_ms {
+        if elapsed_ms + self.exposure_limit.shift_ms(window_ms) < window_ms {
             return Vec::new();
         }
-        let is_over = elapsed_ms + LAST_WRITE_MS >= window_ms;
-        let lacks = self.lacks(facts);
-        match lacks {
+        let is_over = elapsed_ms + FINAL_WRITE_LEAD_MS >= window_ms;
+        let missing_for_shift = self.missing_for_shift(snapshot);
+        match missing_for_shift {
             None if self.is_on_hold() || self.verdict != VersionVerdict::Clean => {}
-            None => return self.change(RolloutPhase::Shifting, DecisionReason::Clean, now_ms),
+            None => {
+                return self.change_phase(RolloutPhase::Shifting, DecisionReason::Clean, now_ms);
+            }
             Some(_) => {}
         }
         if is_over && !self.is_on_hold() {
-            let reason = lacks.unwrap_or(DecisionReason::NotProven);
-            return self.change(RolloutPhase::Rejected, reason, now_ms);
+            let reason = missing_for_shift.unwrap_or(DecisionReason::NotProven);
+            return self.change_phase(RolloutPhase::Rejected, reason, now_ms);
         }
         Vec::new()
     }
 
-    /// Whether so many requests were perhaps bad answers that no more may be sent there soon.
+    /// Returns whether the new version has seemed slow for so long that it must be rejected: each
+    /// of its requests may have been a bad answer.
     fn seems_slow_for_too_long(&mut self, now_ms: u64) -> bool {
-        let is_much = self.verdict == VersionVerdict::SeemsSlow
+        let has_many_requests = self.verdict == VersionVerdict::SeemsSlow
             && self.evidence().at_new().requests >= SEEMS_SLOW_REQUESTS;
-        if !is_much {
+        if !has_many_requests {
             self.slow_since_ms = None;
             return false;
         }
-        now_ms >= *self.slow_since_ms.get_or_insert(now_ms) + SEEMS_SLOW_MS
+        now_ms >= *self.slow_since_ms.get_or_insert(now_ms) + MAX_SEEMS_SLOW_MS
     }
 
-    /// What the new version lacks to be given all requests.
-    fn lacks(&self, facts: &FleetSnapshot) -> Option<DecisionReason> {
+    /// Returns why the new version can't get all requests yet, if anything is missing.
+    fn missing_for_shift(&self, snapshot: &FleetSnapshot) -> Option<DecisionReason> {
         let evidence = self.evidence();
-        let is_tried = evidence.at_new().requests >= PROVEN_REQUESTS;
-        let wanted = u64::from(facts.old_slots) * u64::from(SLOTS_PERCENT);
-        if u64::from(facts.new_slots) * 100 < wanted {
+        let has_enough_requests = evidence.at_new().requests >= MIN_REQUESTS_AT_NEW;
+        let wanted_slots = u64::from(snapshot.old_slots) * u64::from(MIN_SLOTS_PERCENT);
+        if u64::from(snapshot.new_slots) * 100 < wanted_slots {
             Some(DecisionReason::TooFewUpstreams)
-        } else if !is_tried {
+        } else if !has_enough_requests {
             Some(DecisionReason::NotProven)
         } else {
             None
         }
     }
 
-    fn write(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
-        let coordinator_rank = facts.coordinator_rank?;
-        let status = self.due_status(facts, now_ms)?;
-        let turn_ms = TURN_MS * coordinator_rank as u64;
-        let is_turn = now_ms >= self.entered_at_ms + turn_ms;
-        let is_open = self
-            .wrote_at_ms
-            .is_some_and(|wrote_at_ms| now_ms < wrote_at_ms + WRITE_AGAIN_MS);
-        if !is_turn || is_open {
+    /// Returns a write of the status that is due, if it is this coordinator's turn.
+    fn due_write(&mut self, snapshot: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
+        let coordinator_rank = snapshot.coordinator_rank?;
+        let status = self.status_to_write(snapshot, now_ms)?;
+        let delay_ms = WRITE_STAGGER_MS * coordinator_rank as u64;
+        let is_own_turn = now_ms >= self.entered_at_ms + delay_ms;
+        let is_write_pending = self
+            .written_at_ms
+            .is_some_and(|written_at_ms| now_ms < written_at_ms + WRITE_RETRY_MS);
+        if !is_own_turn || is_write_pending {
             return None;
         }
-        self.wrote_at_ms = Some(now_ms);
+        self.written_at_ms = Some(now_ms);
         Some(RolloutAction::WriteStatus(status))
     }
 
-    fn due_status(&self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutStatus> {
+    fn status_to_write(&self, snapshot: &FleetSnapshot, now_ms: u64) -> Option<RolloutStatus> {
         match self.phase {
             RolloutPhase::Judging if self.rollout.status == RolloutStatus::Ordered => {
                 Some(RolloutStatus::InProgress)
             }
             RolloutPhase::Judging => None,
             RolloutPhase::Shifting => self
-                .has_run_out(facts, now_ms)
+                .is_old_version_drained(snapshot, now_ms)
                 .then_some(RolloutStatus::Completed),
             RolloutPhase::Rejected => Some(RolloutStatus::Reverted),
         }
     }
 
-    /// Whether no entry sends the old version anything and nothing runs there that would be lost.
+    /// Returns whether no entry sends requests to the old version any more, and none run there that
+    /// would be lost.
     ///
-    /// Whether a version bears the whole load is seen only now, so the time that is left is given to
-    /// that. An entry that is silent may still serve callers behind a cut, so the window is given to it.
-    fn has_run_out(&self, facts: &FleetSnapshot, now_ms: u64) -> bool {
+    /// Only after the shift does it show whether the new version bears the whole load, so it is
+    /// observed until the window ends. If there are silent entries, this waits for the end of the
+    /// window too, since they may still serve callers behind a network cut.
+    fn is_old_version_drained(&self, snapshot: &FleetSnapshot, now_ms: u64) -> bool {
         let elapsed_ms = self.elapsed_ms(now_ms);
         let is_over = elapsed_ms >= self.rollout.window_ms;
-        let is_seen = elapsed_ms + LAST_WRITE_MS >= self.rollout.window_ms;
-        if !is_seen && self.reason != DecisionReason::NothingToMove {
+        let is_near_end = elapsed_ms + FINAL_WRITE_LEAD_MS >= self.rollout.window_ms;
+        if !is_near_end && self.reason != DecisionReason::NothingToMove {
             return false;
         }
-        let all_done = facts.live_peers.iter().all(|entry| {
-            let stage = self.stages.get(entry);
-            stage.is_some_and(|stage| stage.is_shifted && stage.pinned_at_old == 0)
+        let all_done = snapshot.live_peers.iter().all(|entry| {
+            let progress = self.peer_progress.get(entry);
+            progress.is_some_and(|progress| progress.is_shifted && progress.pinned_at_old == 0)
         });
-        facts.pinned_at_old == 0 && all_done && (is_over || !facts.has_silent_peers)
+        snapshot.pinned_at_old == 0 && all_done && (is_over || !snapshot.has_silent_peers)
     }
 
-    /// Lets other upstreams take the place of those that are judged.
-    fn rotation(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
+    /// Chooses which upstreams of the new version take requests: the next canary if its time has
+    /// come, several if the version seems slow, and all of them for pinned requests shortly before
+    /// the shift.
+    fn update_canaries(&mut self, snapshot: &FleetSnapshot, now_ms: u64) -> Option<RolloutAction> {
         if self.phase != RolloutPhase::Judging {
             return None;
         }
         let window_ms = self.rollout.window_ms;
-        let is_due = facts.coordinator_rank == Some(0) && self.is_turn_over(now_ms);
+        let is_due = snapshot.coordinator_rank == Some(0) && self.is_rotation_over(now_ms);
         let rotation = self.rotation.saturating_add(u8::from(is_due));
-        let mut has_turned = self.take_turn(rotation, now_ms);
-        if self.verdict == VersionVerdict::SeemsSlow && self.concurrent_canaries < WIDE {
-            self.concurrent_canaries = WIDE;
-            has_turned = true;
+        let mut has_rotated = self.advance_rotation(rotation, now_ms);
+        if self.verdict == VersionVerdict::SeemsSlow
+            && self.concurrent_canaries < SEEMS_SLOW_CANARIES
+        {
+            self.concurrent_canaries = SEEMS_SLOW_CANARIES;
+            has_rotated = true;
         }
-        if has_turned {
-            // All send their requests there from now on.
-            self.state_at_ms = 0;
+        if has_rotated {
+            // All entries are told at once, and send their canary requests to the next upstream.
+            self.state_sent_at_ms = 0;
         }
         let early_ms = self
-            .allowance
-            .early_ms(window_ms, self.exposure.fixed_part());
-        let shift_ms = self.allowance.shift_ms(window_ms);
-        let is_early = self.verdict == VersionVerdict::Clean
+            .exposure_limit
+            .early_ms(window_ms, self.exposure.pinned_share());
+        let shift_ms = self.exposure_limit.shift_ms(window_ms);
+        let is_shifting_pinned = self.verdict == VersionVerdict::Clean
             && !self.is_on_hold()
             && self.exposure.at_new() > 0
             && self.elapsed_ms(now_ms) + shift_ms + early_ms >= window_ms
             && self.elapsed_ms(now_ms) < window_ms;
-        if !has_turned && is_early == self.is_early {
+        if !has_rotated && is_shifting_pinned == self.is_shifting_pinned {
             return None;
         }
-        self.is_early = is_early;
+        self.is_shifting_pinned = is_shifting_pinned;
         Some(RolloutAction::UpdateEligibleUpstreams)
     }
 
-    fn is_turn_over(&self, now_ms: u64) -> bool {
-        now_ms >= self.turn_at_ms + (self.rollout.window_ms / TURNS).max(1)
+    fn is_rotation_over(&self, now_ms: u64) -> bool {
+        now_ms >= self.rotated_at_ms + (self.rollout.window_ms / ROTATIONS).max(1)
     }
 
-    fn take_turn(&mut self, rotation: u8, now_ms: u64) -> bool {
-        let has_turned = rotation > self.rotation;
-        if has_turned {
+    fn advance_rotation(&mut self, rotation: u8, now_ms: u64) -> bool {
+        let has_rotated = rotation > self.rotation;
+        if has_rotated {
             self.rotation = rotation;
-            self.turn_at_ms = now_ms;
+            self.rotated_at_ms = now_ms;
         }
-        has_turned
+        has_rotated
     }
 
-    fn repeat(&mut self, facts: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
-        let mut next = Vec::new();
-        let entries_ms = PER_ENTRY_MS * facts.live_peers.len() as u64;
-        if facts.coordinator_rank.is_some() && now_ms >= self.state_at_ms + STATE_MS.max(entries_ms)
+    /// Returns the state and report messages that are due.
+    fn due_messages(&mut self, snapshot: &FleetSnapshot, now_ms: u64) -> Vec<RolloutAction> {
+        let mut actions = Vec::new();
+        let peers_ms = INTERVAL_PER_PEER_MS * snapshot.live_peers.len() as u64;
+        if snapshot.coordinator_rank.is_some()
+            && now_ms >= self.state_sent_at_ms + MIN_STATE_INTERVAL_MS.max(peers_ms)
         {
-            self.state_at_ms = now_ms;
-            next.push(RolloutAction::Broadcast(self.state(now_ms)));
+            self.state_sent_at_ms = now_ms;
+            actions.push(RolloutAction::Broadcast(self.state(now_ms)));
         }
-        // The last that the old version waits for is told at once.
-        let has_run_out = self.reported_fixed > 0 && facts.pinned_at_old == 0;
-        let is_due = now_ms >= self.report_at_ms + REPORT_MS.max(entries_ms);
-        if !self.is_over() && (is_due || has_run_out) {
-            self.reported_fixed = facts.pinned_at_old;
-            self.report_at_ms = now_ms;
-            next.push(RolloutAction::Report(self.report(facts.pinned_at_old)));
+        // The end of the last pinned request at the old version is reported at once.
+        let has_drained_pinned = self.reported_pinned > 0 && snapshot.pinned_at_old == 0;
+        let is_due = now_ms >= self.report_sent_at_ms + MIN_REPORT_INTERVAL_MS.max(peers_ms);
+        if !self.is_over() && (is_due || has_drained_pinned) {
+            self.reported_pinned = snapshot.pinned_at_old;
+            self.report_sent_at_ms = now_ms;
+            actions.push(RolloutAction::Report(self.report(snapshot.pinned_at_old)));
         }
-        next
+        actions
     }
 
-    fn change(
+    /// Enters a phase, and returns the actions that follow from it.
+    fn change_phase(
         &mut self,
         phase: RolloutPhase,
         reason: DecisionReason,
         now_ms: u64,
     ) -> Vec<RolloutAction> {
-        self.enter(phase, reason, now_ms);
-        self.state_at_ms = now_ms;
+        self.enter_phase(phase, reason, now_ms);
+        self.state_sent_at_ms = now_ms;
         vec![
             RolloutAction::UpdateEligibleUpstreams,
             RolloutAction::Broadcast(self.state(now_ms)),
@@ -617,15 +637,16 @@
         ]
     }
 
-    fn enter(&mut self, phase: RolloutPhase, reason: DecisionReason, now_ms: u64) {
+    /// Sets the phase and resets what depends on it.
+    fn enter_phase(&mut self, phase: RolloutPhase, reason: DecisionReason, now_ms: u64) {
         self.phase = phase;
         self.reason = reason;
         self.entered_at_ms = now_ms;
-        self.wrote_at_ms = None;
-        self.report_at_ms = 0;
+        self.written_at_ms = None;
+        self.report_sent_at_ms = 0;
     }
 
-    /// How far the order has come, as all entries are told.
+    /// Returns the state that is sent to all entries.
     #[must_use]
     pub fn state(&self, now_ms: u64) -> RolloutState {
         RolloutState {
@@ -645,7 +666,7 @@
             incarnation: self.incarnation,
             is_shifted: self.phase == RolloutPhase::Shifting,
             pinned_at_old,
-            counts: self.next_counts.next(&self.own),
+            counts: self.report_counts.choose(&self.own_counts),
         }
     }
 }
--- a/lib/src/direct/rollout/serving_versions.rs
+++ b/lib/src/direct/rollout/serving_versions.rs
@@ -1,4 +1,4 @@
-//! Which version of a service's upstreams serves.
+//! Decides which version of a service's upstreams serves requests.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::direct::rollout::object::RolloutStatus;
 use crate::direct::store_view::directory::Upstream;
 
-/// The versions that serve, by service. One that nobody ordered gets nothing.
+/// The serving version of each service. A version without a rollout gets no requests.
 ///
 /// ```
 /// use sardinewood::direct::rollout::serving_versions::ServingVersions;
@@ -21,7 +21,7 @@
 }
 
 impl ServingVersions {
-    /// The version that serves, if any upstream of the service was ever listed.
+    /// Returns the serving version, if any upstream of the service was ever listed.
     ///
     /// ```
     /// # use sardinewood::direct::rollout::serving_versions::ServingVersions;
@@ -32,10 +32,11 @@
         self.serving.get(service)
     }
 
-    /// Takes the upstreams that are listed, and the orders that are known.
+    /// Updates the serving versions from the listed upstreams and the known rollouts.
     ///
-    /// Of a service without a completed order the version serves whose entries are the oldest: new
-    /// upstreams are listed beside the old ones, at times before their order can be read.
+    /// For a service without a completed rollout, it is the version with the oldest listed
+    /// upstream. New upstreams are listed beside the old ones, at times before their rollout can be
+    /// read.
     ///
     /// ```
     /// # use sardinewood::direct::rollout::serving_versions::ServingVersions;
@@ -49,10 +50,12 @@
                     let to = Arc::clone(&rollout.id.to);
                     self.serving.insert(Arc::clone(service), to);
                 }
-                // A version that is on trial, or was, never becomes the one that serves by its age.
+                // A version that is or was under judgement never becomes the serving one by its
+                // age.
                 RolloutStatus::Ordered | RolloutStatus::InProgress | RolloutStatus::Reverted => {
                     if self.serving.get(service) == Some(&rollout.id.to)
-                        && let Some(other) = oldest(upstreams, service, Some(&rollout.id.to))
+                        && let Some(other) =
+                            oldest_version(upstreams, service, Some(&rollout.id.to))
                     {
                         self.serving.insert(Arc::clone(service), other);
                     }
@@ -68,7 +71,8 @@
                 .iter()
                 .find(|rollout| rollout.id.service == *service);
             let except = rollout.map(|rollout| &rollout.id.to);
-            let version = oldest(upstreams, service, except).or(oldest(upstreams, service, None));
+            let version = oldest_version(upstreams, service, except)
+                .or(oldest_version(upstreams, service, None));
             if let Some(version) = version {
                 self.serving.insert(Arc::clone(service), version);
             }
@@ -76,7 +80,8 @@
     }
 }
 
-fn oldest(
+/// Returns the version of the service's oldest listed upstream, passing over the version `except`.
+fn oldest_version(
     upstreams: &[Arc<Upstream>],
     service: &str,
     except: Option<&Arc<str>>,
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -1,4 +1,4 @@
-//! All orders that an entry knows, and what they mean for its requests.
+//! The rollouts that an entry knows, and where its requests may go because of them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::direct::rollout::message::RolloutState;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutId;
-use crate::direct::rollout::outcome_counts::OTHERS;
+use crate::direct::rollout::outcome_counts::OTHER_UPSTREAMS;
 use crate::direct::rollout::outcome_counts::OutcomeClass;
 use crate::direct::rollout::progress::FleetSnapshot;
 use crate::direct::rollout::progress::RequestTarget;
@@ -23,59 +23,61 @@
 use crate::direct::rollout::verdict::RequestCounts;
 use crate::direct::store_view::directory::Upstream;
 
-/// Upstreams of the old version that are counted beside the new one.
+/// Upstreams of the old version whose requests are compared with those of the new one.
 const CONTROL_UPSTREAMS: usize = 12;
-/// Least part of a new sample in a route's usual time, so that the usual follows the load.
-const LEAST_SAMPLE_PART: f64 = 0.02;
-/// Samples from which a route's usual time is known.
-const USUAL_SAMPLES: f64 = 10.0;
-/// Requests of a route that are remembered for an order to come; then half of them are forgotten.
-const REMEMBERED: u32 = 2_000;
-/// Orders that were taken away and are remembered, so that a late message does not bring them back.
+/// Least weight of a new sample in a route's usual time, so that the usual time follows the load.
+const MIN_SAMPLE_WEIGHT: f64 = 0.02;
+/// Samples from which on a route's usual time is known.
+const MIN_BASELINE_SAMPLES: f64 = 10.0;
+/// Requests of a route that are counted for a later rollout. At this number the counts are halved.
+const MAX_COUNTED_REQUESTS: u32 = 2_000;
+/// Removed rollouts that are remembered, so that a late message does not bring them back.
 const MAX_WITHDRAWN: usize = 100;
 
-/// Where requests may go.
+/// The upstreams to which requests may go.
 #[derive(Clone, Debug, Default)]
 pub struct EligibleUpstreams {
     /// Upstreams that take requests.
     pub upstreams: Vec<Arc<Upstream>>,
-    /// Instances of those among them that take only requests that judge their version.
+    /// Instances of the upstreams among them that take only canary requests.
     pub canaries: IndexSet<Arc<str>>,
 }
 
-/// How a request ended at its upstream, as far as its version is judged by it.
+/// How a run ended at its upstream, as far as the version is judged by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunOutcome {
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was answered, and says nothing of speed.
+    /// The upstream answered, but the time says nothing about its speed.
     Untimed,
-    /// It was answered, and took so long for each part of the answer.
+    /// The upstream answered, and its time is known.
     Answered {
-        /// Time for each part.
+        /// Time for each event of a stream, or for an answer in one piece.
         ms_per_event: f64,
     },
 }
 
+/// The usual time of a route, as a moving average of logarithms.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteBaseline {
-    ln_ms: f64,
+    mean_ln_ms: f64,
     samples: f64,
 }
 
 impl RouteBaseline {
     fn observe(&mut self, time_ms: f64) {
         self.samples += 1.0;
-        let part = (1.0 / self.samples).max(LEAST_SAMPLE_PART);
-        self.ln_ms += (time_ms.max(0.1).ln() - self.ln_ms) * part;
+        let counts = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
+        self.mean_ln_ms += (time_ms.max(0.1).ln() - self.mean_ln_ms) * counts;
     }
 
-    fn times(&self, time_ms: f64) -> Option<f64> {
-        (self.samples >= USUAL_SAMPLES).then(|| time_ms.max(0.1) / self.ln_ms.exp())
+    /// Returns how many times the usual time a run took, if that is known.
+    fn times_usual(&self, time_ms: f64) -> Option<f64> {
+        (self.samples >= MIN_BASELINE_SAMPLES).then(|| time_ms.max(0.1) / self.mean_ln_ms.exp())
     }
 }
 
-/// The orders of all services at one entry.
+/// The rollouts of all services at one entry.
 ///
 /// ```
 /// use sardinewood::direct::rollout::table::RolloutTable;
@@ -85,28 +87,28 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct RolloutTable {
-    /// None where versions mean nothing, so that all upstreams serve.
-    allowance: Option<ExposureLimit>,
+    /// None if the platform has no rollouts, so that the upstreams of all versions serve.
+    exposure_limit: Option<ExposureLimit>,
     incarnation: u64,
     versions: ServingVersions,
     rollouts: IndexMap<Arc<str>, RolloutProgress>,
     withdrawn: IndexMap<RolloutId, u64>,
     upstreams: Vec<Arc<Upstream>>,
-    /// Short names of the old upstreams that are counted.
+    /// Hashes of the old version's upstreams that are compared with the new version.
     control: IndexSet<u32>,
     baselines: IndexMap<u32, RouteBaseline>,
-    /// What came of the latest requests by route, while no order is in progress.
-    ends: IndexMap<u32, RequestCounts>,
-    /// Requests that run and can't be moved, by service and version.
-    fixed: IndexMap<(Arc<str>, Arc<str>), u32>,
+    /// Counts of the latest requests by route, taken while no rollout is in progress.
+    earlier_counts: IndexMap<u32, RequestCounts>,
+    /// Running pinned requests, by service and version.
+    pinned: IndexMap<(Arc<str>, Arc<str>), u32>,
 }
 
 impl RolloutTable {
-    /// An entry's that knows nothing yet. Without an allowance versions mean nothing.
+    /// Creates an empty table. Without a limit, versions are not told apart.
     #[must_use]
-    pub fn new(allowance: Option<ExposureLimit>, incarnation: u64) -> Self {
+    pub fn new(exposure_limit: Option<ExposureLimit>, incarnation: u64) -> Self {
         Self {
-            allowance,
+            exposure_limit,
             incarnation,
             versions: ServingVersions::default(),
             rollouts: IndexMap::new(),
@@ -114,36 +116,36 @@
             upstreams: Vec::new(),
             control: IndexSet::new(),
             baselines: IndexMap::new(),
-            ends: IndexMap::new(),
-            fixed: IndexMap::new(),
+            earlier_counts: IndexMap::new(),
+            pinned: IndexMap::new(),
         }
     }
 
-    /// Whether versions are told apart here.
+    /// Returns whether versions are told apart.
     #[must_use]
     pub fn tracks_versions(&self) -> bool {
-        self.allowance.is_some()
+        self.exposure_limit.is_some()
     }
 
-    /// Whether an order is neither completed nor reverted.
+    /// Returns whether any rollout is neither completed nor reverted.
     #[must_use]
     pub fn has_open_rollouts(&self) -> bool {
         self.rollouts.values().any(|progress| !progress.is_over())
     }
 
-    /// Whether any order is known.
+    /// Returns whether no rollout is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rollouts.is_empty()
     }
 
-    /// The order of a service.
+    /// Returns the rollout of a service.
     #[must_use]
     pub fn progress(&self, service: &str) -> Option<&RolloutProgress> {
         self.rollouts.get(service)
     }
 
-    /// How far all orders have come.
+    /// Returns the states of all rollouts.
     #[must_use]
     pub fn states(&self, now_ms: u64) -> Vec<RolloutState> {
         let states = self
@@ -153,13 +155,13 @@
         states.collect()
     }
 
-    /// Takes the upstreams that are listed.
+    /// Replaces the listed upstreams.
     pub fn set_upstreams(&mut self, upstreams: &[Arc<Upstream>]) {
         self.upstreams = upstreams.to_vec();
         self.update_versions();
     }
 
-    /// The upstreams that are listed.
+    /// Returns the listed upstreams.
     ///
     /// ```
     /// assert!(sardinewood::direct::rollout::table::RolloutTable::new(None, 1).upstreams().is_empty());
@@ -169,7 +171,7 @@
         &self.upstreams
     }
 
-    /// Short names of the upstreams that are listed.
+    /// Returns the hashes of the listed upstreams.
     ///
     /// ```
     /// assert!(sardinewood::direct::rollout::table::RolloutTable::new(None, 1).upstream_names().is_empty());
@@ -182,7 +184,8 @@
             .collect()
     }
 
-    /// Takes the orders as the store lists them, with the revision of that; those that are new here.
+    /// Applies the rollouts that the store lists at revision `at`, and returns those that are new
+    /// here.
     pub fn apply_stored(
         &mut self,
         rollouts: &[Rollout],
@@ -195,11 +198,11 @@
         }
         let mut new = Vec::new();
         for rollout in rollouts {
-            if self.take_order(rollout, entries, 0, now_ms) {
+            if self.apply_rollout(rollout, entries, 0, now_ms) {
                 new.push(rollout.id.clone());
             }
         }
-        let gone: Vec<RolloutId> = self
+        let removed: Vec<RolloutId> = self
             .rollouts
             .values()
             .map(RolloutProgress::rollout)
@@ -207,22 +210,22 @@
             .filter(|known| rollouts.iter().all(|rollout| rollout.id != known.id))
             .map(|known| known.id.clone())
             .collect();
-        for id in gone {
+        for id in removed {
             self.withdraw(&id, at);
         }
         self.update_versions();
         new
     }
 
-    /// Takes one order; whether it is new here.
-    fn take_order(
+    /// Applies one rollout, and returns whether it is new here.
+    fn apply_rollout(
         &mut self,
         rollout: &Rollout,
         entries: usize,
         elapsed_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let Some(allowance) = self.allowance else {
+        let Some(exposure_limit) = self.exposure_limit else {
             return false;
         };
         let withdrawn_at = self.withdrawn.get(&rollout.id);
@@ -232,7 +235,7 @@
         let known = self.rollouts.get_mut(&rollout.id.service);
         match known {
             Some(known) if known.rollout().id == rollout.id => {
-                known.take_order(rollout.clone(), now_ms);
+                known.apply_rollout(rollout.clone(), now_ms);
                 false
             }
             Some(known) if known.rollout().revision >= rollout.revision => false,
@@ -240,11 +243,11 @@
                 let service = Arc::clone(&rollout.id.service);
                 let progress = RolloutProgress::new(
                     rollout.clone(),
-                    allowance,
+                    exposure_limit,
                     self.incarnation,
                     entries,
                     elapsed_ms,
-                    &self.ends,
+                    &self.earlier_counts,
                     now_ms,
                 );
                 self.rollouts.insert(service, progress);
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Forgets an order that its operator took away; whether it was known.
+    /// Removes a rollout that an operator has removed, and returns whether it was known.
     pub fn withdraw(&mut self, id: &RolloutId, revision: u64) -> bool {
         let known = self.rollouts.get(&id.service);
         let is_known = known
@@ -269,7 +272,7 @@
         is_known
     }
 
-    /// Takes another entry's message.
+    /// Handles a message from another entry.
     pub fn handle_message(
         &mut self,
         from: SocketAddr,
@@ -279,11 +282,11 @@
     ) -> Vec<RolloutAction> {
         match message {
             RolloutMessage::State(state) => {
-                let is_new = self.take_order(&state.rollout, entries, state.elapsed_ms, now_ms);
+                let is_new = self.apply_rollout(&state.rollout, entries, state.elapsed_ms, now_ms);
                 let known = self.rollouts.get_mut(&state.rollout.id.service);
                 let known = known.filter(|known| known.rollout().id == state.rollout.id);
                 let mut next = known
-                    .map(|known| known.hear_state(state, now_ms))
+                    .map(|known| known.apply_state(state, now_ms))
                     .unwrap_or_default();
                 if is_new {
                     next.push(RolloutAction::UpdateEligibleUpstreams);
@@ -294,7 +297,7 @@
             RolloutMessage::Report(report) => {
                 let known = self.rollouts.get_mut(&report.id.service);
                 if let Some(known) = known.filter(|known| known.rollout().id == report.id) {
-                    known.hear_report(from, report);
+                    known.merge_report(from, report);
                 }
                 Vec::new()
             }
@@ -308,40 +311,46 @@
         }
     }
 
-    /// What the time that has passed asks for, by service. `around` is what is true of the entry.
-    pub fn step(&mut self, around: &FleetSnapshot, now_ms: u64) -> Vec<(Arc<str>, RolloutAction)> {
+    /// Advances all rollouts, and returns the actions that are due, by service. `snapshot` holds
+    /// the facts that are the same for all services.
+    pub fn step(
+        &mut self,
+        snapshot: &FleetSnapshot,
+        now_ms: u64,
+    ) -> Vec<(Arc<str>, RolloutAction)> {
         let mut all = Vec::new();
         for (service, progress) in &mut self.rollouts {
             let to = &progress.rollout().id.to;
-            let mut facts = around.clone();
+            let mut service_snapshot = snapshot.clone();
             for upstream in self.upstreams.iter().filter(|up| up.service == *service) {
                 if upstream.version == *to {
-                    facts.new_upstreams += 1;
-                    facts.new_slots += upstream.slots;
+                    service_snapshot.new_upstreams += 1;
+                    service_snapshot.new_slots += upstream.slots;
                 } else {
-                    facts.old_slots += upstream.slots;
+                    service_snapshot.old_slots += upstream.slots;
                 }
             }
-            facts.pinned_at_old = pinned_at_old(&self.fixed, service, to);
-            let next = progress.step(&facts, now_ms);
+            service_snapshot.pinned_at_old = pinned_at_old(&self.pinned, service, to);
+            let next = progress.step(&service_snapshot, now_ms);
             all.extend(next.into_iter().map(|next| (Arc::clone(service), next)));
         }
         all
     }
 
-    /// Keeps a service's order from being shifted, or lets it go on.
+    /// Puts a service's rollout on hold, or resumes it.
     pub fn set_hold(&mut self, service: &str, is_on_hold: bool, now_ms: u64) -> Vec<RolloutAction> {
         let progress = self.rollouts.get_mut(service);
         progress.map_or_else(Vec::new, |progress| progress.set_hold(is_on_hold, now_ms))
     }
 
-    /// Gives a service's new version up.
+    /// Rejects a service's new version.
     pub fn reject(&mut self, service: &str, now_ms: u64) -> Vec<RolloutAction> {
         let progress = self.rollouts.get_mut(service);
         progress.map_or_else(Vec::new, |progress| progress.reject(now_ms))
     }
 
-    /// Where requests may go now.
+    /// Returns the upstreams to which requests may go now, and renews the choice of control
+    /// upstreams.
     pub fn eligible_upstreams(&mut self) -> EligibleUpstreams {
         if !self.tracks_versions() {
             return EligibleUpstreams {
@@ -349,7 +358,7 @@
                 canaries: IndexSet::new(),
             };
         }
-        let mut placement = EligibleUpstreams::default();
+        let mut eligible = EligibleUpstreams::default();
         self.control.clear();
         let mut services: IndexMap<Arc<str>, Vec<Arc<Upstream>>> = IndexMap::new();
         for upstream in &self.upstreams {
@@ -357,7 +366,7 @@
             all.push(Arc::clone(upstream));
         }
         for (service, mut all) in services {
-            // The same order at all entries, and another one for each service.
+            // All entries get the same order, and each service another one.
             all.sort_by_cached_key(|upstream| {
                 (
                     upstream_hash(&upstream.instance),
@@ -365,10 +374,10 @@
                 )
             });
             let serving = self.versions.serving(&service);
-            let rollout = self.rollouts.get(&service);
-            let rollout = rollout.filter(|rollout| !rollout.is_over());
+            let progress = self.rollouts.get(&service);
+            let progress = progress.filter(|progress| !progress.is_over());
             let is_new =
-                |up: &&Arc<Upstream>| rollout.is_some_and(|o| o.rollout().id.to == up.version);
+                |up: &&Arc<Upstream>| progress.is_some_and(|o| o.rollout().id.to == up.version);
             let new: Vec<Arc<Upstream>> = all.iter().filter(is_new).cloned().collect();
             let old: Vec<Arc<Upstream>> = all
                 .iter()
@@ -378,23 +387,23 @@
             let control = old.iter().take(CONTROL_UPSTREAMS);
             self.control
                 .extend(control.map(|up| upstream_hash(&up.instance)));
-            match rollout.map(RolloutProgress::phase) {
-                None | Some(RolloutPhase::Rejected) => placement.upstreams.extend(old),
-                Some(RolloutPhase::Shifting) => placement.upstreams.extend(new),
+            match progress.map(RolloutProgress::phase) {
+                None | Some(RolloutPhase::Rejected) => eligible.upstreams.extend(old),
+                Some(RolloutPhase::Shifting) => eligible.upstreams.extend(new),
                 Some(RolloutPhase::Judging) => {
-                    placement.upstreams.extend(old);
-                    let loaded = rollout.map(|rollout| rollout.loaded(&new));
-                    for upstream in loaded.unwrap_or_default() {
-                        placement.canaries.insert(Arc::clone(&upstream.instance));
-                        placement.upstreams.push(Arc::clone(upstream));
+                    eligible.upstreams.extend(old);
+                    let current_canaries = progress.map(|progress| progress.current_canaries(&new));
+                    for upstream in current_canaries.unwrap_or_default() {
+                        eligible.canaries.insert(Arc::clone(&upstream.instance));
+                        eligible.upstreams.push(Arc::clone(upstream));
                     }
                 }
             }
         }
-        placement
+        eligible
     }
 
-    /// Where a route's next request goes.
+    /// Chooses where a route's next request goes.
     pub fn choose_target(
         &mut self,
         service: &str,
@@ -409,7 +418,8 @@
         })
     }
 
-    /// Notes that a request was sent. One that is fixed can't be moved once it runs.
+    /// Records that a request was sent. A pinned request can't be moved to another upstream once it
+    /// runs.
     pub fn record_dispatch(&mut self, upstream: &Upstream, route: &str, is_pinned: bool) {
         if let Some(progress) = self.rollouts.get_mut(&upstream.service) {
             let is_new = upstream.version == progress.rollout().id.to;
@@ -417,24 +427,32 @@
         }
     }
 
-    /// Notes that a request runs that can't be moved.
+    /// Counts a pinned request that starts to run.
     pub fn pin(&mut self, upstream: &Upstream) {
-        *self.fixed.entry(version_of(upstream)).or_default() += 1;
+        *self
+            .pinned
+            .entry(service_and_version(upstream))
+            .or_default() += 1;
     }
 
-    /// Notes that such a request has ended.
+    /// Counts a pinned request that has ended.
     pub fn unpin(&mut self, upstream: &Upstream) {
-        let version = version_of(upstream);
-        if let Some(fixed) = self.fixed.get_mut(&version) {
-            *fixed -= 1;
-            if *fixed == 0 {
-                self.fixed.swap_remove(&version);
+        let version = service_and_version(upstream);
+        if let Some(pinned) = self.pinned.get_mut(&version) {
+            *pinned -= 1;
+            if *pinned == 0 {
+                self.pinned.swap_remove(&version);
             }
         }
     }
 
-    /// Notes how a request ended at its upstream.
-    pub fn record_run_outcome(&mut self, upstream: &Upstream, route: &str, came: RunOutcome) {
+    /// Records how a run ended at its upstream.
+    pub fn record_run_outcome(
+        &mut self,
+        upstream: &Upstream,
+        route: &str,
+        run_outcome: RunOutcome,
+    ) {
         if !self.tracks_versions() {
             return;
         }
@@ -445,24 +463,26 @@
         let is_new = progress
             .as_ref()
             .is_some_and(|progress| progress.rollout().id.to == upstream.version);
-        let usual = self.baselines.entry(route).or_default();
-        let outcome = match came {
+        let baseline = self.baselines.entry(route).or_default();
+        let outcome = match run_outcome {
             RunOutcome::Failed => OutcomeClass::Failed,
             RunOutcome::Untimed => OutcomeClass::Untimed,
-            RunOutcome::Answered { ms_per_event } => usual
-                .times(ms_per_event)
+            RunOutcome::Answered { ms_per_event } => baseline
+                .times_usual(ms_per_event)
                 .map_or(OutcomeClass::Untimed, OutcomeClass::took),
         };
-        if let (false, RunOutcome::Answered { ms_per_event }) = (is_new, came) {
-            usual.observe(ms_per_event);
+        if let (false, RunOutcome::Answered { ms_per_event }) = (is_new, run_outcome) {
+            baseline.observe(ms_per_event);
         }
         let is_control = self.control.contains(&name);
         match progress {
             Some(progress) if is_new || is_control => {
                 progress.observe(is_new, name, route, outcome);
             }
-            Some(progress) => progress.observe(false, OTHERS, route, outcome.untimed()),
-            None => remember(self.ends.entry(route).or_default(), came),
+            Some(progress) => progress.observe(false, OTHER_UPSTREAMS, route, outcome.untimed()),
+            None => {
+                count_earlier_request(self.earlier_counts.entry(route).or_default(), run_outcome)
+            }
         }
     }
 
@@ -476,21 +496,22 @@
     }
 }
 
-fn remember(part: &mut RequestCounts, came: RunOutcome) {
-    part.requests += 1;
-    part.bad += u32::from(came == RunOutcome::Failed);
-    if part.requests >= REMEMBERED {
-        part.requests /= 2;
-        part.bad /= 2;
+fn count_earlier_request(counts: &mut RequestCounts, run_outcome: RunOutcome) {
+    counts.requests += 1;
+    counts.bad += u32::from(run_outcome == RunOutcome::Failed);
+    if counts.requests >= MAX_COUNTED_REQUESTS {
+        counts.requests /= 2;
+        counts.bad /= 2;
     }
 }
 
-fn version_of(upstream: &Upstream) -> (Arc<str>, Arc<str>) {
+/// Returns the service and the version of an upstream.
+fn service_and_version(upstream: &Upstream) -> (Arc<str>, Arc<str>) {
     (Arc::clone(&upstream.service), Arc::clone(&upstream.version))
 }
 
-fn pinned_at_old(fixed: &IndexMap<(Arc<str>, Arc<str>), u32>, service: &str, to: &str) -> u32 {
-    let at_old = fixed
+fn pinned_at_old(pinned: &IndexMap<(Arc<str>, Arc<str>), u32>, service: &str, to: &str) -> u32 {
+    let at_old = pinned
         .iter()
         .filter(|((of, version), _)| &**of == service && &**version != to);
     at_old.map(|(_, count)| count).sum()
--- a/lib/src/direct/rollout/verdict.rs
+++ b/lib/src/direct/rollout/verdict.rs
@@ -1,79 +1,82 @@
-//! Whether a version is bad, from what requests came to there and at the old version.
+//! Judges whether a version is bad by comparing request outcomes at the new and the old version.
 //!
-//! Upstreams of one version differ in speed several times over, and a few of them fail by
-//! themselves. A version is bad if it is so wherever it runs: what one upstream does counts only
-//! up to the odds that it is that upstream's own fault, and speed is compared between each
-//! upstream's requests, or between the fastest upstreams of both versions.
+//! Upstreams of one version differ in speed several times over, and a few fail through faults of
+//! their own. A version is bad only if it is bad wherever it runs. The evidence from one upstream
+//! is therefore limited by the odds that the upstream itself is faulty, and speed is compared
+//! between the requests of each upstream, or between the fastest upstreams of both versions.
 
 use indexmap::IndexMap;
 
 use crate::direct::rollout::outcome_counts::OutcomeClass;
 use crate::direct::rollout::outcome_counts::OutcomeKey;
-use crate::direct::rollout::outcome_counts::STEPS;
 use crate::direct::rollout::outcome_counts::STEPS_PER_OCTAVE;
+use crate::direct::rollout::outcome_counts::TIME_STEPS;
 use crate::numbers;
 
-/// Likelihood ratio, as a logarithm, at which the new version counts as bad: one good version in
-/// ten thousand reaches it by chance at any one moment.
-const BAD_RATIO_LN: f64 = 9.5;
-/// The same at which more evidence is waited for.
-const DOUBT_RATIO_LN: f64 = 4.5;
-/// Parts of all requests that a bad version may spoil beyond those that the old one does.
-const SPOILED_PARTS: [f64; 3] = [0.08, 0.25, 0.7];
-/// Odds that an upstream fails by itself, before any of the old version has been seen to, and what
-/// these odds count for, in upstreams.
-const FAULTY_PART: f64 = 0.01;
-const FAULTY_PRIOR: f64 = 12.0;
-/// Likelihood ratio, as a logarithm, from which an upstream of the old version counts as faulty.
-const FAULTY_RATIO_LN: f64 = 3.0;
-/// Parts of its requests that a faulty upstream may fail.
-const FAULTY_FAILED: [f64; 4] = [0.15, 0.4, 0.8, 0.97];
-/// Requests that the old version's part of failures begins with, and how many of them failed, so
-/// that a few good ones prove nothing.
+/// Log likelihood ratio at which the new version counts as bad. One good version in ten thousand
+/// reaches it by chance at any one moment.
+const BAD_LOG_RATIO: f64 = 9.5;
+/// Log likelihood ratio at which the verdict waits for more evidence.
+const DOUBTFUL_LOG_RATIO: f64 = 4.5;
+/// Shares of requests that a bad version may turn bad, beyond those that are bad at the old
+/// version.
+const EXTRA_BAD_SHARES: [f64; 3] = [0.08, 0.25, 0.7];
+/// Prior share of upstreams that are faulty themselves, and the weight of this prior in upstreams.
+const FAULTY_PRIOR_SHARE: f64 = 0.01;
+const FAULTY_PRIOR_UPSTREAMS: f64 = 12.0;
+/// Log likelihood ratio from which an upstream of the old version counts as faulty.
+const FAULTY_LOG_RATIO: f64 = 3.0;
+/// Shares of its requests that a faulty upstream may fail.
+const FAULTY_FAILED_SHARES: [f64; 4] = [0.15, 0.4, 0.8, 0.97];
+/// Prior for the old version's share of bad requests: a number of requests and how many of them
+/// were bad. With it, a few good requests prove nothing.
 const PRIOR_REQUESTS: f64 = 30.0;
-const PRIOR_FAILED: f64 = 0.6;
-/// Failures at the new version after which it goes, if it fails so much more often than the old one.
-const MOST_FAILED: u32 = 25;
+const PRIOR_BAD_REQUESTS: f64 = 0.6;
+/// Failed requests after which the new version is rejected if its share of failures is at least
+/// `FAILED_FACTOR` times that of the old version plus `FAILED_MARGIN`.
+const MAX_FAILED_REQUESTS: u32 = 25;
 const FAILED_FACTOR: f64 = 2.0;
-const FAILED_BEYOND: f64 = 0.05;
-/// Requests at one upstream from which its mean time is known, and from which its quicker requests
-/// are told from its slower ones.
-const TIMED_AT_LEAST: u32 = 4;
-const RANKED_AT_LEAST: u32 = 8;
-/// Steps beyond an upstream's own usual time from which a request took several times as long.
-const LONG_STEPS: u8 = 4;
-/// The quarter of the old version's upstreams that counts as fast: the very fastest of many is so by
-/// chance.
-const FAST_PART: usize = 4;
-/// Octaves by which the fastest upstream of the new version may be slower than those.
-const SLOWER_OCTAVES: f64 = 1.2;
-/// Likelihood ratio, as a logarithm, at which answers from many upstreams are too slow. Those of one
-/// moment may be slow by whatever holds up this host, so four upstreams have to agree, each at its time.
-const SLOW_ANYWHERE_LN: f64 = 16.0;
-/// Octaves within which an upstream of the old version is as slow, and the odds, as a logarithm,
-/// against having drawn only such.
-const AS_SLOW_OCTAVES: f64 = 0.3;
-const SLOWER_RATIO_LN: f64 = 5.0;
-
-/// What the evidence says.
+const FAILED_MARGIN: f64 = 0.05;
+/// Answers of one upstream needed for its mean time, and needed to tell its slower answers from its
+/// faster ones.
+const MIN_ANSWERS_FOR_MEAN: u32 = 4;
+const MIN_ANSWERS_FOR_RANK: u32 = 8;
+/// Steps above the fast step of an upstream from which an answer counts as slow: several times as
+/// long.
+const SLOW_STEPS: u8 = 4;
+/// Divisor for the share of the old version's upstreams that count as fast, a quarter. The single
+/// fastest of many upstreams may be so by chance.
+const FAST_UPSTREAMS_DIVISOR: usize = 4;
+/// Octaves by which the fastest upstream of the new version may be slower than those fast ones.
+const MAX_SLOWDOWN_OCTAVES: f64 = 1.2;
+/// Log likelihood ratio at which the pooled answers of all upstreams are too slow. Whatever delays
+/// this host slows all answers of one moment, so four upstreams have to agree, each at its own
+/// time.
+const POOLED_SLOW_LOG_RATIO: f64 = 16.0;
+/// Octaves within which an upstream of the old version counts as equally slow, and the log odds
+/// against having tried only such upstreams at which the new version is slow.
+const EQUALLY_SLOW_OCTAVES: f64 = 0.3;
+const SLOWER_LOG_ODDS: f64 = 5.0;
+
+/// What the evidence says about the new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionVerdict {
     /// Nothing speaks against the new version.
     Clean,
-    /// Something does, and may be chance.
+    /// There is some evidence against it, which may be chance.
     Doubtful,
-    /// All requests are slow so far, and it may be that only slow upstreams have been tried.
+    /// All requests are slow so far, but perhaps only slow upstreams have been tried.
     SeemsSlow,
-    /// Its requests fail.
+    /// Requests fail at it.
     Failing,
-    /// A part of its requests takes several times as long.
+    /// A part of its requests takes several times as long as usual.
     PartlySlow,
-    /// All of its requests do.
+    /// All of its requests take several times as long as usual.
     Slow,
 }
 
 impl VersionVerdict {
-    /// Whether the version has to go.
+    /// Returns whether the version has to be rejected.
     ///
     /// ```
     /// use sardinewood::direct::rollout::verdict::VersionVerdict;
@@ -85,7 +88,7 @@
         matches!(self, Self::Failing | Self::PartlySlow | Self::Slow)
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs and on operators' pages.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::rollout::verdict::VersionVerdict::Clean.name(), "clean");
@@ -103,12 +106,12 @@
     }
 }
 
-/// Requests, and how many of them were spoiled.
+/// A number of requests, and how many of them were bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// All of them.
+    /// All requests.
     pub requests: u32,
-    /// Those that failed or took too long.
+    /// Requests that failed or took too long.
     pub bad: u32,
 }
 
@@ -123,89 +126,91 @@
     }
 }
 
+/// The outcomes of requests at one upstream.
 #[derive(Clone, Debug, Default)]
-struct AtUpstream {
-    /// By route.
-    failures: IndexMap<u32, RequestCounts>,
-    /// Answers by step of time.
-    times: [u32; STEPS as usize],
+struct UpstreamOutcomes {
+    /// Requests and failures by the hash of the route's name.
+    failures_by_route: IndexMap<u32, RequestCounts>,
+    /// Answers by time step.
+    answers_by_step: [u32; TIME_STEPS as usize],
 }
 
-impl AtUpstream {
-    fn add(&mut self, cell: OutcomeKey, count: u32) {
-        let failed = cell.outcome == OutcomeClass::Failed;
-        self.failures
-            .entry(cell.route)
+impl UpstreamOutcomes {
+    fn add(&mut self, key: OutcomeKey, count: u32) {
+        let failed = key.outcome == OutcomeClass::Failed;
+        self.failures_by_route
+            .entry(key.route)
             .or_default()
             .add(RequestCounts {
                 requests: count,
                 bad: if failed { count } else { 0 },
             });
-        if let OutcomeClass::Took(step) = cell.outcome
-            && let Some(times) = self.times.get_mut(usize::from(step))
+        if let OutcomeClass::Took(step) = key.outcome
+            && let Some(answers_by_step) = self.answers_by_step.get_mut(usize::from(step))
         {
-            *times += count;
+            *answers_by_step += count;
         }
     }
 
     fn failed(&self) -> RequestCounts {
         let mut all = RequestCounts::default();
-        for part in self.failures.values() {
-            all.add(*part);
+        for counts in self.failures_by_route.values() {
+            all.add(*counts);
         }
         all
     }
 
-    fn timed(&self) -> u32 {
-        self.times.iter().sum()
+    fn timed_answers(&self) -> u32 {
+        self.answers_by_step.iter().sum()
     }
 
-    /// Answers that took several times as long as the quicker ones there.
-    fn long(&self) -> RequestCounts {
-        let timed = self.timed();
-        if timed < RANKED_AT_LEAST {
+    /// Returns the answers that took several times as long as the faster ones of this upstream.
+    fn slow_answers(&self) -> RequestCounts {
+        let timed_answers = self.timed_answers();
+        if timed_answers < MIN_ANSWERS_FOR_RANK {
             return RequestCounts::default();
         }
-        let quick = quick_step(&self.times).unwrap_or_default();
-        let from = quick + usize::from(LONG_STEPS);
+        let fast_step_index = fast_step(&self.answers_by_step).unwrap_or_default();
+        let from = fast_step_index + usize::from(SLOW_STEPS);
         RequestCounts {
-            requests: timed,
-            bad: self.times.iter().skip(from).sum(),
+            requests: timed_answers,
+            bad: self.answers_by_step.iter().skip(from).sum(),
         }
     }
 
-    /// The mean time in octaves, if it is known.
-    fn octaves(&self) -> Option<f64> {
-        let timed = self.timed();
-        let steps = (0..STEPS).zip(self.times);
+    /// Returns the mean answer time in octaves if there are enough answers.
+    fn mean_octaves(&self) -> Option<f64> {
+        let timed_answers = self.timed_answers();
+        let steps = (0..TIME_STEPS).zip(self.answers_by_step);
         let sum: f64 = steps
             .map(|(step, count)| f64::from(step) * f64::from(count))
             .sum();
-        (timed >= TIMED_AT_LEAST).then(|| sum / f64::from(timed) / STEPS_PER_OCTAVE)
+        (timed_answers >= MIN_ANSWERS_FOR_MEAN)
+            .then(|| sum / f64::from(timed_answers) / STEPS_PER_OCTAVE)
     }
 }
 
-/// The evidence for and against a version.
+/// The evidence for and against the new version.
 ///
 /// ```
 /// use sardinewood::direct::rollout::outcome_counts::{OutcomeKey, OutcomeClass};
 /// use sardinewood::direct::rollout::verdict::{VersionEvidence, VersionVerdict};
 ///
-/// let cell = |upstream, outcome| OutcomeKey { is_new: true, upstream, route: 1, rotation: 0, outcome };
+/// let key = |upstream, outcome| OutcomeKey { is_new: true, upstream, route: 1, rotation: 0, outcome };
 /// let mut evidence = VersionEvidence::default();
 /// for upstream in [1, 2, 3] {
-///     evidence.add(cell(upstream, OutcomeClass::Failed), 6);
+///     evidence.add(key(upstream, OutcomeClass::Failed), 6);
 /// }
 /// assert_eq!(evidence.verdict(2), VersionVerdict::Failing);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct VersionEvidence {
-    new: IndexMap<u32, AtUpstream>,
-    old: IndexMap<u32, AtUpstream>,
+    new: IndexMap<u32, UpstreamOutcomes>,
+    old: IndexMap<u32, UpstreamOutcomes>,
 }
 
 impl VersionEvidence {
-    /// Adds requests.
+    /// Adds a count of requests.
     ///
     /// ```
     /// # use sardinewood::direct::rollout::{outcome_counts::{OutcomeKey, OutcomeClass}, verdict::VersionEvidence};
@@ -213,36 +218,37 @@
     /// evidence.add(OutcomeKey { is_new: true, upstream: 1, route: 2, rotation: 0, outcome: OutcomeClass::Untimed }, 3);
     /// assert_eq!(evidence.at_new().requests, 3);
     /// ```
-    pub fn add(&mut self, cell: OutcomeKey, count: u32) {
-        let side = if cell.is_new {
+    pub fn add(&mut self, key: OutcomeKey, count: u32) {
+        let side = if key.is_new {
             &mut self.new
         } else {
             &mut self.old
         };
-        side.entry(cell.upstream).or_default().add(cell, count);
+        side.entry(key.upstream).or_default().add(key, count);
     }
 
-    /// Requests at the new version, and how many failed.
+    /// Returns the requests at the new version, and how many of them failed.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::rollout::verdict::VersionEvidence::default().at_new().bad, 0);
     /// ```
     #[must_use]
     pub fn at_new(&self) -> RequestCounts {
-        all_of(&self.new)
+        total(&self.new)
     }
 
-    /// Requests at those upstreams of the old version that are counted, and how many failed.
+    /// Returns the requests at the sampled upstreams of the old version, and how many of them
+    /// failed.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::rollout::verdict::VersionEvidence::default().at_old().bad, 0);
     /// ```
     #[must_use]
     pub fn at_old(&self) -> RequestCounts {
-        all_of(&self.old)
+        total(&self.old)
     }
 
-    /// Requests by route, at the new and at the old version.
+    /// Returns the requests by route, at the new and at the old version.
     ///
     /// ```
     /// assert!(sardinewood::direct::rollout::verdict::VersionEvidence::default().by_route().is_empty());
@@ -250,234 +256,275 @@
     #[must_use]
     pub fn by_route(&self) -> IndexMap<u32, (RequestCounts, RequestCounts)> {
         let mut routes: IndexMap<u32, (RequestCounts, RequestCounts)> = IndexMap::new();
-        for (route, part) in self.new.values().flat_map(|at| &at.failures) {
-            routes.entry(*route).or_default().0.add(*part);
+        for (route, counts) in self
+            .new
+            .values()
+            .flat_map(|outcomes| &outcomes.failures_by_route)
+        {
+            routes.entry(*route).or_default().0.add(*counts);
         }
-        for (route, part) in self.old.values().flat_map(|at| &at.failures) {
-            routes.entry(*route).or_default().1.add(*part);
+        for (route, counts) in self
+            .old
+            .values()
+            .flat_map(|outcomes| &outcomes.failures_by_route)
+        {
+            routes.entry(*route).or_default().1.add(*counts);
         }
         routes
     }
 
-    /// What it says. `listed` upstreams of the new version take requests; while there are others
-    /// than the one that fails, it alone proves nothing.
+    /// Returns the verdict on the evidence.
+    ///
+    /// `new_upstreams` is the number of upstreams of the new version that take requests. If there
+    /// are several, failures at only one of them prove nothing about the version.
     ///
     /// ```
     /// # use sardinewood::direct::rollout::verdict::{VersionEvidence, VersionVerdict};
     /// assert_eq!(VersionEvidence::default().verdict(3), VersionVerdict::Clean);
     /// ```
     #[must_use]
-    pub fn verdict(&self, listed: usize) -> VersionVerdict {
-        let failing = self.failing_ln(listed);
-        let slow_part = self.slow_part_ln(listed);
-        let slower = self.slower_ln();
-        if failing >= BAD_RATIO_LN || self.fails_too_often() {
+    pub fn verdict(&self, new_upstreams: usize) -> VersionVerdict {
+        let failing = self.failing_log_ratio(new_upstreams);
+        let partly_slow = self.partly_slow_log_ratio(new_upstreams);
+        let slower = self.slower_log_odds();
+        if failing >= BAD_LOG_RATIO || self.fails_too_often() {
             VersionVerdict::Failing
-        } else if slow_part >= BAD_RATIO_LN {
+        } else if partly_slow >= BAD_LOG_RATIO {
             VersionVerdict::PartlySlow
-        } else if slower >= SLOWER_RATIO_LN || self.slow_anywhere_ln(listed) >= SLOW_ANYWHERE_LN {
+        } else if slower >= SLOWER_LOG_ODDS
+            || self.pooled_slow_log_ratio(new_upstreams) >= POOLED_SLOW_LOG_RATIO
+        {
             VersionVerdict::Slow
         } else if slower > 0.0 {
             VersionVerdict::SeemsSlow
-        } else if failing.max(slow_part) >= DOUBT_RATIO_LN {
+        } else if failing.max(partly_slow) >= DOUBTFUL_LOG_RATIO {
             VersionVerdict::Doubtful
         } else {
             VersionVerdict::Clean
         }
     }
 
-    /// How much likelier the failures are if the version is bad, on all routes or on one of them.
-    fn failing_ln(&self, listed: usize) -> f64 {
-        let mut before: IndexMap<u32, RequestCounts> = IndexMap::new();
-        let old = without_worst(&self.old, |at| at.failed().share());
-        for (route, part) in old.iter().flat_map(|at| &at.failures) {
-            before.entry(*route).or_default().add(*part);
+    /// Returns the log likelihood ratio of the failures between a bad and a good version, on all
+    /// routes or on one of them, whichever is higher.
+    fn failing_log_ratio(&self, new_upstreams: usize) -> f64 {
+        let mut old_counts: IndexMap<u32, RequestCounts> = IndexMap::new();
+        let old = without_worst_third(&self.old, |outcomes| outcomes.failed().share());
+        for (route, counts) in old.iter().flat_map(|outcomes| &outcomes.failures_by_route) {
+            old_counts.entry(*route).or_default().add(*counts);
         }
-        let usual = |route: &u32| usual_share(before.get(route).copied().unwrap_or_default());
-        let parts = |at: &AtUpstream, only: Option<u32>| -> Vec<(RequestCounts, f64)> {
-            at.failures
-                .iter()
-                .filter(|(route, _)| only.is_none_or(|only| only == **route))
-                .map(|(route, part)| (*part, usual(route)))
-                .collect()
-        };
-        let at_old: Vec<_> = self.old.values().map(|at| parts(at, None)).collect();
-        let faulty_part = faulty_part(&at_old, listed);
+        let expected_share =
+            |route: &u32| expected_bad_share(old_counts.get(route).copied().unwrap_or_default());
+        let counts_at =
+            |outcomes: &UpstreamOutcomes, only: Option<u32>| -> Vec<(RequestCounts, f64)> {
+                outcomes
+                    .failures_by_route
+                    .iter()
+                    .filter(|(route, _)| only.is_none_or(|only| only == **route))
+                    .map(|(route, counts)| (*counts, expected_share(route)))
+                    .collect()
+            };
+        let at_old: Vec<_> = self
+            .old
+            .values()
+            .map(|outcomes| counts_at(outcomes, None))
+            .collect();
+        let faulty_share = faulty_share(&at_old, new_upstreams);
         let ratio = |only: Option<u32>| {
-            let all: Vec<_> = self.new.values().map(|at| parts(at, only)).collect();
-            ratio_ln(&all, faulty_part)
+            let all: Vec<_> = self
+                .new
+                .values()
+                .map(|outcomes| counts_at(outcomes, only))
+                .collect();
+            log_likelihood_ratio(&all, faulty_share)
         };
         let mut routes: Vec<u32> = self.by_route().keys().copied().collect();
         routes.sort_unstable();
-        let one_of = numbers::as_f64(routes.len().max(1) as u64).ln();
-        let on_one = routes.into_iter().map(|route| ratio(Some(route)) - one_of);
-        on_one.chain([ratio(None)]).fold(0.0, f64::max)
+        let route_choice_log = numbers::as_f64(routes.len().max(1) as u64).ln();
+        let by_single_route = routes
+            .into_iter()
+            .map(|route| ratio(Some(route)) - route_choice_log);
+        by_single_route.chain([ratio(None)]).fold(0.0, f64::max)
     }
 
-    /// Whether so many requests have failed that no more may be waited for, whichever upstreams it
-    /// was.
+    /// Returns whether so many requests have failed that the verdict can't wait, whichever
+    /// upstreams they failed at.
     fn fails_too_often(&self) -> bool {
         let (new, old) = (self.at_new(), self.at_old());
-        new.bad >= MOST_FAILED && new.share() >= FAILED_FACTOR * old.share() + FAILED_BEYOND
+        new.bad >= MAX_FAILED_REQUESTS && new.share() >= FAILED_FACTOR * old.share() + FAILED_MARGIN
     }
 
-    /// How much likelier the long answers are if a part of them is slow by the version's fault.
-    fn slow_part_ln(&self, listed: usize) -> f64 {
-        let mut before = RequestCounts::default();
-        for at in without_worst(&self.old, |at| at.long().share()) {
-            before.add(at.long());
+    /// Returns the log likelihood ratio of the slow answers between a version that makes a part of
+    /// them slow and one that doesn't. Each upstream is compared with its own faster answers.
+    fn partly_slow_log_ratio(&self, new_upstreams: usize) -> f64 {
+        let mut old_counts = RequestCounts::default();
+        for outcomes in without_worst_third(&self.old, |outcomes| outcomes.slow_answers().share()) {
+            old_counts.add(outcomes.slow_answers());
         }
-        if before.requests == 0 {
+        if old_counts.requests == 0 {
             return 0.0;
         }
-        let usual = usual_share(before);
+        let expected_share = expected_bad_share(old_counts);
         let all: Vec<_> = self
             .new
             .values()
-            .map(|at| vec![(at.long(), usual)])
+            .map(|outcomes| vec![(outcomes.slow_answers(), expected_share)])
             .collect();
         let at_old: Vec<_> = self
             .old
             .values()
-            .map(|at| vec![(at.long(), usual)])
+            .map(|outcomes| vec![(outcomes.slow_answers(), expected_share)])
             .collect();
-        ratio_ln(&all, faulty_part(&at_old, listed))
+        log_likelihood_ratio(&all, faulty_share(&at_old, new_upstreams))
     }
 
-    /// How much likelier it is that answers are slow by the version's fault, wherever a few came from.
-    /// An upstream that is slow itself is taken for a faulty one.
-    fn slow_anywhere_ln(&self, listed: usize) -> f64 {
-        let mut times = [0; STEPS as usize];
-        for at in self.old.values() {
-            for (all, count) in times.iter_mut().zip(at.times) {
+    /// Returns the log likelihood ratio of the slow answers as above, but compared with the fast
+    /// answers of the whole old version, so that a few answers from each upstream suffice. An
+    /// upstream that is slow itself counts as faulty.
+    fn pooled_slow_log_ratio(&self, new_upstreams: usize) -> f64 {
+        let mut answers_by_step = [0; TIME_STEPS as usize];
+        for outcomes in self.old.values() {
+            for (all, count) in answers_by_step.iter_mut().zip(outcomes.answers_by_step) {
                 *all += count;
             }
         }
-        let Some(quick) = quick_step(&times) else {
+        let Some(fast_step_index) = fast_step(&answers_by_step) else {
             return 0.0;
         };
-        let from = quick + usize::from(LONG_STEPS);
-        let long = |at: &AtUpstream| RequestCounts {
-            requests: at.timed(),
-            bad: at.times.iter().skip(from).sum(),
+        let from = fast_step_index + usize::from(SLOW_STEPS);
+        let slow_answers = |outcomes: &UpstreamOutcomes| RequestCounts {
+            requests: outcomes.timed_answers(),
+            bad: outcomes.answers_by_step.iter().skip(from).sum(),
         };
-        let mut before = RequestCounts::default();
-        for at in self.old.values() {
-            before.add(long(at));
+        let mut old_counts = RequestCounts::default();
+        for outcomes in self.old.values() {
+            old_counts.add(slow_answers(outcomes));
         }
-        let usual = usual_share(before);
-        let parts = |side: &IndexMap<u32, AtUpstream>| -> Vec<_> {
-            side.values().map(|at| vec![(long(at), usual)]).collect()
+        let expected_share = expected_bad_share(old_counts);
+        let counts_at = |side: &IndexMap<u32, UpstreamOutcomes>| -> Vec<_> {
+            side.values()
+                .map(|outcomes| vec![(slow_answers(outcomes), expected_share)])
+                .collect()
         };
-        ratio_ln(&parts(&self.new), faulty_part(&parts(&self.old), listed))
+        log_likelihood_ratio(
+            &counts_at(&self.new),
+            faulty_share(&counts_at(&self.old), new_upstreams),
+        )
     }
 
-    /// How unlikely it is, as a logarithm, that only upstreams have been tried that are as slow by
-    /// themselves; 0 if the fastest of the new version is not several times slower than the fast ones
-    /// of the old one.
-    fn slower_ln(&self) -> f64 {
-        let octaves = |side: &IndexMap<u32, AtUpstream>| -> Vec<f64> {
-            side.values().filter_map(AtUpstream::octaves).collect()
+    /// Returns the log odds against having tried only upstreams that are as slow by themselves.
+    ///
+    /// It is 0 unless the fastest upstream of the new version is several times slower than the fast
+    /// ones of the old version.
+    fn slower_log_odds(&self) -> f64 {
+        let mean_octaves = |side: &IndexMap<u32, UpstreamOutcomes>| -> Vec<f64> {
+            side.values()
+                .filter_map(UpstreamOutcomes::mean_octaves)
+                .collect()
         };
-        let (new, old) = (octaves(&self.new), octaves(&self.old));
-        let at_best = new.iter().copied().fold(f64::INFINITY, f64::min);
+        let (new, old) = (mean_octaves(&self.new), mean_octaves(&self.old));
+        let fastest_new = new.iter().copied().fold(f64::INFINITY, f64::min);
         let mut ranked = old.clone();
         ranked.sort_by(f64::total_cmp);
-        let Some(fast) = ranked.get(ranked.len() / FAST_PART) else {
+        let Some(fast) = ranked.get(ranked.len() / FAST_UPSTREAMS_DIVISOR) else {
             return 0.0;
         };
-        if new.is_empty() || at_best - fast < SLOWER_OCTAVES {
+        if new.is_empty() || fastest_new - fast < MAX_SLOWDOWN_OCTAVES {
             return 0.0;
         }
-        let as_slow = old
+        let equally_slow = old
             .iter()
-            .filter(|octaves| **octaves + AS_SLOW_OCTAVES >= at_best);
-        let as_slow = numbers::as_f64(as_slow.count() as u64) + 0.5;
-        let part = as_slow / (numbers::as_f64(old.len() as u64) + 1.0);
-        -numbers::as_f64(new.len() as u64) * part.ln()
+            .filter(|mean_octaves| **mean_octaves + EQUALLY_SLOW_OCTAVES >= fastest_new);
+        let equally_slow = numbers::as_f64(equally_slow.count() as u64) + 0.5;
+        let share = equally_slow / (numbers::as_f64(old.len() as u64) + 1.0);
+        -numbers::as_f64(new.len() as u64) * share.ln()
     }
 }
 
-/// The step by which three tenths of the answers have come.
-fn quick_step(times: &[u32; STEPS as usize]) -> Option<usize> {
-    let all: u32 = times.iter().sum();
+/// Returns the time step by which three tenths of the answers have come, if there are enough.
+fn fast_step(answers_by_step: &[u32; TIME_STEPS as usize]) -> Option<usize> {
+    let all: u32 = answers_by_step.iter().sum();
     let mut seen = 0;
-    let step = times.iter().position(|count| {
+    let step = answers_by_step.iter().position(|count| {
         seen += count;
         seen * 10 >= all * 3
     });
-    step.filter(|_| all >= RANKED_AT_LEAST)
+    step.filter(|_| all >= MIN_ANSWERS_FOR_RANK)
 }
 
-fn all_of(side: &IndexMap<u32, AtUpstream>) -> RequestCounts {
+/// Returns the requests at all upstreams of one version, and how many of them failed.
+fn total(side: &IndexMap<u32, UpstreamOutcomes>) -> RequestCounts {
     let mut all = RequestCounts::default();
-    for at in side.values() {
-        all.add(at.failed());
+    for outcomes in side.values() {
+        all.add(outcomes.failed());
     }
     all
 }
 
-/// The upstreams of the old version without the worst third.
-fn without_worst(
-    side: &IndexMap<u32, AtUpstream>,
-    bad: impl Fn(&AtUpstream) -> f64,
-) -> Vec<&AtUpstream> {
-    let mut all: Vec<&AtUpstream> = side.values().collect();
+/// Returns the upstreams of a version without the worst third.
+fn without_worst_third(
+    side: &IndexMap<u32, UpstreamOutcomes>,
+    bad: impl Fn(&UpstreamOutcomes) -> f64,
+) -> Vec<&UpstreamOutcomes> {
+    let mut all: Vec<&UpstreamOutcomes> = side.values().collect();
     all.sort_by(|one, other| bad(other).total_cmp(&bad(one)));
     all.split_off(side.len() / 3)
 }
 
-/// The part that is usually spoiled, at least a little.
-fn usual_share(old: RequestCounts) -> f64 {
+/// Returns the share of requests that is expected to be bad at a good version, at least 0.01.
+fn expected_bad_share(old: RequestCounts) -> f64 {
     let requests = f64::from(old.requests) + PRIOR_REQUESTS;
-    let share = (f64::from(old.bad) + PRIOR_FAILED) / requests;
-    // It is known only so well.
+    let share = (f64::from(old.bad) + PRIOR_BAD_REQUESTS) / requests;
+    // One standard error is added, since the share is only an estimate.
     (share + (share * (1.0 - share) / requests).sqrt()).clamp(0.01, 0.9)
 }
 
-/// How much likelier the requests at all upstreams are, as a logarithm, if the version spoils a part
-/// of them. Each upstream's come with the part that is usually spoiled.
-fn ratio_ln(upstreams: &[Vec<(RequestCounts, f64)>], faulty_part: f64) -> f64 {
-    let of_all = |bad: f64| -> f64 {
-        let ratios = upstreams.iter().map(|parts| {
-            let good_ln = likelihood_ln(parts, 0.0);
-            let bad_ln = likelihood_ln(parts, bad);
-            let faulty = FAULTY_FAILED.map(|failed| likelihood_ln(parts, failed));
-            let most = faulty.into_iter().fold(good_ln.max(bad_ln), f64::max);
-            let faulty: f64 = faulty.map(|ln| (ln - most).exp()).into_iter().sum();
-            let faulty = faulty_part * faulty / numbers::as_f64(FAULTY_FAILED.len() as u64);
-            let of = |ln: f64| (1.0 - faulty_part) * (ln - most).exp() + faulty;
-            // Neither becomes 0, however unlikely it is.
-            of(bad_ln).max(f64::MIN_POSITIVE).ln() - of(good_ln).max(f64::MIN_POSITIVE).ln()
+/// Returns the log likelihood ratio of the requests at all upstreams between a version that turns
+/// a share of them bad and a good one. Each count comes with the share that is expected to be bad.
+fn log_likelihood_ratio(upstreams: &[Vec<(RequestCounts, f64)>], faulty_share: f64) -> f64 {
+    let ratio_for = |bad: f64| -> f64 {
+        let ratios = upstreams.iter().map(|counts_at| {
+            let good_log = log_likelihood(counts_at, 0.0);
+            let bad_log = log_likelihood(counts_at, bad);
+            let faulty = FAULTY_FAILED_SHARES.map(|failed| log_likelihood(counts_at, failed));
+            let highest = faulty.into_iter().fold(good_log.max(bad_log), f64::max);
+            let faulty: f64 = faulty.map(|ln| (ln - highest).exp()).into_iter().sum();
+            let faulty = faulty_share * faulty / numbers::as_f64(FAULTY_FAILED_SHARES.len() as u64);
+            let of = |ln: f64| (1.0 - faulty_share) * (ln - highest).exp() + faulty;
+            // Keeps both above 0, however unlikely they are.
+            of(bad_log).max(f64::MIN_POSITIVE).ln() - of(good_log).max(f64::MIN_POSITIVE).ln()
         });
         ratios.sum()
     };
-    SPOILED_PARTS.map(of_all).into_iter().fold(0.0, f64::max)
+    EXTRA_BAD_SHARES
+        .map(ratio_for)
+        .into_iter()
+        .fold(0.0, f64::max)
 }
 
-/// The odds that an upstream fails by itself, from those of the old version. While there is only one
-/// upstream of the new version, its faults are the version's.
-fn faulty_part(old: &[Vec<(RequestCounts, f64)>], listed: usize) -> f64 {
-    if listed <= 1 {
+/// Returns the share of upstreams that are faulty themselves, estimated from the old version. While
+/// the new version has only one upstream, its faults count as the version's.
+fn faulty_share(old: &[Vec<(RequestCounts, f64)>], new_upstreams: usize) -> f64 {
+    if new_upstreams <= 1 {
         return 0.0;
     }
-    let is_faulty = |parts: &&Vec<(RequestCounts, f64)>| {
-        let good_ln = likelihood_ln(parts, 0.0);
-        let ratios = FAULTY_FAILED.map(|failed| likelihood_ln(parts, failed) - good_ln);
-        ratios.into_iter().fold(f64::NEG_INFINITY, f64::max) >= FAULTY_RATIO_LN
+    let is_faulty = |counts_at: &&Vec<(RequestCounts, f64)>| {
+        let good_log = log_likelihood(counts_at, 0.0);
+        let ratios =
+            FAULTY_FAILED_SHARES.map(|failed| log_likelihood(counts_at, failed) - good_log);
+        ratios.into_iter().fold(f64::NEG_INFINITY, f64::max) >= FAULTY_LOG_RATIO
     };
     let faulty = numbers::as_f64(old.iter().filter(is_faulty).count() as u64);
     let seen = numbers::as_f64(old.len() as u64);
-    (faulty + FAULTY_PART * FAULTY_PRIOR) / (seen + FAULTY_PRIOR)
+    (faulty + FAULTY_PRIOR_SHARE * FAULTY_PRIOR_UPSTREAMS) / (seen + FAULTY_PRIOR_UPSTREAMS)
 }
 
-/// How likely the requests at one upstream are, as a logarithm, if so large a part of those is
-/// spoiled that usually are not.
-fn likelihood_ln(parts: &[(RequestCounts, f64)], beyond: f64) -> f64 {
-    let of = |(part, usual): &(RequestCounts, f64)| {
-        let bad = usual + (1.0 - usual) * beyond;
-        let whole = f64::from(part.requests - part.bad);
-        f64::from(part.bad) * bad.ln() + whole * (1.0 - bad).ln()
+/// Returns the log likelihood of the requests at one upstream if the given share of those that
+/// would otherwise be good is bad.
+fn log_likelihood(counts_at: &[(RequestCounts, f64)], extra_share: f64) -> f64 {
+    let of = |(counts, expected_share): &(RequestCounts, f64)| {
+        let bad = expected_share + (1.0 - expected_share) * extra_share;
+        let whole = f64::from(counts.requests - counts.bad);
+        f64::from(counts.bad) * bad.ln() + whole * (1.0 - bad).ln()
     };
-    parts.iter().map(of).sum()
+    counts_at.iter().map(of).sum()
 }
