--- a/lib/src/direct/membership.rs
+++ b/lib/src/direct/membership.rs
@@ -1,4 +1,4 @@
-//! Which entries there are, and what they tell each other. It decides and knows no socket.
+//! Tracks which entries there are, and defines the messages between them. The module does no I/O.
 
 pub mod gossip;
 pub mod heartbeat_payload;
--- a/lib/src/direct/membership/gossip.rs
+++ b/lib/src/direct/membership/gossip.rs
@@ -1,21 +1,22 @@
-//! Whom an entry tells what it has found out: of requests under which upstreams ended, and of what
-//! upstreams say of themselves.
+//! Decides to whom an entry sends what it has learnt about requests under which upstreams crashed,
+//! and about what upstreams announce about themselves.
 //!
-//! What an entry has seen goes to all at once. Datagrams are lost, and entries start or are cut off:
-//! so each passes on what was news to it, repeats a part of all to somebody now and then, and tells
-//! those that start or come back.
+//! What an entry observes itself goes to all peers at once. Since datagrams get lost, and entries
+//! start or are cut off, each entry also forwards what was new to it, regularly resends a part of
+//! everything to a peer, and brings peers up to date that start or come back.
 
-/// Peers to which an entry passes on what it has just heard.
+/// Peers to which an entry forwards what it has just received.
 pub const FORWARD_PEERS: usize = 2;
-/// Peers to which it repeats a part of all that it knows, each time.
+/// Peers to which an entry resends a part of all that it knows, each time.
 pub const RESEND_PEERS: usize = 1;
-/// Time between two repetitions.
+/// Time between two resends.
 pub const RESEND_INTERVAL_MS: u64 = 1_000;
-/// How many entries tell a peer that has started or was silent. Were it all, hundreds would at
-/// once.
-const GREETERS: usize = 4;
+/// Entries that bring a new or returned peer up to date, on average. In a large fleet, hundreds
+/// would otherwise do so at once.
+const SYNC_SENDERS: usize = 4;
 
-/// Whether this entry, of so many, tells a peer that has started or was silent, by a random number.
+/// Returns whether this entry should bring a new or returned peer up to date, given the number of
+/// entries and a random number.
 ///
 /// ```
 /// use sardinewood::direct::membership::gossip::should_sync;
@@ -25,5 +26,5 @@
 /// ```
 #[must_use]
 pub fn should_sync(entries: usize, random: usize) -> bool {
-    random % entries.max(1) < GREETERS
+    random % entries.max(1) < SYNC_SENDERS
 }
--- a/lib/src/direct/membership/heartbeat_payload.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -1,8 +1,8 @@
-//! What of an entry's state goes into one heartbeat.
+//! Chooses which part of an entry's state goes into one heartbeat.
 //!
-//! A heartbeat is one datagram. An entry before hundreds of engines and more customers than
-//! that has more to tell, and a datagram that is too long is not sent at all: its sender
-//! would count as dead. So each heartbeat takes what fits, and the next ones the rest.
+//! A heartbeat is one datagram. An entry with hundreds of engines and even more customers has more
+//! state than fits, and a datagram that is too long is not sent at all, so that the entry would
+//! count as dead. So each heartbeat contains what fits, and the next ones the rest.
 
 use std::sync::Arc;
 
@@ -15,21 +15,21 @@
 
 /// Upstreams in one heartbeat. One takes 13 bytes at most, so that all take half a datagram.
 pub const MAX_LOADS: usize = 50;
-/// Bytes that customers may take in one heartbeat; the rest of the datagram is 650 bytes for
-/// upstreams and 200 for the entry itself and for peers' addresses.
+/// Bytes for customers' spending in one heartbeat. The rest of the datagram is 650 bytes for
+/// upstreams, and 200 for the entry itself and for peers' addresses.
 const MAX_SPENT_BYTES: usize = 450;
-/// Bytes of a customer beside its name: a length and a count of 64 bits.
+/// Bytes of a customer's spending besides its name: a length and a 64-bit count.
 const SPENT_BYTES: usize = 12;
 
-/// What an entry runs at the upstreams whose short names lie within a range. One that lies
-/// there and is not listed runs nothing of it.
+/// What an entry runs at the upstreams whose hashes lie within a range. It runs nothing at an
+/// upstream within the range that isn't listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadChunk {
-    /// First short name of the range.
+    /// First hash of the range.
     pub from: u32,
-    /// Last short name of the range.
+    /// Last hash of the range.
     pub to: u32,
-    /// What runs there.
+    /// What runs at these upstreams.
     pub loads: Vec<UpstreamLoad>,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl LoadChunk {
-    /// All that an entry runs.
+    /// Creates a chunk with everything that an entry runs.
     ///
     /// ```
     /// assert!(sardinewood::direct::membership::heartbeat_payload::LoadChunk::whole(Vec::new()).covers(7));
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The part that goes into the heartbeat of this number; all parts take turns.
+    /// Returns the chunk for the heartbeat with this sequence number. All chunks take turns.
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_message::UpstreamLoad;
@@ -69,8 +69,8 @@
             return Self::whole(loads);
         }
         loads.sort_by_key(|loads| loads.upstream);
-        let parts = loads.len().div_ceil(MAX_LOADS);
-        let index = usize::try_from(sequence % parts as u64).unwrap_or_default();
+        let chunks = loads.len().div_ceil(MAX_LOADS);
+        let index = usize::try_from(sequence % chunks as u64).unwrap_or_default();
         let first = index * MAX_LOADS;
         let next = loads.get(first + MAX_LOADS);
         Self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether an upstream lies within the range.
+    /// Returns whether an upstream lies within the range.
     ///
     /// ```
     /// let part = sardinewood::direct::membership::heartbeat_payload::LoadChunk { from: 5, to: 9, loads: Vec::new() };
@@ -93,14 +93,14 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct SentSpending {
     units: u64,
-    /// Heartbeats that have told this figure.
+    /// Heartbeats that have contained this figure.
     times: u32,
 }
 
-/// Which customers' spending the next heartbeat tells: what has changed, and then what was
-/// told least often, so that a lost datagram is made up for.
+/// Chooses the customers whose spending goes into the next heartbeat: those whose figure has
+/// changed, then those sent least often, so that lost datagrams are made up for.
 ///
 /// ```
 /// use sardinewood::direct::membership::heartbeat_payload::SpendingReport;
@@ -112,11 +112,11 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SpendingReport {
-    told: IndexMap<Arc<str>, Told>,
+    sent: IndexMap<Arc<str>, SentSpending>,
 }
 
 impl SpendingReport {
-    /// What goes into the next heartbeat, of all that customers have spent here.
+    /// Returns the spending for the next heartbeat, given all that customers have spent here.
     ///
     /// ```
     /// let mut report = sardinewood::direct::membership::heartbeat_payload::SpendingReport::default();
@@ -127,28 +127,28 @@
         spent: impl Iterator<Item = (&'a Arc<str>, u64)>,
     ) -> Vec<CustomerSpending> {
         for (customer, units) in spent {
-            let told = self.told.entry(Arc::clone(customer)).or_default();
-            if told.units != units {
-                *told = Told { units, times: 0 };
+            let sent = self.sent.entry(Arc::clone(customer)).or_default();
+            if sent.units != units {
+                *sent = SentSpending { units, times: 0 };
             }
         }
-        let mut order: Vec<usize> = (0..self.told.len()).collect();
-        order.sort_by_key(|index| self.told[*index].times);
-        let mut left_bytes = MAX_SPENT_BYTES;
+        let mut order: Vec<usize> = (0..self.sent.len()).collect();
+        order.sort_by_key(|index| self.sent[*index].times);
+        let mut remaining_bytes = MAX_SPENT_BYTES;
         let mut chosen = Vec::new();
         for index in order {
-            let Some((customer, told)) = self.told.get_index_mut(index) else {
+            let Some((customer, sent)) = self.sent.get_index_mut(index) else {
                 break;
             };
             let bytes = customer.len() + SPENT_BYTES;
-            if bytes > left_bytes {
+            if bytes > remaining_bytes {
                 break;
             }
-            left_bytes -= bytes;
-            told.times = told.times.saturating_add(1);
+            remaining_bytes -= bytes;
+            sent.times = sent.times.saturating_add(1);
             chosen.push(CustomerSpending {
                 customer: Arc::clone(customer),
-                units: told.units,
+                units: sent.units,
             });
         }
         chosen
--- a/lib/src/direct/membership/peer_message.rs
+++ b/lib/src/direct/membership/peer_message.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other, as datagrams.
+//! The messages that entries send each other as datagrams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
 
-/// First byte of every datagram; another form of the message gets another number.
-const FORM: u8 = 5;
-/// Longest datagram that is sent: it fits into one packet of a common network.
-const MAX_BYTES: usize = 1_400;
+/// First byte of every datagram: the version of the message format.
+const FORMAT_VERSION: u8 = 5;
+/// Longest datagram that is sent. It fits into one packet of a common network.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// What an entry has spent of a customer's allotment since its start.
+/// What an entry has spent of a customer's quota since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerSpending {
     /// The customer's name.
@@ -31,32 +31,32 @@
     pub units: u64,
 }
 
-/// What an entry runs at an upstream.
+/// What one entry runs at an upstream, and how the upstream does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
-    /// Short name of the upstream.
+    /// Hash of the upstream's name.
     pub upstream: u32,
-    /// Requests.
+    /// Running requests.
     pub requests: u16,
-    /// Time between two events of a stream there, 0 if not known.
+    /// Time between two events of a stream there, or 0 if not known.
     pub event_us: u32,
-    /// What is wrong there.
+    /// What the entry has found out about the upstream.
     pub condition: UpstreamCondition,
 }
 
-/// What an entry has found of an upstream that others should not have to find out.
+/// The condition of an upstream, shared so that other entries need not find it out themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamCondition {
     /// Nothing is wrong.
     #[default]
     Healthy,
-    /// A request has had no answer there for far too long.
+    /// The upstream has left a request without an answer for far too long.
     Stalled,
-    /// Another process answers at its address.
+    /// Another process answers at the upstream's address.
     Replaced,
 }
 
-/// How far an entry has followed the platform's store.
+/// How far an entry's replica of the platform's store has advanced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revisions {
     /// Revision of the configuration in force.
@@ -65,100 +65,101 @@
     pub directory: u64,
 }
 
-/// The state of one entry, sent to all others many times a second.
+/// The state of one entry, which it sends to all others many times a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// A random number of this start of the process.
+    /// A random number that identifies this run of the process.
     pub incarnation: u64,
-    /// Counts the heartbeats of this start.
+    /// The number of the heartbeat within this run of the process.
     pub sequence: u64,
-    /// Whether the process ends now.
+    /// Whether the process exits now.
     pub is_last: bool,
-    /// How far it has followed the store.
+    /// The revisions that the entry's replica has reached.
     pub revisions: Revisions,
-    /// Whether the process will end soon, and keeps no door.
+    /// Whether the process will exit soon, and owns no upstream's queue and no quota.
     pub is_leaving: bool,
-    /// How long it has run.
+    /// How long the process has run.
     pub age_s: u16,
-    /// How many entries it has heard, itself included.
+    /// How many entries it knows, itself included.
     pub known_entries: u16,
-    /// How long ago the store answered it, if it asks the store.
+    /// How long ago the store answered the entry, if it watches the store.
     pub store_age_ms: Option<u32>,
-    /// Other entries that it hears from.
+    /// Addresses of other entries that it knows.
     pub peer_addresses: Vec<SocketAddr>,
-    /// Requests that it runs, by upstream; all of them, or a part if they are many.
+    /// Its running requests by upstream, or a part of them if there are many.
     pub loads: LoadChunk,
-    /// What customers have spent there; those told least of late if they are many.
+    /// What customers have spent at this entry. If there are many, it contains those that were sent
+    /// least often since they changed.
     pub spent: Vec<CustomerSpending>,
 }
 
-/// A request that the receiver is asked to charge to a customer whose allotment it keeps.
+/// Asks the receiver, who owns the customer's quota, to charge a request to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargeRequest {
-    /// Names the question.
+    /// Identifies this message in the reply.
     pub id: PeerRequestId,
     /// The customer's name.
     pub customer: Arc<str>,
-    /// What the request asks of the allotment.
+    /// What the request costs.
     pub cost: RequestCost,
-    /// Whether others wait at the sender.
+    /// Whether other requests wait at the sender.
     pub contention: Contention,
 }
 
-/// Everything that entries send each other by datagram.
+/// A message from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// The state of the sender.
     Heartbeat(Heartbeat),
-    /// The sender wants room at an engine whose door the receiver keeps.
+    /// The sender requests a slot at an engine whose queue the receiver owns.
     RequestSlot(SlotRequest),
-    /// The sender no longer wants it.
+    /// The sender cancels a slot request.
     Cancel {
-        /// Short name of the engine.
+        /// Hash of the engine's name.
         upstream: u32,
-        /// The question that is taken back.
+        /// The request that is cancelled.
         request_id: PeerRequestId,
     },
-    /// The receiver has room at the engine that it asked for.
+    /// The sender grants the receiver the slot that it requested.
     Grant {
-        /// The question that is answered.
+        /// The request that is granted.
         request_id: PeerRequestId,
-        /// Short name of the engine.
+        /// Hash of the engine's name.
         upstream: u32,
     },
-    /// The receiver's question waits.
+    /// The receiver's slot request waits in the queue.
     Queued {
-        /// The question that is answered.
+        /// The request that waits.
         request_id: PeerRequestId,
-        /// How long it is expected to wait.
+        /// How long the request is expected to wait.
         wait_ms: u32,
     },
-    /// Room that the receiver had granted is free again.
+    /// The sender releases a slot that the receiver had granted.
     Released {
-        /// Short name of the engine.
+        /// Hash of the engine's name.
         upstream: u32,
-        /// How it was used.
+        /// How the slot was used.
         release: SlotRelease,
     },
-    /// The sender wants to charge a request.
+    /// The sender asks the receiver to charge a request to a customer's quota.
     ChargeRequest(ChargeRequest),
-    /// The receiver's request was charged or not.
+    /// The reply to a charge request.
     ChargeReply {
-        /// The question that is answered.
+        /// The charge request.
         request_id: PeerRequestId,
-        /// The answer.
+        /// Whether the request was charged.
         charge: ChargeOutcome,
     },
-    /// What the sender knows of requests under which upstreams ended.
+    /// What the sender knows about requests under which upstreams have crashed.
     SuspectRequests(Vec<SuspectUpdate>),
-    /// How far a roll-out has come, or what the sender has seen of it.
+    /// The state of a rollout, its removal, or the sender's evidence about it.
     Rollout(RolloutMessage),
-    /// What upstreams have said of themselves.
+    /// What upstreams have announced about themselves.
     UpstreamNotices(Vec<NoticeUpdate>),
 }
 
 impl PeerMessage {
-    /// The message as a datagram; none if it would be too long.
+    /// Encodes the message as a datagram, or returns none if it would be too long.
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_message::{Heartbeat, PeerMessage};
@@ -169,11 +170,11 @@
     /// ```
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
-        let bytes = postcard::to_extend(self, vec![FORM]).ok()?;
-        (bytes.len() <= MAX_BYTES).then_some(bytes)
+        let bytes = postcard::to_extend(self, vec![FORMAT_VERSION]).ok()?;
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Reads a datagram; none if it is not a message of ours.
+    /// Decodes a datagram, or returns none if it isn't a message of this format.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::membership::peer_message::PeerMessage::decode(b"?"), None);
@@ -181,7 +182,7 @@
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first() {
-            Some((&FORM, message)) => postcard::from_bytes(message).ok(),
+            Some((&FORMAT_VERSION, message)) => postcard::from_bytes(message).ok(),
             _ => None,
         }
     }
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of the others, from their heartbeats.
+//! What an entry knows about the others from their heartbeats.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,73 +9,79 @@
 use crate::direct::membership::peer_message::Heartbeat;
 use crate::direct::membership::peer_message::Revisions;
 
-/// Shortest time between two heartbeats. Within it, two entries may both take the last slot of an
-/// upstream; at some tens of requests a second on each that is rare.
+/// Shortest time between two heartbeats. Within it, two entries may both use the last slot of an
+/// upstream, which is rare at some tens of requests a second on each.
 const MIN_HEARTBEAT_MS: u64 = 50;
-/// Time between two heartbeats for each peer, so that a larger fleet costs each entry no more
-/// than some hundred datagrams a second.
-const HEARTBEAT_PER_PEER_MS: u64 = 10;
-/// Longest time between two heartbeats, which bounds how long a dead peer is believed.
+/// Time between two heartbeats for each known peer, so that even in a large fleet an entry receives
+/// no more than some hundred datagrams a second.
+const HEARTBEAT_MS_PER_PEER: u64 = 10;
+/// Longest time between two heartbeats, which limits how long a dead peer counts as live.
 const MAX_HEARTBEAT_MS: u64 = 1_000;
-/// Shortest time between two heartbeats of an entry that asks the store, for each peer: the others
-/// depend on it for the configuration.
-const ASKER_HEARTBEAT_PER_PEER_MS: u64 = 1;
-/// Heartbeats of a peer that may be missing before it is not heard from any more.
+/// Time between two heartbeats for each known peer, of an entry that watches the store. It is
+/// shorter, since the others depend on this entry for the configuration.
+const WATCHER_HEARTBEAT_MS_PER_PEER: u64 = 1;
+/// Heartbeats of a peer that may be missing before it counts as silent.
 const MISSED_HEARTBEATS: u64 = 3;
-/// Part of the time between two heartbeats, in percent, after which a peer's next one is overdue,
-/// and the shortest such time: entries have little processor time and may be late by some hundred
+/// Percentage of the time between two heartbeats after which a peer's next one is overdue, and the
+/// shortest such time. Entries have little processor time and may be late by some hundred
 /// milliseconds.
 const OVERDUE_PERCENT: u64 = 140;
 const MIN_OVERDUE_MS: u64 = 500;
-/// Shortest silence after which a peer is not heard from any more.
-const MIN_HEARD_WITHIN_MS: u64 = 1_000;
-/// Silence after which a peer is forgotten. Cuts heal within seconds to a minute.
-const FORGOTTEN_AFTER_MS: u64 = 60_000;
-/// Entries that ask the store. A third one is there for the case that two are cut off at once.
-const STORE_ASKERS: usize = 3;
-/// Age of the store's last answer beyond which an entry does not count as asking it: a watch's
-/// wait and its timeout.
-const STORE_AGE_MS: u32 = 1_500;
+/// Shortest time without a heartbeat after which a peer counts as silent.
+const MIN_SILENCE_MS: u64 = 1_000;
+/// Time without a heartbeat after which a peer is forgotten. Network cuts heal within seconds to a
+/// minute.
+const FORGET_AFTER_MS: u64 = 60_000;
+/// Entries that watch the store. The third one is for the case that two are cut off at once.
+const STORE_WATCHERS: usize = 3;
+/// Age of the store's last answer beyond which an entry no longer counts as watching it: the wait
+/// of a watch plus its timeout.
+const MAX_STORE_AGE_MS: u32 = 1_500;
 /// Addresses of peers in one heartbeat.
 const MAX_ADDRESSES: usize = 8;
-/// Heartbeats within which a peer that was not known counts as just started: a second of them.
+/// Sequence number up to which an unknown peer counts as just started: a second of heartbeats.
 const JUST_STARTED_HEARTBEATS: u64 = 20;
-/// Time after its start from which an entry may keep customers' allotments: until then it does not
-/// know all others, nor they it, and two would keep the same customer.
-const SETTLED_AFTER_S: u16 = 2;
-/// Age of the oldest entry until which all of them have started together. None knows more than the
-/// others then, so all may keep allotments, and none is passed over for a moment when the first ones
-/// are two seconds old.
-const STARTED_TOGETHER_S: u16 = 10;
+/// Time after its start from which an entry may own customers' quotas. Until then it does not know
+/// all others, nor they it, and two would own the quota of the same customer.
+const MIN_OWNER_AGE_S: u16 = 2;
+/// Age of the oldest entry up to which all entries count as started together. None knows more than
+/// the others then, so all may own quotas. Otherwise the later ones would be passed over for a
+/// moment when the first ones are two seconds old.
+const STARTED_TOGETHER_MAX_AGE_S: u16 = 10;
 const MS_PER_S: u64 = 1_000;
 
+/// What is known of one peer from its last heartbeat.
 #[derive(Clone, Debug)]
 struct Peer {
     incarnation: u64,
     sequence: u64,
-    heard_at_ms: u64,
+    last_heartbeat_ms: u64,
     is_leaving: bool,
     age_s: u16,
-    known: u16,
+    known_entries: u16,
     store_age_ms: Option<u32>,
     revisions: Revisions,
     spent: IndexMap<Arc<str>, u64>,
-    /// Whether it had been running for some time when it was first heard.
-    was_running: bool,
+    /// Whether the peer had run for some time when its first heartbeat arrived.
+    was_running_before: bool,
 }
 
 impl Peer {
-    /// Takes in what customers have spent there; what of it is new.
+    /// Records what customers have spent at the peer, and returns what of it is new.
     ///
-    /// An entry that was cut off while it started hears its peers late. All that they have
-    /// spent in their lives would then come out of buckets that have long been filled
-    /// again, and their customers would be refused for minutes. So the first word of a peer
-    /// that has run for some time only says where it stands.
-    fn take_spent(&mut self, told: &[CustomerSpending]) -> Vec<CustomerSpending> {
+    /// An entry that was cut off while it started hears from its peers late. If all that they have
+    /// spent since their start were charged then, to buckets that have long been refilled, their
+    /// customers would be refused for minutes. So the first report of a peer that has run for some
+    /// time is only taken as its starting point.
+    fn record_spending(&mut self, reported: &[CustomerSpending]) -> Vec<CustomerSpending> {
         let mut newly_spent = Vec::new();
-        for spent in told {
+        for spent in reported {
             let before = self.spent.insert(Arc::clone(&spent.customer), spent.units);
-            let first = if self.was_running { spent.units } else { 0 };
+            let first = if self.was_running_before {
+                spent.units
+            } else {
+                0
+            };
             let units = spent.units.saturating_sub(before.unwrap_or(first));
             if units > 0 {
                 newly_spent.push(CustomerSpending {
@@ -88,29 +94,29 @@
     }
 }
 
-/// What a heartbeat changes.
+/// What a heartbeat has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatEffect {
-    /// What customers have spent there since the heartbeat before.
+    /// What customers have spent at the peer since its previous heartbeat.
     pub newly_spent: Vec<CustomerSpending>,
-    /// Whether the peer was not known, or has started anew.
+    /// Whether the peer was not known, or has restarted.
     pub is_new: bool,
-    /// Whether it was silent before, and may have missed what was told meanwhile.
+    /// Whether the peer was silent before, and may have missed messages.
     pub is_back: bool,
-    /// Whether the heartbeat was old, repeated or the peer's last.
+    /// Whether the heartbeat is ignored because it was old, repeated or the peer's last.
     pub is_ignored: bool,
 }
 
-/// The entries that may keep customers' allotments.
+/// The entries that may own customers' quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuotaOwners {
-    /// Their addresses; this entry's own may be one of them.
+    /// Their addresses, which may include this entry's own.
     pub addresses: Vec<SocketAddr>,
     /// Whether all entries have just started, so that none knows what was spent before.
     pub have_started_together: bool,
 }
 
-/// The other entries, as far as this one has heard of them.
+/// The other entries, as far as this one knows them.
 ///
 /// ```
 /// use sardinewood::direct::membership::peer_table::PeerTable;
@@ -121,23 +127,27 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct PeerTable {
-    own: SocketAddr,
+    own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
     peers: IndexMap<SocketAddr, Peer>,
 }
 
 impl PeerTable {
-    /// A table that knows addresses to begin with.
+    /// Creates a table that knows the addresses of some other entries.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
     /// let _ = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
     /// ```
     #[must_use]
-    pub fn new(own: SocketAddr, seeds: &[SocketAddr]) -> Self {
+    pub fn new(own_address: SocketAddr, seeds: &[SocketAddr]) -> Self {
         Self {
-            own,
-            seeds: seeds.iter().copied().filter(|seed| *seed != own).collect(),
+            own_address,
+            seeds: seeds
+                .iter()
+                .copied()
+                .filter(|seed| *seed != own_address)
+                .collect(),
             peers: IndexMap::new(),
         }
     }
@@ -152,31 +162,31 @@
     /// ```
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
-            if *seed != self.own && !self.seeds.contains(seed) {
+            if *seed != self.own_address && !self.seeds.contains(seed) {
                 self.seeds.push(*seed);
             }
         }
     }
 
-    /// The address of this entry.
+    /// Returns the address of this entry.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
-    /// let own = "10.0.0.1:7".parse().unwrap();
-    /// assert_eq!(PeerTable::new(own, &[]).own_address(), own);
+    /// let own_address = "10.0.0.1:7".parse().unwrap();
+    /// assert_eq!(PeerTable::new(own_address, &[]).own_address(), own_address);
     /// ```
     #[must_use]
     pub fn own_address(&self) -> SocketAddr {
-        self.own
+        self.own_address
     }
 
-    /// Takes a heartbeat in.
+    /// Records a peer's heartbeat, and returns what it has changed.
     ///
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::Heartbeat, membership::peer_table::PeerTable};
     /// let mut table = PeerTable::new("10.0.0.1:7".parse().unwrap(), &[]);
-    /// let heard = table.record_heartbeat("10.0.0.2:7".parse().unwrap(), &Heartbeat::default(), 5);
-    /// assert!(heard.is_new);
+    /// let effect = table.record_heartbeat("10.0.0.2:7".parse().unwrap(), &Heartbeat::default(), 5);
+    /// assert!(effect.is_new);
     /// assert_eq!(table.known_entries(), 2);
     /// ```
     pub fn record_heartbeat(
@@ -194,7 +204,7 @@
             };
         }
         let known = self.peers.get(&from);
-        let is_back = known.is_some_and(|peer| !self.is_heard(peer, now_ms));
+        let is_back = known.is_some_and(|peer| !self.is_live(peer, now_ms));
         let known = self.peers.get_mut(&from);
         let known = known.filter(|peer| peer.incarnation == heartbeat.incarnation);
         if known
@@ -207,8 +217,8 @@
             };
         }
         let is_new = known.is_none();
-        let (spent, was_running) = match known {
-            Some(peer) => (std::mem::take(&mut peer.spent), peer.was_running),
+        let (spent, was_running_before) = match known {
+            Some(peer) => (std::mem::take(&mut peer.spent), peer.was_running_before),
             None => (
                 IndexMap::new(),
                 heartbeat.sequence > JUST_STARTED_HEARTBEATS,
@@ -217,16 +227,16 @@
         let mut peer = Peer {
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
-            heard_at_ms: now_ms,
+            last_heartbeat_ms: now_ms,
             is_leaving: heartbeat.is_leaving,
             age_s: heartbeat.age_s,
-            known: heartbeat.known_entries,
+            known_entries: heartbeat.known_entries,
             store_age_ms: heartbeat.store_age_ms,
             revisions: heartbeat.revisions,
             spent,
-            was_running,
+            was_running_before,
         };
-        let newly_spent = peer.take_spent(&heartbeat.spent);
+        let newly_spent = peer.record_spending(&heartbeat.spent);
         self.peers.insert(from, peer);
         HeartbeatEffect {
             newly_spent,
@@ -236,7 +246,7 @@
         }
     }
 
-    /// Forgets peers that have been silent for very long.
+    /// Forgets peers that have been silent for a minute.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -244,10 +254,11 @@
     /// ```
     pub fn sweep(&mut self, now_ms: u64) {
         self.peers
-            .retain(|_, peer| now_ms < peer.heard_at_ms + FORGOTTEN_AFTER_MS);
+            .retain(|_, peer| now_ms < peer.last_heartbeat_ms + FORGET_AFTER_MS);
     }
 
-    /// Addresses that a heartbeat goes to.
+    /// Returns the addresses to which heartbeats are sent: all peers, and the seeds that are no
+    /// peers yet.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -262,7 +273,7 @@
         self.peers.keys().chain(unheard).copied()
     }
 
-    /// Addresses to name in a heartbeat: as many peers as fit, others each time.
+    /// Returns the addresses to send in a heartbeat: as many peers as fit, others each time.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -283,7 +294,7 @@
             .collect()
     }
 
-    /// How many entries there are, this one included.
+    /// Returns the number of known entries, this one included.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -294,7 +305,7 @@
         self.peers.len() + 1
     }
 
-    /// Peers that were heard once and are not now.
+    /// Returns the known peers that are silent.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -305,12 +316,12 @@
     pub fn silent_peers(&self, now_ms: u64) -> Vec<SocketAddr> {
         self.peers
             .iter()
-            .filter(|(_, peer)| !self.is_heard(peer, now_ms))
+            .filter(|(_, peer)| !self.is_live(peer, now_ms))
             .map(|(address, _)| *address)
             .collect()
     }
 
-    /// Peers that are heard.
+    /// Returns the live peers.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -321,16 +332,18 @@
     pub fn live_peers(&self, now_ms: u64) -> Vec<SocketAddr> {
         let heard = self.peers.iter();
         heard
-            .filter(|(_, peer)| self.is_heard(peer, now_ms))
+            .filter(|(_, peer)| self.is_live(peer, now_ms))
             .map(|(address, _)| *address)
             .collect()
     }
 
-    /// Peers whose last heartbeat is overdue, of which some are silent and some only late.
+    /// Returns the peers whose next heartbeat is overdue. Some of them are silent, others only
+    /// late.
     ///
-    /// What they spend meanwhile is not known, and what they are taken to spend is set off when they
-    /// are heard. So it does no harm to believe it early, while a cut that is noticed after three
-    /// heartbeats only lets both sides spend the same units for seconds.
+    /// What they spend meanwhile is not known. An estimate is charged instead, and set off against
+    /// their reports once they are back, so that counting a peer as overdue early does no harm. A
+    /// network cut noticed only after three heartbeats would let both sides spend the same units
+    /// for seconds.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -342,32 +355,33 @@
         let within_ms = MIN_OVERDUE_MS.max(self.heartbeat_ms(false) * OVERDUE_PERCENT / 100);
         self.peers
             .iter()
-            .filter(|(_, peer)| now_ms >= peer.heard_at_ms + within_ms)
+            .filter(|(_, peer)| now_ms >= peer.last_heartbeat_ms + within_ms)
             .map(|(address, _)| *address)
             .collect()
     }
 
-    /// The entries that may keep doors: those that are heard and will not end soon.
+    /// Returns the entries that may own upstreams' queues: those that are live and will not exit
+    /// soon.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
-    /// let own = "10.0.0.1:7".parse().unwrap();
-    /// assert!(PeerTable::new(own, &[]).owner_candidates(false, 0).eq([own]));
+    /// let own_address = "10.0.0.1:7".parse().unwrap();
+    /// assert!(PeerTable::new(own_address, &[]).owner_candidates(false, 0).eq([own_address]));
     /// ```
     pub fn owner_candidates(
         &self,
         is_own_leaving: bool,
         now_ms: u64,
     ) -> impl Iterator<Item = SocketAddr> {
-        let own = (!is_own_leaving).then_some(self.own);
+        let own_address = (!is_own_leaving).then_some(self.own_address);
         self.peers
             .iter()
-            .filter(move |(_, peer)| !peer.is_leaving && self.is_heard(peer, now_ms))
+            .filter(move |(_, peer)| !peer.is_leaving && self.is_live(peer, now_ms))
             .map(|(address, _)| *address)
-            .chain(own)
+            .chain(own_address)
     }
 
-    /// The age of this entry, as it tells it.
+    /// Returns the age of this entry, as sent in heartbeats.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -378,14 +392,14 @@
         u16::try_from(now_ms / MS_PER_S).unwrap_or(u16::MAX)
     }
 
-    /// The entries that may keep customers' allotments: of those that keep doors, the ones that have
-    /// run for some time, or all of them if they have started together.
+    /// Returns the entries that may own customers' quotas: of those that may own upstreams' queues,
+    /// the ones that have run for some time, or all of them if they have started together.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
-    /// let own = "10.0.0.1:7".parse().unwrap();
-    /// let quota_owners = PeerTable::new(own, &[]).quota_owners(false, 0);
-    /// assert_eq!(quota_owners.addresses, [own]);
+    /// let own_address = "10.0.0.1:7".parse().unwrap();
+    /// let quota_owners = PeerTable::new(own_address, &[]).quota_owners(false, 0);
+    /// assert_eq!(quota_owners.addresses, [own_address]);
     /// assert!(quota_owners.have_started_together);
     /// ```
     #[must_use]
@@ -396,11 +410,11 @@
         };
         let owners: Vec<SocketAddr> = self.owner_candidates(is_own_leaving, now_ms).collect();
         let oldest_s = owners.iter().map(age_s).max().unwrap_or_default();
-        let have_started_together = oldest_s < STARTED_TOGETHER_S;
+        let have_started_together = oldest_s < STARTED_TOGETHER_MAX_AGE_S;
         let addresses = if have_started_together {
             owners
         } else {
-            let is_settled = |address: &SocketAddr| age_s(address) >= SETTLED_AFTER_S;
+            let is_settled = |address: &SocketAddr| age_s(address) >= MIN_OWNER_AGE_S;
             owners.into_iter().filter(is_settled).collect()
         };
         QuotaOwners {
@@ -409,8 +423,9 @@
         }
     }
 
-    /// How many entries there are that this one has not heard: seeds at least, and as many as peers
-    /// tell. One that has just started learns by it how large the fleet is before it has met all.
+    /// Returns the number of entries that are not known yet, judged by the seeds and by how many
+    /// entries peers know. An entry that has just started learns from it how large the fleet is
+    /// before it has heard from all.
     ///
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::Heartbeat, membership::peer_table::PeerTable};
@@ -421,30 +436,32 @@
     /// ```
     #[must_use]
     pub fn undiscovered(&self, now_ms: u64) -> usize {
-        let told = self
+        let known_by_peers = self
             .peers
             .values()
-            .filter(|peer| self.is_heard(peer, now_ms))
-            .map(|peer| usize::from(peer.known))
+            .filter(|peer| self.is_live(peer, now_ms))
+            .map(|peer| usize::from(peer.known_entries))
             .max();
-        let unheard_seeds = self
+        let unknown_seeds = self
             .seeds
             .iter()
             .filter(|seed| !self.peers.contains_key(*seed));
-        // Long after the start a seed that was never heard is an address of somebody who has left.
-        let is_new = Self::own_age_s(now_ms) < STARTED_TOGETHER_S;
-        let unheard_seeds = if is_new { unheard_seeds.count() } else { 0 };
-        let beyond = told
+        // Long after the start, a seed without any heartbeat is the address of an entry that has
+        // left.
+        let is_new = Self::own_age_s(now_ms) < STARTED_TOGETHER_MAX_AGE_S;
+        let unknown_seeds = if is_new { unknown_seeds.count() } else { 0 };
+        let missing = known_by_peers
             .unwrap_or_default()
             .saturating_sub(self.known_entries());
-        beyond.max(unheard_seeds)
+        missing.max(unknown_seeds)
     }
 
-    /// Whether this entry should ask the store itself, and not only hear of it from others.
+    /// Returns whether this entry should watch the store itself, rather than pull changes from
+    /// peers.
     ///
-    /// Each change costs every entry that watches a call, so that a fleet in which all watch
-    /// pays for its size squared. A few do, in an order that all agree on; whoever has not had
-    /// an answer for some time is passed over.
+    /// Each change costs every entry that watches a call, so that the cost of a fleet in which all
+    /// watch grows with the square of its size. So only a few watch, chosen in an order that all
+    /// agree on. An entry that the store hasn't answered for some time is passed over.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -455,14 +472,14 @@
         let before = self
             .peers
             .iter()
-            .filter(|(_, peer)| !peer.is_leaving && self.is_heard(peer, now_ms))
-            .filter(|(_, peer)| peer.store_age_ms.is_some_and(|age| age < STORE_AGE_MS))
-            .filter(|(address, _)| **address < self.own)
+            .filter(|(_, peer)| !peer.is_leaving && self.is_live(peer, now_ms))
+            .filter(|(_, peer)| peer.store_age_ms.is_some_and(|age| age < MAX_STORE_AGE_MS))
+            .filter(|(address, _)| **address < self.own_address)
             .count();
-        before < STORE_ASKERS
+        before < STORE_WATCHERS
     }
 
-    /// Time until the next heartbeat.
+    /// Returns the time until the next heartbeat.
     ///
     /// ```
     /// # use sardinewood::direct::membership::peer_table::PeerTable;
@@ -472,21 +489,22 @@
     #[must_use]
     pub fn heartbeat_ms(&self, watches_store: bool) -> u64 {
         let per_peer_ms = if watches_store {
-            ASKER_HEARTBEAT_PER_PEER_MS
+            WATCHER_HEARTBEAT_MS_PER_PEER
         } else {
-            HEARTBEAT_PER_PEER_MS
+            HEARTBEAT_MS_PER_PEER
         };
         let peers = self.peers.len() as u64;
         (per_peer_ms * peers).clamp(MIN_HEARTBEAT_MS, MAX_HEARTBEAT_MS)
     }
 
-    fn is_heard(&self, peer: &Peer, now_ms: u64) -> bool {
-        let within_ms = MIN_HEARD_WITHIN_MS.max(self.heartbeat_ms(false) * MISSED_HEARTBEATS);
-        now_ms < peer.heard_at_ms + within_ms
+    fn is_live(&self, peer: &Peer, now_ms: u64) -> bool {
+        let within_ms = MIN_SILENCE_MS.max(self.heartbeat_ms(false) * MISSED_HEARTBEATS);
+        now_ms < peer.last_heartbeat_ms + within_ms
     }
 
-    /// A peer that is heard from and has followed the store further than this entry, by a
-    /// random number: if all entries asked the same one, it would answer hundreds at once.
+    /// Returns a live peer with later revisions than this entry, if there is one. It is chosen by a
+    /// random number: if all entries pulled from the same peer, it would have to serve hundreds at
+    /// once.
     ///
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::Revisions, membership::peer_table::PeerTable};
@@ -501,7 +519,7 @@
         let ahead: Vec<SocketAddr> = self
             .peers
             .iter()
-            .filter(|(_, peer)| is_ahead(peer) && self.is_heard(peer, now_ms))
+            .filter(|(_, peer)| is_ahead(peer) && self.is_live(peer, now_ms))
             .map(|(address, _)| *address)
             .collect();
         ahead.get(random.checked_rem(ahead.len())?).copied()
