--- a/lib/src/direct/replication.rs
+++ b/lib/src/direct/replication.rs
@@ -1,4 +1,5 @@
-//! What carries news: the platform's store, other entries' heartbeats, and copies from them.
+//! The I/O that keeps an entry's state current: it follows the platform's store, exchanges
+//! heartbeats with the other entries, and pulls updates from them.
 
 pub mod heartbeats;
 pub mod peer_pull;
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Sends this entry's heartbeats and takes in those of the others.
+//! Sends this entry's heartbeats, and receives heartbeats and other messages from peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,82 +20,84 @@
 use crate::logging::Level;
 use crate::numbers;
 
-const MAX_DATAGRAM_BYTES: usize = 2_048;
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// The heartbeats of one entry.
+/// The task that exchanges heartbeats with the other entries.
 #[derive(Debug)]
 pub struct HeartbeatTask {
     traffic: Rc<TrafficState>,
     incarnation: u64,
     sequence: u64,
     spent: SpendingReport,
-    links: ControlChannels,
+    channels: ControlChannels,
 }
 
-/// What the traffic thread hears from the control thread and tells it.
+/// Channels between the traffic thread and the control thread.
 #[derive(Debug)]
 pub struct ControlChannels {
-    /// How far this entry has followed the store.
+    /// The revisions that this entry has reached.
     pub own_revisions: watch::Receiver<Revisions>,
     /// When the store last answered.
     pub last_store_response: LastStoreResponse,
-    /// A peer that has followed the store further.
+    /// A peer with later revisions, if there is one.
     pub peer_ahead: watch::Sender<Option<SocketAddr>>,
-    /// Whether this entry asks the store itself.
+    /// Whether this entry watches the store itself.
     pub watches_store: watch::Sender<bool>,
 }
 
 impl HeartbeatTask {
-    /// The heartbeats of a new start of the process.
+    /// Creates the task for a new run of the process.
     #[must_use]
-    pub fn new(traffic: &Rc<TrafficState>, links: ControlChannels) -> Self {
+    pub fn new(traffic: &Rc<TrafficState>, channels: ControlChannels) -> Self {
         Self {
             traffic: Rc::clone(traffic),
             incarnation: rand::random(),
             sequence: 0,
             spent: SpendingReport::default(),
-            links,
+            channels,
         }
     }
 
     /// Sends and receives until the process ends.
     pub async fn run(mut self) {
-        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         let mut next_heartbeat = Instant::now();
         let traffic = Rc::clone(&self.traffic);
         loop {
             tokio::select! {
                 received = traffic.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.receive(&buffer[..length], from),
-                    Err(error) => traffic.log(Level::Warn, "peers can't be heard", |line| {
-                        line.field("error", error.to_string())
-                    }),
+                    Err(error) => traffic.log(
+                        Level::Warn,
+                    "datagrams from peers can't be received",
+                    |line| line.field("error", error.to_string()),
+                    ),
                 },
-                // What the store has just told this entry, the others hear at once.
-                changed = self.links.own_revisions.changed(), if *self.links.watches_store.borrow() => {
+                // A new revision from the store is announced to the other entries at once.
+                changed = self.channels.own_revisions.changed(), if *self.channels.watches_store.borrow() => {
                     if changed.is_err() {
                         return;
                     }
                     self.sequence += 1;
-                    self.send_to_all_peers();
+                    self.broadcast_heartbeat();
                 }
                 () = sleep_until(next_heartbeat) => {
-                    self.heartbeat();
-                    next_heartbeat = Instant::now() + self.period();
+                    self.send_heartbeat();
+                    next_heartbeat = Instant::now() + self.heartbeat_interval();
                 }
             }
         }
     }
 
-    fn period(&self) -> Duration {
-        let watches_store = *self.links.watches_store.borrow();
+    fn heartbeat_interval(&self) -> Duration {
+        let watches_store = *self.channels.watches_store.borrow();
         Duration::from_millis(self.traffic.peers.borrow().heartbeat_ms(watches_store))
     }
 
     fn receive(&mut self, bytes: &[u8], from: SocketAddr) {
         let traffic = &self.traffic;
         match PeerMessage::decode(bytes) {
-            Some(PeerMessage::Heartbeat(heartbeat)) => self.hear(&heartbeat, from),
+            Some(PeerMessage::Heartbeat(heartbeat)) => self.handle_heartbeat(&heartbeat, from),
             Some(PeerMessage::RequestSlot(slot_request)) => {
                 traffic.handle_slot_request(EntryRef::Peer(from), slot_request);
             }
@@ -123,31 +125,35 @@
                     .release(EntryRef::Peer(from), upstream, release);
                 traffic.grant_slots();
             }
-            Some(PeerMessage::ChargeRequest(question)) => traffic.charge_for_peer(from, &question),
+            Some(PeerMessage::ChargeRequest(request)) => traffic.charge_for_peer(from, &request),
             Some(PeerMessage::ChargeReply { request_id, charge }) => {
                 traffic.complete_charge(request_id, charge);
             }
-            Some(PeerMessage::SuspectRequests(told)) => traffic.merge_suspect_updates(&told),
-            Some(PeerMessage::Rollout(message)) => traffic.hear_rollout(from, &message),
-            Some(PeerMessage::UpstreamNotices(told)) => traffic.merge_notice_updates(from, &told),
-            None => traffic.log(Level::Warn, "datagram is not understood", |line| {
+            Some(PeerMessage::SuspectRequests(updates)) => traffic.merge_suspect_updates(&updates),
+            Some(PeerMessage::Rollout(message)) => traffic.handle_rollout_message(from, &message),
+            Some(PeerMessage::UpstreamNotices(updates)) => {
+                traffic.merge_notice_updates(from, &updates)
+            }
+            None => traffic.log(Level::Warn, "datagram can't be decoded", |line| {
                 line.field("from", from)
             }),
         }
     }
 
-    fn hear(&self, heartbeat: &Heartbeat, from: SocketAddr) {
+    fn handle_heartbeat(&self, heartbeat: &Heartbeat, from: SocketAddr) {
         let traffic = &self.traffic;
         let now_ms = traffic.now_ms();
-        let heard = traffic
+        let effect = traffic
             .peers
             .borrow_mut()
             .record_heartbeat(from, heartbeat, now_ms);
-        if heard.is_new {
-            traffic.log(Level::Info, "peer heard", |line| line.field("peer", from));
+        if effect.is_new {
+            traffic.log(Level::Info, "peer discovered", |line| {
+                line.field("peer", from)
+            });
         }
         if heartbeat.is_last {
-            traffic.log(Level::Info, "peer has ended", |line| {
+            traffic.log(Level::Info, "peer has exited", |line| {
                 line.field("peer", from)
             });
             traffic
@@ -155,19 +161,19 @@
                 .borrow_mut()
                 .expire_peers(Some(from), now_ms);
         }
-        if heard.is_ignored {
+        if effect.is_ignored {
             return;
         }
-        if heard.is_new || heard.is_back {
+        if effect.is_new || effect.is_back {
             traffic.sync_suspects_to(from);
             traffic.sync_rollouts_to(from);
             traffic.sync_notices_to(from);
         }
         let mut quotas = traffic.quotas.borrow_mut();
-        if heard.is_new {
+        if effect.is_new {
             quotas.reset_peer_grants(from);
         }
-        for spent in heard.newly_spent {
+        for spent in effect.newly_spent {
             quotas.record_peer_spending(from, &spent.customer, spent.units, now_ms);
         }
         drop(quotas);
@@ -180,49 +186,53 @@
             &heartbeat.loads,
             now_ms,
         );
-        let own_revisions = *self.links.own_revisions.borrow();
+        let own_revisions = *self.channels.own_revisions.borrow();
         let random = rand::random::<u16>().into();
         let peer_ahead = traffic
             .peers
             .borrow()
             .peer_ahead_of(own_revisions, random, now_ms);
-        set(&self.links.peer_ahead, peer_ahead);
+        send_if_changed(&self.channels.peer_ahead, peer_ahead);
         traffic.grant_slots();
     }
 
-    fn heartbeat(&mut self) {
+    /// Passes on what has changed among the peers, and sends a heartbeat.
+    fn send_heartbeat(&mut self) {
         let traffic = Rc::clone(&self.traffic);
         let now_ms = traffic.now_ms();
         traffic.peers.borrow_mut().sweep(now_ms);
         traffic.admission.borrow_mut().expire_peers(None, now_ms);
         let peers = traffic.peers.borrow();
         let known = peers.known_entries();
-        let unmet = peers.undiscovered(now_ms);
-        let heard = peers.live_peers(now_ms).len() + 1;
+        let undiscovered = peers.undiscovered(now_ms);
+        let live = peers.live_peers(now_ms).len() + 1;
         let quota_owners = peers.quota_owners(traffic.is_stopping.get(), now_ms);
         let mut quotas = traffic.quotas.borrow_mut();
-        quotas.set_owners(peers.own_address(), quota_owners, unmet, now_ms);
+        quotas.set_owners(peers.own_address(), quota_owners, undiscovered, now_ms);
         quotas.set_membership(known, peers.overdue(now_ms), now_ms);
         drop(quotas);
         traffic
             .retry_budget
             .borrow_mut()
-            .set_entry_count(known + unmet);
-        let part = numbers::ratio(heard, known + unmet);
-        traffic.admission.borrow_mut().set_limit_share(part, now_ms);
-        set(&self.links.watches_store, peers.watches_store(now_ms));
+            .set_entry_count(known + undiscovered);
+        let share = numbers::ratio(live, known + undiscovered);
+        traffic
+            .admission
+            .borrow_mut()
+            .set_limit_share(share, now_ms);
+        send_if_changed(&self.channels.watches_store, peers.watches_store(now_ms));
         drop(peers);
         self.sequence += 1;
-        self.send_to_all_peers();
+        self.broadcast_heartbeat();
         traffic.grant_slots();
     }
 
-    fn send_to_all_peers(&mut self) {
+    fn broadcast_heartbeat(&mut self) {
         let heartbeat = PeerMessage::Heartbeat(self.own_heartbeat());
         self.traffic.send_to_all_peers(&heartbeat);
     }
 
-    /// Tells all peers that this process ends, so that they need not wait for its silence.
+    /// Tells all peers that this process exits, so that they need not wait for its silence.
     pub fn announce_exit(traffic: &TrafficState) {
         let last_heartbeat = PeerMessage::Heartbeat(Heartbeat {
             is_last: true,
@@ -237,7 +247,7 @@
         let mut quotas = traffic.quotas.borrow_mut();
         let spent = self.spent.next(quotas.local_spending());
         quotas.mark_reported(&spent);
-        let watches_store = *self.links.watches_store.borrow();
+        let watches_store = *self.channels.watches_store.borrow();
         let peers = traffic.peers.borrow();
         Heartbeat {
             incarnation: self.incarnation,
@@ -247,11 +257,11 @@
             age_s: PeerTable::own_age_s(traffic.now_ms()),
             known_entries: u16::try_from(peers.known_entries()).unwrap_or(u16::MAX),
             store_age_ms: self
-                .links
+                .channels
                 .last_store_response
                 .age_ms()
                 .filter(|_| watches_store),
-            revisions: *self.links.own_revisions.borrow(),
+            revisions: *self.channels.own_revisions.borrow(),
             peer_addresses: peers.addresses_to_share(self.sequence),
             loads: LoadChunk::of(
                 dispatcher.running(traffic.now_ms()).collect(),
@@ -262,7 +272,8 @@
     }
 }
 
-fn set<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
+/// Sends a value, and notifies receivers only if it has changed.
+fn send_if_changed<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
     sender.send_if_modified(|known| {
         let is_changed = *known != value;
         *known = value;
--- a/lib/src/direct/replication/peer_pull.rs
+++ b/lib/src/direct/replication/peer_pull.rs
@@ -1,4 +1,4 @@
-//! One entry asks another for what the store did not give it.
+//! Pulls newer replica contents from a peer, over TCP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,14 +25,14 @@
 use crate::store::ObjectList;
 use crate::store::StoredObject;
 
-/// Longest time for a copy, which is at most some hundred kilobytes over a local network.
+/// Longest time for one pull. An update has at most some hundred kilobytes, over a local network.
 const PULL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest copy that is taken: twice the largest object of the store, and the upstreams.
-const MAX_COPY_BYTES: usize = 4 << 20;
-/// Pause after a connection could not be accepted, for example for want of descriptors.
+/// Longest update that is accepted: twice the largest object of the store, and the upstreams.
+const MAX_UPDATE_BYTES: usize = 4 << 20;
+/// Pause after a connection could not be accepted, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What one entry gives another.
+/// What one entry has beyond the revisions of another.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaUpdate {
     /// The configuration, if it is newer.
@@ -41,38 +41,38 @@
     pub upstreams: Option<UpstreamListUpdate>,
 }
 
-/// The upstreams, whole or as far as they have changed.
+/// The list of upstreams, or its changes.
 #[derive(Clone, Debug)]
 pub enum UpstreamListUpdate {
-    /// All of them.
+    /// All upstreams.
     Full(ObjectList),
-    /// What is new since a revision.
+    /// The changes since a revision.
     Delta(UpstreamListDelta),
 }
 
-/// What has changed in the list of upstreams.
+/// Changes in the list of upstreams.
 #[derive(Clone, Debug)]
 pub struct UpstreamListDelta {
     /// The revision that the changes follow.
     pub after: u64,
-    /// The revision that they lead to.
+    /// The revision that the changes lead to.
     pub revision: u64,
     /// New and changed objects.
     pub objects: Vec<StoredObject>,
-    /// Names of objects that are gone, with the revision of that.
+    /// Names of removed objects, each with the revision of its removal.
     pub removed: Vec<(u64, Arc<str>)>,
 }
 
-/// The same as sent: values are JSON text, since their form is not known here.
+/// A [`ReplicaUpdate`] as sent. Values are JSON text, since their structure is not known here.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct SentCopies {
+struct SentUpdate {
     catalog: Option<SentObject>,
     upstreams: Option<SentList>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 struct SentList {
-    /// None if the objects are all that there are.
+    /// None if this is the whole list.
     after: Option<u64>,
     revision: u64,
     objects: Vec<SentObject>,
@@ -157,7 +157,7 @@
 
 fn channel(stream: TcpStream) -> Channel {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_COPY_BYTES)
+        .max_frame_length(MAX_UPDATE_BYTES)
         .new_framed(stream)
 }
 
@@ -171,18 +171,18 @@
     postcard::from_bytes(&frame).map_err(io::Error::other)
 }
 
-/// Asks a peer for what it has beyond `own_revisions`.
+/// Pulls from a peer what it has beyond `own_revisions`.
 ///
 /// # Errors
 ///
 /// When the peer does not answer in time, or not as expected.
 pub async fn pull(peer: SocketAddr, own_revisions: Revisions) -> io::Result<ReplicaUpdate> {
-    let ask = async {
+    let request = async {
         let mut channel = channel(TcpStream::connect(peer).await?);
         send(&mut channel, &own_revisions).await?;
-        receive::<SentCopies>(&mut channel).await
+        receive::<SentUpdate>(&mut channel).await
     };
-    let sent = timeout(PULL_TIMEOUT, ask).await??;
+    let sent = timeout(PULL_TIMEOUT, request).await??;
     Ok(ReplicaUpdate {
         catalog: sent
             .catalog
@@ -196,15 +196,17 @@
     })
 }
 
-/// Gives peers copies until the process ends.
+/// Serves updates to peers until the process ends.
 pub async fn serve(listener: TcpListener, follower: StoreFollower) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let follower = follower.clone();
                 tokio::task::spawn_local(async move {
-                    if let Ok(Err(error)) = timeout(PULL_TIMEOUT, give(stream, follower)).await {
-                        Line::new(Level::Warn, "copy could not be given")
+                    if let Ok(Err(error)) =
+                        timeout(PULL_TIMEOUT, serve_update(stream, follower)).await
+                    {
+                        Line::new(Level::Warn, "update could not be sent to a peer")
                             .field("peer", peer)
                             .field("error", error.to_string())
                             .send();
@@ -212,7 +214,7 @@
                 });
             }
             Err(error) => {
-                Line::new(Level::Warn, "peers can't be accepted")
+                Line::new(Level::Warn, "connections from peers can't be accepted")
                     .field("error", error.to_string())
                     .send();
                 sleep(ACCEPT_PAUSE).await;
@@ -221,18 +223,18 @@
     }
 }
 
-async fn give(stream: TcpStream, follower: StoreFollower) -> io::Result<()> {
+async fn serve_update(stream: TcpStream, follower: StoreFollower) -> io::Result<()> {
     let mut channel = channel(stream);
     let theirs: Revisions = receive(&mut channel).await?;
-    let copies = follower.update_since(theirs);
-    let sent = SentCopies {
-        catalog: copies.catalog.map(|object| SentObject {
+    let update = follower.update_since(theirs);
+    let sent = SentUpdate {
+        catalog: update.catalog.map(|object| SentObject {
             kind: object.kind.to_string(),
             name: object.name.to_string(),
             version: object.version,
             json: follower.catalog_json().to_string(),
         }),
-        upstreams: copies.upstreams.as_ref().map(SentList::from),
+        upstreams: update.upstreams.as_ref().map(SentList::from),
     };
     send(&mut channel, &sent).await
 }
--- a/lib/src/direct/replication/rollout_follower.rs
+++ b/lib/src/direct/replication/rollout_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' orders of roll-outs in the store, and writes how far they have come.
+//! Follows rollouts in the store, and writes their status.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,84 +11,84 @@
 use tokio::time::sleep;
 
 use crate::backoff::Backoff;
-use crate::direct::replication::store_follower::FIRST_PAUSE_MS;
-use crate::direct::replication::store_follower::MEET;
-use crate::direct::replication::store_follower::MOST_PAUSE_MS;
+use crate::direct::replication::store_follower::MAX_RETRY_PAUSE_MS;
+use crate::direct::replication::store_follower::MIN_RETRY_PAUSE_MS;
+use crate::direct::replication::store_follower::STARTUP_PAUSE;
 use crate::direct::rollout::object::Rollout;
 use crate::direct::rollout::object::RolloutStatus;
 use crate::logging::Level;
 use crate::logging::Line;
 use crate::store::ReadError;
 
-/// How long a watch waits for a change. A connection that falls silent shows only after this time
-/// and the call's timeout; orders have windows of several seconds.
+/// How long a watch waits for a change. A connection that falls silent is noticed only after this
+/// time and the call's timeout, which is soon enough for rollouts with windows of several seconds.
 const WATCH_WAIT_MS: u64 = 2_000;
 
-/// A change of an order in the store.
+/// A change of a rollout in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutEvent {
-    /// It was given or has changed.
+    /// The rollout was created or has changed.
     Put(Rollout),
-    /// It was taken away, or is none any more.
+    /// The rollout was removed, or its object is no longer a valid rollout.
     Removed {
-        /// The name of its object.
+        /// The name of the object.
         name: Arc<str>,
-        /// The store's revision of that.
+        /// The store's revision of the removal.
         revision: u64,
     },
 }
 
-/// What the store tells of orders.
+/// A batch of changes of rollouts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutBatch {
-    /// Where to watch from next.
+    /// The revision from which to watch next.
     pub revision: u64,
-    /// What has changed; all orders in a list.
+    /// The changes, or all rollouts if this is a list.
     pub events: Vec<RolloutEvent>,
 }
 
 /// Why a status was not written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatusWriteError {
-    /// The order has changed meanwhile.
-    #[error("the order has changed meanwhile")]
+    /// The rollout has changed meanwhile.
+    #[error("the roll-out has changed meanwhile")]
     Conflict,
-    /// There is no such order any more.
-    #[error("the order is gone")]
+    /// The rollout no longer exists.
+    #[error("the roll-out no longer exists")]
     Removed,
-    /// Nobody knows whether it was written.
+    /// It is unknown whether the status was written.
     #[error("{reason}")]
     Unknown {
-        /// What went wrong.
+        /// The cause.
         reason: Arc<str>,
     },
 }
 
-/// Where orders stand: the platform's store, or a stand-in.
+/// A store of rollouts: the platform's store, or a stand-in for tests.
 pub trait RolloutStore {
-    /// All orders.
+    /// Lists all rollouts.
     ///
     /// # Errors
     ///
     /// When the store does not answer, or not as expected.
     fn list_rollouts(&self) -> impl Future<Output = Result<RolloutBatch, ReadError>>;
 
-    /// Changes after a revision; waits for one.
+    /// Waits for changes after a revision, and returns them.
     ///
     /// # Errors
     ///
-    /// When the store does not answer, or has forgotten that revision.
+    /// When the store does not answer, or no longer has the changes after that revision.
     fn watch_rollouts(
         &self,
         after: u64,
         wait_ms: u64,
     ) -> impl Future<Output = Result<RolloutBatch, ReadError>>;
 
-    /// Writes the status of an order if it still has the revision that is known.
+    /// Writes the status of a rollout if it still has the known revision.
     ///
     /// # Errors
     ///
-    /// When it has changed, or the store does not answer.
+    /// When the rollout has changed or no longer exists, or the store does not answer.
     fn write_status(
         &self,
         rollout: &Rollout,
@@ -96,16 +96,16 @@
     ) -> impl Future<Output = Result<Rollout, StatusWriteError>>;
 }
 
-/// The orders as the store last showed them.
+/// The rollouts as last read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutView {
-    /// All orders.
+    /// All rollouts.
     pub rollouts: Vec<Rollout>,
-    /// The store's revision of them.
+    /// The store's revision of the list.
     pub revision: u64,
 }
 
-/// Keeps the orders that the store shows.
+/// Follows the rollouts in the store, and publishes them.
 #[derive(Clone, Debug)]
 pub struct RolloutFollower {
     known: Rc<RefCell<IndexMap<Arc<str>, Rollout>>>,
@@ -114,7 +114,7 @@
 }
 
 impl RolloutFollower {
-    /// A follower that knows nothing yet and tells `view` what it learns.
+    /// Creates a follower that knows no rollouts yet, and publishes them to `view`.
     #[must_use]
     pub fn new(
         view: watch::Sender<Option<RolloutView>>,
@@ -127,14 +127,14 @@
         }
     }
 
-    /// Follows the orders until the process ends.
+    /// Follows the rollouts until the process ends.
     pub async fn follow(&self, store: &impl RolloutStore) {
-        let mut backoff = Backoff::new(FIRST_PAUSE_MS, MOST_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS);
         let mut watches_store = self.watches_store.clone();
         let mut after = None;
-        let mut is_out = false;
+        let mut is_unavailable = false;
         loop {
-            if watches_store.wait_for(|asks| *asks).await.is_err() {
+            if watches_store.wait_for(|watches| *watches).await.is_err() {
                 return;
             }
             let read = match after {
@@ -143,19 +143,19 @@
             };
             match read {
                 Ok(batch) => {
-                    is_out = false;
+                    is_unavailable = false;
                     backoff.reset();
                     let is_first = after.is_none();
                     after = Some(batch.revision);
-                    self.take(batch, is_first);
+                    self.apply(batch, is_first);
                     if is_first {
-                        sleep(MEET).await;
+                        sleep(STARTUP_PAUSE).await;
                     }
                 }
                 Err(ReadError::TooOld) => after = None,
                 Err(error) => {
-                    if !std::mem::replace(&mut is_out, true) {
-                        Line::new(Level::Warn, "store tells nothing of roll-outs")
+                    if !std::mem::replace(&mut is_unavailable, true) {
+                        Line::new(Level::Warn, "roll-outs can't be read from the store")
                             .field("error", error.to_string())
                             .send();
                     }
@@ -166,14 +166,14 @@
         }
     }
 
-    /// Writes statuses, one after the other, until the process ends.
+    /// Writes queued statuses, one after the other, until the process ends.
     pub async fn write(
         &self,
         store: &impl RolloutStore,
-        mut due: UnboundedReceiver<(Rollout, RolloutStatus)>,
+        mut due_statuses: UnboundedReceiver<(Rollout, RolloutStatus)>,
     ) {
-        while let Some((rollout, status)) = due.recv().await {
-            if self.is_behind(&rollout) {
+        while let Some((rollout, status)) = due_statuses.recv().await {
+            if self.is_stale(&rollout) {
                 continue;
             }
             let line = |level, message| {
@@ -187,7 +187,7 @@
                     line(Level::Info, "roll-out status written").send();
                     let revision = written.revision;
                     let events = vec![RolloutEvent::Put(written)];
-                    self.take(RolloutBatch { revision, events }, false);
+                    self.apply(RolloutBatch { revision, events }, false);
                 }
                 Err(error) => {
                     line(Level::Warn, "roll-out status not written")
@@ -199,24 +199,26 @@
         }
     }
 
-    /// Whether the store has shown a later state than the one that a write was meant for.
-    fn is_behind(&self, rollout: &Rollout) -> bool {
+    /// Returns whether the store has shown a later revision than the one that a write was meant
+    /// for.
+    fn is_stale(&self, rollout: &Rollout) -> bool {
         let known = self.known.borrow();
         let known = known.values().find(|known| known.id == rollout.id);
         known.is_some_and(|known| known.revision > rollout.revision)
     }
 
-    /// Sees what became of a write that may have been done.
+    /// Lists the rollouts to learn the outcome of a write that may have been done.
     async fn read_back(&self, store: &impl RolloutStore) {
         match store.list_rollouts().await {
-            Ok(batch) => self.take(batch, true),
+            Ok(batch) => self.apply(batch, true),
             Err(error) => Line::new(Level::Warn, "roll-out status can't be read back")
                 .field("error", error.to_string())
                 .send(),
         }
     }
 
-    fn take(&self, batch: RolloutBatch, is_whole: bool) {
+    /// Applies a batch of changes, or all rollouts if `is_whole`, and publishes the result.
+    fn apply(&self, batch: RolloutBatch, is_whole: bool) {
         let mut known = self.known.borrow_mut();
         let is_newer = |known: &IndexMap<Arc<str>, Rollout>, name: &str, revision: u64| {
             known
--- a/lib/src/direct/replication/store_follower.rs
+++ b/lib/src/direct/replication/store_follower.rs
@@ -1,8 +1,8 @@
-//! Keeps this entry's copy of the configuration and of the upstreams up to date.
+//! Keeps this entry's replica of the configuration and of the list of upstreams up to date.
 //!
-//! It runs on the control thread: decoding a large configuration never holds up traffic. The
-//! store is followed by list and watch; what a peer has and the store does not give comes
-//! from the peer. A revision only moves forward, whatever the source.
+//! The follower runs on the control thread, so that decoding a large configuration never delays
+//! traffic. It lists and watches the store, and pulls from a peer what the peer has and the store
+//! does not provide. Revisions only increase, whatever the source.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,44 +29,45 @@
 use crate::store::ReadError;
 use crate::store::WatchBatch;
 
-/// How long a watch waits for a change. A connection may fall silent without closing; then
-/// the next change shows only after this time and the call's timeout, here or at the entry
-/// that takes over from this one. Together that stays below the two seconds that a change
-/// may take.
+/// How long a watch waits for a change. If a connection falls silent without closing, the next
+/// change is seen only after this time and the call's timeout, here or at the entry that takes
+/// over. Together they stay below the two seconds that a change may take.
 const WATCH_WAIT_MS: u64 = 1_000;
-/// Pauses between calls to a store that does not answer. The longest is well within the two
-/// seconds that a change may take after the store's return.
-pub(super) const FIRST_PAUSE_MS: u64 = 50;
-pub(super) const MOST_PAUSE_MS: u64 = 500;
-/// Pause after a change until the next one is asked for. What happens meanwhile comes with one
-/// answer. Each answer is a call to the store, heartbeats to all entries and a copy for each of
-/// them; while the workers of a large service are replaced there are twenty changes a second. A
-/// leaving upstream gets new work for this much longer, of two seconds and more that it may.
-const GATHER: Duration = Duration::from_millis(200);
-/// Pause between a first list and the watch that follows. An entry that starts lists by itself, so
-/// as to be ready soon, and hears meanwhile that others watch. Without it every entry of a fleet that
-/// starts also begins two watches, of which all but a few are in vain.
-pub(super) const MEET: Duration = Duration::from_millis(400);
-/// How long a peer must be ahead before it is asked; our own watch usually tells us sooner.
-const PEER_LEAD: Duration = Duration::from_millis(300);
-
-/// Pause between two copies from peers.
+/// Shortest and longest pause between calls to a store that does not answer. The longest is well
+/// within the two seconds that a change may take once the store is back.
+pub(super) const MIN_RETRY_PAUSE_MS: u64 = 50;
+pub(super) const MAX_RETRY_PAUSE_MS: u64 = 500;
+/// Pause after a change before the next watch, so that the changes of this time come in one
+/// response. Each response costs a call to the store, heartbeats to all entries and an update for
+/// each of them, and there are twenty changes a second while the workers of a large service are
+/// replaced. A leaving upstream gets new requests for this much longer, of the two seconds and more
+/// that are allowed.
+const BATCH_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between the first list and the watch that follows. A starting entry lists the store itself
+/// to be ready soon, and learns in this pause which other entries watch the store. Without it,
+/// every entry of a starting fleet would also begin two watches, all but a few of them in vain.
+pub(super) const STARTUP_PAUSE: Duration = Duration::from_millis(400);
+/// How long a peer must be ahead before this entry pulls from it. The entry's own watch usually
+/// brings the change sooner.
+const PULL_DELAY: Duration = Duration::from_millis(300);
+
+/// Pause between two pulls from peers.
 const PULL_PAUSE: Duration = Duration::from_millis(50);
 
-/// Where objects are read: the platform's store, or a stand-in.
+/// A source of objects: the platform's store, or a stand-in for tests.
 pub trait ObjectSource {
-    /// All objects of a kind.
+    /// Lists all objects of a kind.
     ///
     /// # Errors
     ///
     /// When the store does not answer, or not as expected.
     fn list(&self, kind: &str) -> impl Future<Output = Result<ObjectList, ReadError>>;
 
-    /// Changes of a kind after a revision; waits for one.
+    /// Waits for changes of a kind after a revision, and returns them.
     ///
     /// # Errors
     ///
-    /// When the store does not answer, or has forgotten that revision.
+    /// When the store does not answer, or no longer has the changes after that revision.
     fn watch(
         &self,
         kind: &str,
@@ -75,10 +76,10 @@
     ) -> impl Future<Output = Result<WatchBatch, ReadError>>;
 }
 
-/// When the store last answered this entry; shared between the two threads.
+/// When the store last answered this entry. It is shared between the control and traffic threads.
 #[derive(Clone, Debug)]
 pub struct LastStoreResponse {
-    began: Instant,
+    started_at: Instant,
     /// Milliseconds from the start to the last answer; 0 if there was none.
     last_ms: Arc<AtomicU64>,
 }
@@ -86,7 +87,7 @@
 impl Default for LastStoreResponse {
     fn default() -> Self {
         Self {
-            began: Instant::now(),
+            started_at: Instant::now(),
             last_ms: Arc::default(),
         }
     }
@@ -94,14 +95,14 @@
 
 impl LastStoreResponse {
     fn now_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn note(&self) {
+    fn record(&self) {
         self.last_ms.store(self.now_ms().max(1), Ordering::Relaxed);
     }
 
-    /// How long ago the store answered; none if it never has.
+    /// Returns how long ago the store last answered, or none if it never has.
     #[must_use]
     pub fn age_ms(&self) -> Option<u32> {
         let last_ms = self.last_ms.load(Ordering::Relaxed);
@@ -110,36 +111,36 @@
     }
 }
 
-/// The task that follows the store.
+/// Follows the store and peers, and publishes the replica's view.
 #[derive(Clone, Debug)]
 pub struct StoreFollower {
     replica: Rc<RefCell<StoreReplica>>,
     view: watch::Sender<ReplicaSnapshot>,
-    began: Instant,
+    started_at: Instant,
     watches_store: watch::Receiver<bool>,
-    answers: LastStoreResponse,
+    last_response: LastStoreResponse,
 }
 
 impl StoreFollower {
-    /// A follower that knows nothing yet and tells `view` what it learns.
+    /// Creates a follower with an empty replica, which publishes its views to `view`.
     #[must_use]
     pub fn new(
         decoders: ObjectDecoders,
         view: watch::Sender<ReplicaSnapshot>,
         watches_store: watch::Receiver<bool>,
-        answers: LastStoreResponse,
+        last_response: LastStoreResponse,
     ) -> Self {
         Self {
             replica: Rc::new(RefCell::new(StoreReplica::new(decoders))),
             view,
-            began: Instant::now(),
+            started_at: Instant::now(),
             watches_store,
-            answers,
+            last_response,
         }
     }
 
     fn now_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     fn publish(&self) {
@@ -159,12 +160,12 @@
     }
 
     async fn follow(&self, source: &impl ObjectSource, kind: &'static str) {
-        let mut backoff = Backoff::new(FIRST_PAUSE_MS, MOST_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS);
         let mut outage = Outage::default();
         let mut after = None;
         let mut watches_store = self.watches_store.clone();
         loop {
-            if watches_store.wait_for(|asks| *asks).await.is_err() {
+            if watches_store.wait_for(|watches| *watches).await.is_err() {
                 return;
             }
             let read = match after {
@@ -175,11 +176,11 @@
                 Some(after) => source
                     .watch(kind, after, WATCH_WAIT_MS)
                     .await
-                    .map(|batch| self.take_batch(kind, batch, &outage)),
+                    .map(|batch| self.apply_batch(kind, batch, &outage)),
             };
             match read {
                 Ok(revision) => {
-                    self.answers.note();
+                    self.last_response.record();
                     outage.ended(kind);
                     backoff.reset();
                     let pause = pause_after(after, revision);
@@ -188,7 +189,7 @@
                 }
                 Err(ReadError::TooOld) => after = None,
                 Err(error) => {
-                    outage.noticed(kind, &error);
+                    outage.record_error(kind, &error);
                     let pause_ms = backoff.next_ms(rand::random());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
@@ -198,7 +199,7 @@
 
     fn apply_list(&self, kind: &str, list: ObjectList, outage: &Outage) -> u64 {
         let revision = list.revision;
-        self.note_return(kind, outage);
+        self.note_store_return(kind, outage);
         self.replica
             .borrow_mut()
             .apply_list(kind, list, self.now_ms());
@@ -206,8 +207,8 @@
         revision
     }
 
-    fn take_batch(&self, kind: &str, batch: WatchBatch, outage: &Outage) -> u64 {
-        self.note_return(kind, outage);
+    fn apply_batch(&self, kind: &str, batch: WatchBatch, outage: &Outage) -> u64 {
+        self.note_store_return(kind, outage);
         if batch.events.is_empty() {
             return batch.revision;
         }
@@ -219,16 +220,17 @@
         batch.revision
     }
 
-    fn note_return(&self, kind: &str, outage: &Outage) {
+    /// Tells the replica if this is the first answer after an outage of the store.
+    fn note_store_return(&self, kind: &str, outage: &Outage) {
         let mut replica = self.replica.borrow_mut();
-        if outage.is_on() && kind == replica.decoders().upstream_kind {
+        if outage.is_ongoing() && kind == replica.decoders().upstream_kind {
             replica.store_recovered(self.now_ms());
         }
     }
 
-    /// Settles what only time tells of the list of upstreams.
+    /// Applies the time limits of the list of upstreams until the process ends.
     pub async fn sweep(&self) {
-        /// How often it is looked after: a small part of the grace of an outage.
+        /// Time between two sweeps: a small part of the grace period after an outage.
         const PERIOD: Duration = Duration::from_millis(200);
         loop {
             sleep(PERIOD).await;
@@ -238,14 +240,14 @@
         }
     }
 
-    /// Asks peers that are ahead.
+    /// Pulls from peers that are ahead, until the process ends.
     pub async fn follow_peers(&self, mut peer_ahead: watch::Receiver<Option<SocketAddr>>) {
         loop {
             let Ok(peer) = peer_ahead.wait_for(Option::is_some).await.map(|peer| *peer) else {
                 return;
             };
             if *self.watches_store.borrow() {
-                sleep(PEER_LEAD).await;
+                sleep(PULL_DELAY).await;
             }
             let is_still_ahead = peer_ahead.borrow().is_some();
             let (Some(peer), true) = (peer, is_still_ahead) else {
@@ -253,28 +255,28 @@
             };
             let own_revisions = self.replica.borrow().revisions();
             match peer_pull::pull(peer, own_revisions).await {
-                Ok(copies) => self.apply_update(peer, copies),
+                Ok(update) => self.apply_update(peer, update),
                 Err(error) => {
-                    Line::new(Level::Warn, "peer gives no copy")
+                    Line::new(Level::Warn, "update can't be pulled from a peer")
                         .field("peer", peer)
                         .field("error", error.to_string())
                         .send();
                     sleep(PULL_PAUSE).await;
                 }
             }
-            // The heartbeats tell whether the copy was enough only after it is in force.
+            // Heartbeats show whether the update was enough only after it is in force.
             sleep(PULL_PAUSE).await;
         }
     }
 
-    /// Takes what a peer gave.
-    pub fn apply_update(&self, peer: SocketAddr, copies: ReplicaUpdate) {
+    /// Applies an update pulled from a peer.
+    pub fn apply_update(&self, peer: SocketAddr, update: ReplicaUpdate) {
         let before = self.replica.borrow().revisions();
         self.replica
             .borrow_mut()
-            .apply_update(copies, self.now_ms());
+            .apply_update(update, self.now_ms());
         let after = self.replica.borrow().revisions();
-        Line::new(Level::Info, "copy taken from a peer")
+        Line::new(Level::Info, "update pulled from a peer")
             .field("peer", peer)
             .field("catalog_revision", after.catalog)
             .field("catalog_revision_before", before.catalog)
@@ -284,40 +286,41 @@
         self.publish();
     }
 
-    /// What a peer lacks.
+    /// Returns what a peer with these revisions lacks.
     #[must_use]
     pub fn update_since(&self, theirs: Revisions) -> ReplicaUpdate {
         self.replica.borrow().update_since(theirs)
     }
 
-    /// The configuration's object as text; empty if there is none.
+    /// Returns the configuration object as JSON text, or an empty text if there is none.
     #[must_use]
     pub fn catalog_json(&self) -> Arc<str> {
         self.replica.borrow().catalog_json()
     }
 }
 
-/// Pause before the next watch, by the revision that was known and the one that the store told.
-fn pause_after(known: Option<u64>, told: u64) -> Duration {
+/// Returns the pause before the next watch, given the known revision and the one that the store
+/// sent.
+fn pause_after(known: Option<u64>, received: u64) -> Duration {
     match known {
-        None => MEET,
-        Some(known) if known != told => GATHER,
+        None => STARTUP_PAUSE,
+        Some(known) if known != received => BATCH_PAUSE,
         Some(_) => Duration::ZERO,
     }
 }
 
-/// Whether the store answers.
+/// Tracks and logs an outage of the store.
 #[derive(Debug, Default)]
 struct Outage {
     since: Option<Instant>,
 }
 
 impl Outage {
-    fn is_on(&self) -> bool {
+    fn is_ongoing(&self) -> bool {
         self.since.is_some()
     }
 
-    fn noticed(&mut self, kind: &str, error: &ReadError) {
+    fn record_error(&mut self, kind: &str, error: &ReadError) {
         if self.since.is_none() {
             self.since = Some(Instant::now());
             Line::new(Level::Warn, "store does not answer")
--- a/lib/src/direct/rollout_driver.rs
+++ b/lib/src/direct/rollout_driver.rs
@@ -1,5 +1,5 @@
-//! Carries out what [`rollout`] decides: where requests go, what entries tell each other, and what
-//! is written to the store.
+//! Executes what [`rollout`] decides: routes requests, sends messages to the other entries and
+//! queues status writes to the store.
 //!
 //! [`rollout`]: crate::direct::rollout
 
@@ -38,21 +38,21 @@
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// How often orders that are in progress are looked at, and others.
-const STEP: Duration = Duration::from_millis(50);
-const IDLE_STEP: Duration = Duration::from_millis(500);
-/// Longest wait for room at an upstream that is judged: its requests are few, and the others have
-/// room for them as well.
-const TRIAL_WAIT_MS: u64 = 60;
+/// Time between two steps while a rollout is in progress, and otherwise.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait of a canary request for a slot. There are few of these requests, and the other
+/// upstreams have slots for them as well.
+const MAX_CANARY_WAIT_MS: u64 = 60;
 
-/// What an operator wants of a roll-out.
+/// An operator's command for a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutCommand {
-    /// It is not shifted until it is let go on.
+    /// Keeps the rollout from being shifted until it is resumed.
     Hold,
-    /// It goes on.
+    /// Resumes a rollout that is on hold.
     Resume,
-    /// The new version is given up.
+    /// Rejects the new version.
     Revert,
 }
 
@@ -66,20 +66,20 @@
     }
 }
 
-/// The statuses that are to be written.
+/// Queue of the statuses to write to the store.
 pub type StatusWriter = UnboundedSender<(Rollout, RolloutStatus)>;
 
-/// Looks after orders until the process ends.
+/// Follows and advances rollouts until the process ends.
 pub async fn run(
     traffic: Rc<TrafficState>,
     mut view: watch::Receiver<Option<RolloutView>>,
-    due: StatusWriter,
+    status_writer: StatusWriter,
 ) {
     loop {
         let pause = if traffic.rollouts.borrow().has_open_rollouts() {
-            STEP
+            STEP_INTERVAL
         } else {
-            IDLE_STEP
+            IDLE_STEP_INTERVAL
         };
         tokio::select! {
             changed = view.changed() => {
@@ -88,18 +88,19 @@
                 }
                 let view = view.borrow_and_update().clone();
                 if let Some(view) = view {
-                    traffic.apply_stored(&view);
+                    traffic.apply_rollout_view(&view);
                 }
             }
             () = sleep(pause) => {}
             () = traffic.rollouts_changed.notified() => {}
         }
-        traffic.step_rollouts(&due);
+        traffic.advance_rollouts(&status_writer);
     }
 }
 
 impl TrafficState {
-    fn apply_stored(&self, view: &RolloutView) {
+    /// Applies the rollouts as last read from the store.
+    fn apply_rollout_view(&self, view: &RolloutView) {
         let now_ms = self.now_ms();
         let known: Vec<Rollout> = {
             let table = self.rollouts.borrow();
@@ -118,16 +119,16 @@
             });
         }
         for rollout in known {
-            let is_gone = self
+            let is_removed = self
                 .rollouts
                 .borrow()
                 .progress(&rollout.id.service)
                 .is_none();
-            if is_gone {
+            if is_removed {
                 self.log(Level::Warn, "roll-out withdrawn", |line| {
                     line.field("rollout", rollout.id.to_string())
                 });
-                self.tell_all_rollout(RolloutMessage::Withdrawn {
+                self.broadcast_rollout(RolloutMessage::Withdrawn {
                     id: rollout.id,
                     revision: view.revision,
                 });
@@ -136,76 +137,78 @@
         self.update_eligible_upstreams();
     }
 
-    /// Takes a peer's message about a roll-out.
-    pub fn hear_rollout(&self, from: SocketAddr, message: &RolloutMessage) {
+    /// Handles a peer's message about a rollout.
+    pub fn handle_rollout_message(&self, from: SocketAddr, message: &RolloutMessage) {
         let now_ms = self.now_ms();
         let entries = self.fleet_size();
-        let next = self
+        let actions = self
             .rollouts
             .borrow_mut()
             .handle_message(from, message, entries, now_ms);
-        if next.contains(&RolloutAction::UpdateEligibleUpstreams) {
+        if actions.contains(&RolloutAction::UpdateEligibleUpstreams) {
             self.update_eligible_upstreams();
             self.rollouts_changed.notify_one();
         }
     }
 
-    /// Tells a peer how far all orders have come that has started, or was silent.
+    /// Sends the states of all rollouts to a peer that has started or was silent.
     pub fn sync_rollouts_to(&self, peer: SocketAddr) {
         for state in self.rollouts.borrow().states(self.now_ms()) {
             self.send_to_peer(peer, &PeerMessage::Rollout(RolloutMessage::State(state)));
         }
     }
 
+    /// Returns the number of entries, including those that this one hasn't heard from yet.
     fn fleet_size(&self) -> usize {
         let peers = self.peers.borrow();
         peers.known_entries() + peers.undiscovered(self.now_ms())
     }
 
-    fn step_rollouts(&self, due: &StatusWriter) {
+    /// Advances all rollouts, and executes the actions that are due.
+    fn advance_rollouts(&self, status_writer: &StatusWriter) {
         if self.rollouts.borrow().is_empty() {
             return;
         }
         let now_ms = self.now_ms();
         let coordinators = self.coordinators();
         let peers = self.peers.borrow();
-        let own = peers.own_address();
-        let facts = FleetSnapshot {
+        let own_address = peers.own_address();
+        let snapshot = FleetSnapshot {
             coordinator_rank: coordinators
                 .iter()
-                .position(|coordinator| *coordinator == own),
+                .position(|coordinator| *coordinator == own_address),
             live_peers: peers.live_peers(now_ms),
             has_silent_peers: !peers.silent_peers(now_ms).is_empty()
                 || peers.undiscovered(now_ms) > 0,
             ..FleetSnapshot::default()
         };
         drop(peers);
-        let all = self.rollouts.borrow_mut().step(&facts, now_ms);
-        for (service, next) in all {
-            self.carry_out_rollout(&service, next, &coordinators, due);
+        let actions = self.rollouts.borrow_mut().step(&snapshot, now_ms);
+        for (service, action) in actions {
+            self.execute_rollout_action(&service, action, &coordinators, status_writer);
         }
     }
 
-    /// The entries that judge, this one perhaps among them.
+    /// Returns the coordinators, which may include this entry.
     fn coordinators(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         coordinators(peers.owner_candidates(self.is_stopping.get(), self.now_ms()))
     }
 
-    fn carry_out_rollout(
+    fn execute_rollout_action(
         &self,
         service: &str,
-        next: RolloutAction,
+        action: RolloutAction,
         coordinators: &[SocketAddr],
-        due: &StatusWriter,
+        status_writer: &StatusWriter,
     ) {
-        match self.carry_out_here(service, next) {
+        match self.execute_local_action(service, action) {
             Some(RolloutAction::Report(report)) => {
-                let own = self.peers.borrow().own_address();
+                let own_address = self.peers.borrow().own_address();
                 let message = PeerMessage::Rollout(RolloutMessage::Report(report));
                 for coordinator in coordinators
                     .iter()
-                    .filter(|coordinator| **coordinator != own)
+                    .filter(|coordinator| **coordinator != own_address)
                 {
                     self.send_to_peer(*coordinator, &message);
                 }
@@ -214,7 +217,7 @@
                 let table = self.rollouts.borrow();
                 let rollout = table.progress(service).map(RolloutProgress::rollout);
                 if let Some(rollout) = rollout
-                    && due.send((rollout.clone(), status)).is_err()
+                    && status_writer.send((rollout.clone(), status)).is_err()
                 {
                     self.log(Level::Error, "roll-out status can't be written", |line| {
                         line
@@ -225,64 +228,67 @@
         }
     }
 
-    /// Carries out what needs neither the judges nor the store; what is left if it does.
-    fn carry_out_here(&self, service: &str, next: RolloutAction) -> Option<RolloutAction> {
-        match next {
-            RolloutAction::Broadcast(state) => self.tell_all_rollout(RolloutMessage::State(state)),
+    /// Executes an action that needs neither the coordinators nor the store. Returns the action if
+    /// it needs one of them.
+    fn execute_local_action(&self, service: &str, action: RolloutAction) -> Option<RolloutAction> {
+        match action {
+            RolloutAction::Broadcast(state) => self.broadcast_rollout(RolloutMessage::State(state)),
             RolloutAction::UpdateEligibleUpstreams => self.update_eligible_upstreams(),
-            RolloutAction::Log(reason) => self.log_rollout(service, reason),
-            left @ (RolloutAction::Report(_) | RolloutAction::WriteStatus(_)) => return Some(left),
+            RolloutAction::Log(reason) => self.log_rollout_decision(service, reason),
+            remaining @ (RolloutAction::Report(_) | RolloutAction::WriteStatus(_)) => {
+                return Some(remaining);
+            }
         }
         None
     }
 
-    /// Does what an operator wants of a service's roll-out; whether that changed anything.
+    /// Executes an operator's command for a service's rollout. Returns whether it changed anything.
     pub fn apply_rollout_command(&self, service: &str, command: RolloutCommand) -> bool {
         let now_ms = self.now_ms();
         let mut table = self.rollouts.borrow_mut();
-        let all = match command {
+        let actions = match command {
             RolloutCommand::Hold => table.set_hold(service, true, now_ms),
             RolloutCommand::Resume => table.set_hold(service, false, now_ms),
             RolloutCommand::Revert => table.reject(service, now_ms),
         };
         drop(table);
-        if all.is_empty() {
+        if actions.is_empty() {
             return false;
         }
-        self.log(Level::Warn, "operator decided on a roll-out", |line| {
+        self.log(Level::Warn, "operator's command for a roll-out", |line| {
             line.field("rollout", self.rollout_name(service))
                 .field("command", command.name())
         });
-        for next in all {
-            // A command itself reports and writes nothing: the next step does.
-            self.carry_out_here(service, next);
+        for action in actions {
+            // A command by itself sends no report and writes no status; the next step does.
+            self.execute_local_action(service, action);
         }
         true
     }
 
-    /// A service's order as logs name it.
+    /// Returns the name of a service's rollout in logs.
     fn rollout_name(&self, service: &str) -> String {
         let table = self.rollouts.borrow();
         let rollout = table.progress(service).map(RolloutProgress::rollout);
         rollout.map_or_else(String::new, |rollout| rollout.id.to_string())
     }
 
-    fn tell_all_rollout(&self, message: RolloutMessage) {
+    fn broadcast_rollout(&self, message: RolloutMessage) {
         self.send_to_all_peers(&PeerMessage::Rollout(message));
     }
 
-    fn log_rollout(&self, service: &str, reason: DecisionReason) {
-        let page = self.rollout_json(service);
+    fn log_rollout_decision(&self, service: &str, reason: DecisionReason) {
+        let rollout_json = self.rollout_json(service);
         let decided = &self.metrics.rollouts_decided;
         decided.with_label_values(&[service, reason.name()]).inc();
         self.log(Level::Warn, "roll-out decided", |line| {
             line.field("rollout", self.rollout_name(service))
                 .field("reason", reason.name())
-                .field("evidence", page)
+                .field("evidence", rollout_json)
         });
     }
 
-    /// What operators see of a service's order; null if there is none.
+    /// Returns a service's rollout as operators see it, or null if there is none.
     #[must_use]
     pub fn rollout_json(&self, service: &str) -> Value {
         let table = self.rollouts.borrow();
@@ -291,14 +297,18 @@
         };
         let evidence = progress.evidence();
         let names = self.route_names();
-        let part = |part: RequestCounts| json!({"requests": part.requests, "failed": part.bad});
+        let counts_json =
+            |counts: RequestCounts| json!({"requests": counts.requests, "failed": counts.bad});
         let routes: serde_json::Map<String, Value> = evidence
             .by_route()
             .into_iter()
             .map(|(route, (new, old))| {
                 let known = names.iter().find(|name| upstream_hash(name) == route);
                 let name = known.map_or_else(|| route.to_string(), ToString::to_string);
-                (name, json!({"new": part(new), "old": part(old)}))
+                (
+                    name,
+                    json!({"new": counts_json(new), "old": counts_json(old)}),
+                )
             })
             .collect();
         json!({
@@ -326,37 +336,38 @@
             .collect()
     }
 
-    /// Sends requests only where their service's version allows it, and to no upstream that leaves.
+    /// Recomputes to which upstreams requests may go: those of the versions that the rollouts
+    /// allow, without those that are leaving.
     ///
-    /// The list says that one leaves when the store has taken its word. While the store is away, an
-    /// upstream would get requests until it ends, and end with them.
+    /// The listed upstreams show that one is leaving only once the store has recorded it. During an
+    /// outage of the store, an upstream would get requests until it stops, and cut them off.
     pub fn update_eligible_upstreams(&self) {
-        let mut placement = self.rollouts.borrow_mut().eligible_upstreams();
+        let mut eligible = self.rollouts.borrow_mut().eligible_upstreams();
         let notices = self.notices.borrow();
-        placement
+        eligible
             .upstreams
             .retain(|upstream| !notices.is_leaving(&upstream.instance));
         drop(notices);
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.set_upstreams(&placement.upstreams);
-        dispatcher.set_canaries(&placement.canaries);
+        dispatcher.set_upstreams(&eligible.upstreams);
+        dispatcher.set_canaries(&eligible.canaries);
         drop(dispatcher);
-        let slots = placement
+        let slots = eligible
             .upstreams
             .iter()
             .map(|upstream| (Arc::clone(&upstream.instance), upstream.slots));
         let mut admission = self.admission.borrow_mut();
         admission.set_upstreams(slots);
         admission.set_plain_services(&plain_services(
-            &placement.upstreams,
+            &eligible.upstreams,
             self.catalog.borrow().as_deref(),
         ));
         drop(admission);
         self.apply_notices();
     }
 
-    /// Waits for room for a request's first attempt, at an upstream of the version that is judged
-    /// if it is the request's turn.
+    /// Waits for a slot for a request's first attempt, at a canary upstream if the request is
+    /// chosen as a canary request.
     pub async fn acquire_first_slot(self: &Rc<Self>, call: &Call) -> SlotResult {
         let target = self.rollouts.borrow_mut().choose_target(
             &call.service,
@@ -367,12 +378,12 @@
         );
         if target == RequestTarget::Canary {
             let job = call.job();
-            let trial = Job {
+            let canary = Job {
                 is_canary: true,
-                deadline_at_ms: job.deadline_at_ms.min(self.now_ms() + TRIAL_WAIT_MS),
+                deadline_at_ms: job.deadline_at_ms.min(self.now_ms() + MAX_CANARY_WAIT_MS),
                 ..job
             };
-            if let SlotResult::Acquired(lease) = self.acquire_slot(trial).await {
+            if let SlotResult::Acquired(lease) = self.acquire_slot(canary).await {
                 let trials = &self.metrics.trials;
                 trials.with_label_values(&[&*call.service]).inc();
                 return SlotResult::Acquired(lease);
@@ -381,7 +392,7 @@
         self.acquire_slot(call.job()).await
     }
 
-    /// Notes that a request goes to an upstream.
+    /// Records that a request goes to an upstream.
     pub fn record_version_dispatch(&self, call: &Call, lease: &mut SlotLease) {
         let is_pinned = !call.route.retry_policy.is_idempotent();
         let mut table = self.rollouts.borrow_mut();
@@ -395,14 +406,14 @@
         }
     }
 
-    /// Notes how a request ended at its upstream, or how fast its answer comes.
-    pub fn record_version_outcome(&self, call: &Call, lease: &SlotLease, came: RunOutcome) {
+    /// Records how a run ended at its upstream, or how fast its answer arrives.
+    pub fn record_version_outcome(&self, call: &Call, lease: &SlotLease, outcome: RunOutcome) {
         let mut table = self.rollouts.borrow_mut();
-        table.record_run_outcome(&lease.upstream, &call.route.name, came);
+        table.record_run_outcome(&lease.upstream, &call.route.name, outcome);
     }
 }
 
-/// Short names of the upstreams that are no engines, as far as the configuration says so.
+/// Returns the hashes of the upstreams that are not engines, as far as the configuration tells.
 fn plain_services(upstreams: &[Arc<Upstream>], catalog: Option<&Catalog>) -> IndexSet<u32> {
     let Some(catalog) = catalog else {
         return IndexSet::new();
