--- a/lib/src/direct/membership/heartbeat_payload.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -112,7 +112,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SpendingReport {
-    sent: IndexMap<Arc<str>, SentSpending>,
+    last_sent: IndexMap<Arc<str>, SentSpending>,
 }
 
 impl SpendingReport {
@@ -127,17 +127,17 @@
         spent: impl Iterator<Item = (&'a Arc<str>, u64)>,
     ) -> Vec<CustomerSpending> {
         for (customer, units) in spent {
-            let sent = self.sent.entry(Arc::clone(customer)).or_default();
-            if sent.units != units {
-                *sent = SentSpending { units, times: 0 };
+            let last_sent = self.last_sent.entry(Arc::clone(customer)).or_default();
+            if last_sent.units != units {
+                *last_sent = SentSpending { units, times: 0 };
             }
         }
-        let mut order: Vec<usize> = (0..self.sent.len()).collect();
-        order.sort_by_key(|index| self.sent[*index].times);
+        let mut order: Vec<usize> = (0..self.last_sent.len()).collect();
+        order.sort_by_key(|index| self.last_sent[*index].times);
         let mut remaining_bytes = MAX_SPENT_BYTES;
         let mut chosen = Vec::new();
         for index in order {
-            let Some((customer, sent)) = self.sent.get_index_mut(index) else {
+            let Some((customer, last_sent)) = self.last_sent.get_index_mut(index) else {
                 break;
             };
             let bytes = customer.len() + SPENT_BYTES;
@@ -145,10 +145,10 @@
                 break;
             }
             remaining_bytes -= bytes;
-            sent.times = sent.times.saturating_add(1);
+            last_sent.times = last_sent.times.saturating_add(1);
             chosen.push(CustomerSpending {
                 customer: Arc::clone(customer),
-                units: sent.units,
+                units: last_sent.units,
             });
         }
         chosen
--- a/lib/src/direct/replication/heartbeats.rs
+++ b/lib/src/direct/replication/heartbeats.rs
@@ -132,7 +132,7 @@
             Some(PeerMessage::SuspectRequests(updates)) => traffic.merge_suspect_updates(&updates),
             Some(PeerMessage::Rollout(message)) => traffic.handle_rollout_message(from, &message),
             Some(PeerMessage::UpstreamNotices(updates)) => {
-                traffic.merge_notice_updates(from, &updates)
+                traffic.merge_notice_updates(from, &updates);
             }
             None => traffic.log(Level::Warn, "datagram can't be decoded", |line| {
                 line.field("from", from)
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -481,7 +481,7 @@
             }
             Some(progress) => progress.observe(false, OTHER_UPSTREAMS, route, outcome.untimed()),
             None => {
-                count_earlier_request(self.earlier_counts.entry(route).or_default(), run_outcome)
+                count_earlier_request(self.earlier_counts.entry(route).or_default(), run_outcome);
             }
         }
     }
--- a/lib/tests/test_direct_heartbeat_payload.rs
+++ b/lib/tests/test_direct_heartbeat_payload.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of entries that have more to tell than one datagram holds.
+//! Heartbeats of entries with more state than fits into one datagram.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
         .collect()
 }
 
-fn running() -> Vec<UpstreamLoad> {
+fn loads() -> Vec<UpstreamLoad> {
     (0..ENGINES)
         .map(|number| UpstreamLoad {
             upstream: upstream_hash(&engine(number)),
@@ -59,7 +59,7 @@
         sequence,
         store_age_ms: Some(u32::MAX),
         peer_addresses: vec![peer(); 8],
-        loads: LoadChunk::of(running(), sequence),
+        loads: LoadChunk::of(loads(), sequence),
         spent: report.next(customers().iter().map(|(name, units)| (name, *units))),
         ..Heartbeat::default()
     }
@@ -67,8 +67,8 @@
 
 #[test]
 fn heartbeat_of_a_large_entry_fits_into_a_datagram() {
-    // An entry before 400 engines with 1,700 customers, at today's longest figures. If its
-    // heartbeat were too long it would not leave, and the others would take the entry for dead.
+    // An entry with 400 engines and 1,700 customers, with the longest possible figures. A heartbeat
+    // that is too long would not be sent, and the others would consider the entry dead.
     let mut report = SpendingReport::default();
     for sequence in 1..100 {
         let message = PeerMessage::Heartbeat(heartbeat(sequence, &mut report));
@@ -77,91 +77,91 @@
 }
 
 #[test]
-fn all_customers_told_in_turn() {
+fn all_customers_reported_in_turn() {
     let mut report = SpendingReport::default();
     let mut table = table();
-    let mut heard: IndexMap<Arc<str>, u64> = IndexMap::new();
+    let mut reported: IndexMap<Arc<str>, u64> = IndexMap::new();
     for sequence in 1..200 {
         let heartbeat = heartbeat(sequence, &mut report);
         for spent in table
             .record_heartbeat(peer(), &heartbeat, sequence)
             .newly_spent
         {
-            *heard.entry(spent.customer).or_default() += spent.units;
+            *reported.entry(spent.customer).or_default() += spent.units;
         }
     }
-    assert_eq!(heard.len(), customers().len());
+    assert_eq!(reported.len(), customers().len());
     assert!(
         customers()
             .iter()
-            .all(|(name, units)| heard[name] == *units)
+            .all(|(name, units)| reported[name] == *units)
     );
 }
 
 #[test]
-fn changed_customer_told_first() {
+fn changed_customer_reported_first() {
     let mut report = SpendingReport::default();
     let mut spent = customers();
-    let tell = |report: &mut SpendingReport, spent: &IndexMap<Arc<str>, u64>| {
+    let next_report = |report: &mut SpendingReport, spent: &IndexMap<Arc<str>, u64>| {
         report.next(spent.iter().map(|(name, units)| (name, *units)))
     };
     for _ in 0..300 {
-        tell(&mut report, &spent);
+        next_report(&mut report, &spent);
     }
     let (name, units) = spent.get_index_mut(900).expect("a customer");
     *units = 5;
     let name = Arc::clone(name);
-    let told = tell(&mut report, &spent);
-    assert_eq!(told[0].customer, name);
+    let reported = next_report(&mut report, &spent);
+    assert_eq!(reported[0].customer, name);
 }
 
 #[test]
-fn parts_cover_every_engine_once() {
-    let parts = running()
+fn chunks_cover_every_engine_once() {
+    let chunks = loads()
         .len()
         .div_ceil(sardinewood::direct::membership::heartbeat_payload::MAX_LOADS)
         as u64;
-    let parts: Vec<LoadChunk> = (0..parts)
-        .map(|sequence| LoadChunk::of(running(), sequence))
+    let chunks: Vec<LoadChunk> = (0..chunks)
+        .map(|sequence| LoadChunk::of(loads(), sequence))
         .collect();
     for number in 0..ENGINES + 50 {
         let name = upstream_hash(&engine(number));
-        let covering = parts.iter().filter(|part| part.covers(name));
+        let covering = chunks.iter().filter(|chunk| chunk.covers(name));
         assert_eq!(covering.count(), 1);
     }
 }
 
 #[test]
-fn part_says_nothing_of_other_engines() {
-    // A peer runs the one slot of each of 400 engines and tells them in parts. A door must
-    // not take an engine for free because this part leaves it out.
+fn chunk_says_nothing_of_other_engines() {
+    // A peer runs a request in the only slot of each of 400 engines, and reports them in chunks. An
+    // engine must not count as free because a chunk does not contain it.
     let mut admission = AdmissionController::default();
     admission.set_upstreams((0..ENGINES).map(|number| (engine(number), 1)));
-    let mut one_each = running();
-    for running in &mut one_each {
-        running.requests = 1;
+    let mut one_each = loads();
+    for load in &mut one_each {
+        load.requests = 1;
     }
     for sequence in 0..40 {
         admission.reconcile(peer(), &LoadChunk::of(one_each.clone(), sequence), sequence);
     }
     for number in 0..ENGINES {
-        let ask = SlotRequest {
+        let slot_request = SlotRequest {
             id: PeerRequestId(number.into()),
             upstream: upstream_hash(&engine(number)),
             worth_micros: 1,
             objective_in_ms: 9,
             waited_ms: 0,
         };
-        admission.enqueue(EntryRef::Local, ask, 50);
+        admission.enqueue(EntryRef::Local, slot_request, 50);
     }
     assert_eq!(admission.next_grant(50), None);
 }
 
 #[test]
-fn old_spending_of_a_peer_heard_late_not_charged() {
-    // An entry starts while it is cut off, and serves a customer. When the cut heals, a peer
-    // tells all that the customer has spent there in an hour: taken as spent now, it would
-    // have the customer refused for minutes.
+fn old_spending_of_a_late_peer_not_charged() {
+    // An entry starts during a network cut, and serves a customer. When the cut heals, a peer
+    // reports all that the customer has spent there in an hour. If that were charged now, the
+    // customer would be refused for minutes.
     let mut table = table();
     let spent = |sequence, units| Heartbeat {
         incarnation: 1,
@@ -178,22 +178,22 @@
             .newly_spent
             .is_empty()
     );
-    let heard = table.record_heartbeat(peer(), &spent(9_001, 4_000_100), 50);
-    assert_eq!(heard.newly_spent[0].units, 100);
+    let effect = table.record_heartbeat(peer(), &spent(9_001, 4_000_100), 50);
+    assert_eq!(effect.newly_spent[0].units, 100);
 }
 
 #[test]
-fn all_peers_named_within_few_heartbeats() {
-    // A fleet of 200 starts, and most entries know one seed only. If its heartbeats named
-    // nearly the same peers each time, they would find each other after minutes, and until
-    // then several entries would keep the door of one engine.
+fn all_peer_addresses_sent_within_few_heartbeats() {
+    // A fleet of 200 starts, and most entries know only one seed. If heartbeats contained nearly
+    // the same addresses each time, entries would take minutes to discover each other, and until
+    // then several entries would own the queue of one engine.
     let mut table = table();
     for number in 1..=200 {
         let peer = SocketAddr::from(([10, 0, 1, number], 7));
         table.record_heartbeat(peer, &Heartbeat::default(), 0);
     }
-    let named: std::collections::BTreeSet<SocketAddr> = (1..=25)
+    let addresses: std::collections::BTreeSet<SocketAddr> = (1..=25)
         .flat_map(|sequence| table.addresses_to_share(sequence))
         .collect();
-    assert_eq!(named.len(), 200);
+    assert_eq!(addresses.len(), 200);
 }
--- a/lib/tests/test_direct_rollout.rs
+++ b/lib/tests/test_direct_rollout.rs
@@ -1,4 +1,4 @@
-//! Orders to move a service to another version, as one entry or a few decide, without a network.
+//! Rollouts as decided by one entry or a few, without a network.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,13 +27,13 @@
 
 use crate::direct_fixture;
 
-const ALLOWANCE: ExposureLimit = ExposureLimit {
+const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit {
     share: 0.1,
     slack_requests: 50.0,
 };
 const WINDOW_MS: u64 = 12_000;
 
-/// An upstream of a version; its entry is as old as its number.
+/// An upstream of a version, listed at the revision `number`.
 fn upstream(number: u64, version: &str) -> Arc<Upstream> {
     let name = format!("{version}-{number}");
     Arc::new(Upstream {
@@ -43,8 +43,8 @@
     })
 }
 
-/// Upstreams of the old version, and as many of the new one.
-fn both(count: u64) -> Vec<Arc<Upstream>> {
+/// `count` upstreams of the old version, and as many of the new one.
+fn both_versions(count: u64) -> Vec<Arc<Upstream>> {
     let old = (1..=count).map(|number| upstream(number, "v1"));
     let new = (1..=count).map(|number| upstream(100 + number, "v2"));
     old.chain(new).collect()
@@ -63,15 +63,15 @@
     }
 }
 
-/// A book that knows four upstreams of each version, and the order.
-fn ordered() -> RolloutTable {
-    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
-    table.set_upstreams(&both(4));
+/// A table with four upstreams of each version and a rollout.
+fn table_with_rollout() -> RolloutTable {
+    let mut table = RolloutTable::new(Some(EXPOSURE_LIMIT), 1);
+    table.set_upstreams(&both_versions(4));
     table.apply_stored(&[rollout(10, RolloutStatus::Ordered)], 10, 1, 0);
     table
 }
 
-/// An entry that judges, with these others.
+/// The snapshot of a coordinator with these live peers.
 fn coordinator(live_peers: &[SocketAddr]) -> FleetSnapshot {
     FleetSnapshot {
         coordinator_rank: Some(0),
@@ -81,14 +81,14 @@
 }
 
 fn versions_used(table: &mut RolloutTable) -> Vec<(Arc<str>, bool)> {
-    let placement = table.eligible_upstreams();
-    let mut used: Vec<(Arc<str>, bool)> = placement
+    let eligible = table.eligible_upstreams();
+    let mut used: Vec<(Arc<str>, bool)> = eligible
         .upstreams
         .iter()
         .map(|up| {
             (
                 Arc::clone(&up.version),
-                placement.canaries.contains(&up.instance),
+                eligible.canaries.contains(&up.instance),
             )
         })
         .collect();
@@ -101,8 +101,8 @@
     "10.0.0.2:7".parse().expect("an address")
 }
 
-/// What is counted of a request on the one route, in the first part of the window.
-fn cell(is_new: bool, upstream: u32, outcome: OutcomeClass) -> OutcomeKey {
+/// The key of a request on the one route, in the first rotation.
+fn outcome_key(is_new: bool, upstream: u32, outcome: OutcomeClass) -> OutcomeKey {
     OutcomeKey {
         is_new,
         upstream,
@@ -112,13 +112,13 @@
     }
 }
 
-/// Requests at upstreams of the new version, and as many at the old ones, all on one route.
+/// Good and failed requests at each upstream of the new and of the old version, all on one route.
 fn evidence(new: &[(u32, u32)], old: &[(u32, u32)]) -> VersionEvidence {
     let mut evidence = VersionEvidence::default();
-    for (is_new, parts) in [(true, new), (false, old)] {
-        for (upstream, (whole, failed)) in (1..).zip(parts) {
-            evidence.add(cell(is_new, upstream, OutcomeClass::Took(6)), *whole);
-            evidence.add(cell(is_new, upstream, OutcomeClass::Failed), *failed);
+    for (is_new, counts) in [(true, new), (false, old)] {
+        for (upstream, (whole, failed)) in (1..).zip(counts) {
+            evidence.add(outcome_key(is_new, upstream, OutcomeClass::Took(6)), *whole);
+            evidence.add(outcome_key(is_new, upstream, OutcomeClass::Failed), *failed);
         }
     }
     evidence
@@ -126,7 +126,7 @@
 
 #[test]
 fn verdict_one_faulty_upstream_is_no_version() {
-    // Guards against giving up a good version since one of its upstreams fails by itself.
+    // Guards against rejecting a good version because one of its upstreams is faulty.
     let judged = evidence(
         &[(2, 14), (15, 0), (15, 0)],
         &[(100, 1), (100, 0), (100, 0)],
@@ -143,7 +143,8 @@
 
 #[test]
 fn verdict_failures_as_usual_are_no_fault() {
-    // Guards against a verdict from a route of which one in seven requests fails on any version.
+    // Guards against a bad verdict from a route of which one in seven requests fails at any
+    // version.
     let judged = evidence(
         &[(26, 4), (25, 5), (27, 3)],
         &[(86, 14), (85, 15), (88, 12)],
@@ -153,7 +154,8 @@
 
 #[test]
 fn verdict_slow_upstreams_of_both_versions_are_no_fault() {
-    // Guards against a verdict from upstreams that are four times slower, as some of each version are.
+    // Guards against a bad verdict because some upstreams are four times slower, as some of each
+    // version are.
     let mut judged = VersionEvidence::default();
     for (is_new, upstream, step) in [
         (true, 1, 10),
@@ -163,7 +165,7 @@
         (false, 2, 6),
         (false, 3, 10),
     ] {
-        judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
+        judged.add(outcome_key(is_new, upstream, OutcomeClass::Took(step)), 20);
     }
     assert_eq!(judged.verdict(4), VersionVerdict::Clean);
 }
@@ -174,7 +176,7 @@
     let mut judged = VersionEvidence::default();
     for upstream in 1..=6 {
         for (is_new, step) in [(true, 12), (false, 6)] {
-            judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), 20);
+            judged.add(outcome_key(is_new, upstream, OutcomeClass::Took(step)), 20);
         }
     }
     assert_eq!(judged.verdict(6), VersionVerdict::Slow);
@@ -186,35 +188,38 @@
     let mut judged = VersionEvidence::default();
     for upstream in 1..=4 {
         for (is_new, step, count) in [(true, 6, 12), (true, 11, 8), (false, 6, 60)] {
-            judged.add(cell(is_new, upstream, OutcomeClass::Took(step)), count);
+            judged.add(
+                outcome_key(is_new, upstream, OutcomeClass::Took(step)),
+                count,
+            );
         }
     }
     assert_eq!(judged.verdict(4), VersionVerdict::PartlySlow);
 }
 
 #[test]
-fn versions_listed_before_its_order_gets_nothing() {
-    // Guards against requests at a version whose order can't be read yet, also after a restart.
-    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
-    table.set_upstreams(&both(4));
+fn versions_listed_before_its_rollout_gets_nothing() {
+    // Guards against requests to a version whose rollout can't be read yet, also after a restart.
+    let mut table = RolloutTable::new(Some(EXPOSURE_LIMIT), 1);
+    table.set_upstreams(&both_versions(4));
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
 }
 
 #[test]
-fn versions_meaning_nothing_all_serve() {
-    // Guards against upstreams left out on a platform that knows no roll-outs.
+fn versions_without_rollouts_all_serve() {
+    // Guards against leaving out upstreams on a platform without rollouts.
     let mut table = RolloutTable::new(None, 1);
-    table.set_upstreams(&both(4));
+    table.set_upstreams(&both_versions(4));
     table.apply_stored(&[rollout(10, RolloutStatus::Completed)], 10, 1, 0);
     let used = versions_used(&mut table);
     assert_eq!(used, [("v1".into(), false), ("v2".into(), false)]);
 }
 
 #[test]
-fn versions_completed_order_serves_alone() {
-    // Guards against an entry that starts after a roll-out and goes back to the old version.
+fn versions_completed_rollout_serves_alone() {
+    // Guards against an entry that starts after a rollout and goes back to the old version.
     let mut versions = ServingVersions::default();
-    versions.update(&both(2), &[rollout(10, RolloutStatus::Completed)]);
+    versions.update(&both_versions(2), &[rollout(10, RolloutStatus::Completed)]);
     assert_eq!(
         versions.serving("pool").map(|version| &**version),
         Some("v2")
@@ -222,8 +227,8 @@
 }
 
 #[test]
-fn versions_reverted_order_never_serves() {
-    // Guards against a version that was given up and serves since the old one restarted.
+fn versions_reverted_rollout_never_serves() {
+    // Guards against a rejected version that serves because the old one has restarted.
     let mut versions = ServingVersions::default();
     let restarted = [upstream(500, "v1"), upstream(101, "v2")];
     versions.update(&restarted, &[rollout(10, RolloutStatus::Reverted)]);
@@ -234,56 +239,58 @@
 }
 
 #[test]
-fn placement_judging_one_upstream_on_trial() {
-    // Guards against thin traces at many new upstreams, by which nothing under load is seen.
-    let mut table = ordered();
-    let placement = table.eligible_upstreams();
-    assert_eq!(placement.canaries.len(), 1);
-    assert_eq!(placement.upstreams.len(), 5);
+fn eligible_upstreams_judging_one_canary() {
+    // Guards against spreading the few canary requests over many upstreams, where none is under
+    // load.
+    let mut table = table_with_rollout();
+    let eligible = table.eligible_upstreams();
+    assert_eq!(eligible.canaries.len(), 1);
+    assert_eq!(eligible.upstreams.len(), 5);
 }
 
 #[test]
 fn exposure_restarted_entries_stay_within_share() {
-    // Guards against an allowance that is spent anew by each start of an entry.
+    // Guards against an entry that uses up a new exposure budget after each restart.
     let mut sent = (0.0, 0.0);
     for start in 0..200 {
-        let mut exposure = ExposureBudget::new(ALLOWANCE, 0.0);
+        let mut exposure = ExposureBudget::new(EXPOSURE_LIMIT, 0.0);
         for _ in 0..30 {
             let random = f64::from(start) / 200.0;
-            let is_trial = exposure.may_send_canary(1, 0.5, random);
-            exposure.record_dispatch(1, is_trial, false);
+            let is_canary = exposure.may_send_canary(1, 0.5, random);
+            exposure.record_dispatch(1, is_canary, false);
             sent.0 += 1.0;
-            sent.1 += f64::from(u8::from(is_trial));
+            sent.1 += f64::from(u8::from(is_canary));
         }
     }
-    assert!(sent.1 / sent.0 < ALLOWANCE.share / 2.0, "{sent:?}");
+    assert!(sent.1 / sent.0 < EXPOSURE_LIMIT.share / 2.0, "{sent:?}");
 }
 
 #[test]
-fn lane_unheard_judges_no_trials() {
-    // Guards against an entry behind a cut that goes on trying a version found bad elsewhere.
-    let mut table = ordered();
-    let trials = |table: &mut RolloutTable, now_ms| {
-        let lanes = (0..100).map(|_| table.choose_target("pool", "a", false, now_ms, 0.999));
-        lanes
+fn target_silent_coordinators_no_canaries() {
+    // Guards against an entry behind a network cut that goes on sending canary requests to a
+    // version found bad elsewhere.
+    let mut table = table_with_rollout();
+    let canary_count = |table: &mut RolloutTable, now_ms| {
+        let targets = (0..100).map(|_| table.choose_target("pool", "a", false, now_ms, 0.999));
+        targets
             .filter(|target| *target == RequestTarget::Canary)
             .count()
     };
-    assert!(trials(&mut table, 200) > 0);
-    assert_eq!(trials(&mut table, 4_100), 0);
+    assert!(canary_count(&mut table, 200) > 0);
+    assert_eq!(canary_count(&mut table, 4_100), 0);
 }
 
-/// Lets requests come back well from both versions, so that the new one is proven.
-fn prove(table: &mut RolloutTable) {
-    for up in both(4) {
+/// Records good requests at both versions, enough to prove the new one.
+fn prove_new_version(table: &mut RolloutTable) {
+    for up in both_versions(4) {
         for _ in 0..20 {
             table.record_run_outcome(&up, "a", RunOutcome::Answered { ms_per_event: 20.0 });
         }
     }
 }
 
-fn writes(all: &[(Arc<str>, RolloutAction)]) -> Vec<RolloutStatus> {
-    let status = |(_, next): &(Arc<str>, RolloutAction)| match next {
+fn written_statuses(all: &[(Arc<str>, RolloutAction)]) -> Vec<RolloutStatus> {
+    let status = |(_, action): &(Arc<str>, RolloutAction)| match action {
         RolloutAction::WriteStatus(status) => Some(*status),
         _ => None,
     };
@@ -292,105 +299,105 @@
 
 #[test]
 fn progress_good_version_completed_before_the_end() {
-    // Guards against a window that passes without a decision.
-    let mut table = ordered();
-    prove(&mut table);
+    // Guards against a window that ends without a decision.
+    let mut table = table_with_rollout();
+    prove_new_version(&mut table);
     assert_eq!(
-        writes(&table.step(&coordinator(&[]), 50)),
+        written_statuses(&table.step(&coordinator(&[]), 50)),
         [RolloutStatus::InProgress]
     );
     table.apply_stored(&[rollout(11, RolloutStatus::InProgress)], 11, 1, 60);
-    assert!(writes(&table.step(&coordinator(&[]), 11_000)).is_empty());
+    assert!(written_statuses(&table.step(&coordinator(&[]), 11_000)).is_empty());
     table.step(&coordinator(&[]), 11_600);
     assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
     assert_eq!(
-        writes(&table.step(&coordinator(&[]), 11_850)),
+        written_statuses(&table.step(&coordinator(&[]), 11_850)),
         [RolloutStatus::Completed]
     );
 }
 
 #[test]
-fn progress_fixed_request_at_old_waited_for() {
-    // Guards against `completed` while a request runs at the old version that can't be moved.
-    let mut table = ordered();
-    prove(&mut table);
+fn progress_pinned_request_at_old_waited_for() {
+    // Guards against `completed` while a pinned request runs at the old version.
+    let mut table = table_with_rollout();
+    prove_new_version(&mut table);
     table.pin(&upstream(1, "v1"));
     table.step(&coordinator(&[]), 11_600);
-    assert!(writes(&table.step(&coordinator(&[]), 12_500)).is_empty());
+    assert!(written_statuses(&table.step(&coordinator(&[]), 12_500)).is_empty());
     table.unpin(&upstream(1, "v1"));
     assert_eq!(
-        writes(&table.step(&coordinator(&[]), 12_600)),
+        written_statuses(&table.step(&coordinator(&[]), 12_600)),
         [RolloutStatus::Completed]
     );
 }
 
 #[test]
 fn progress_unshifted_peer_waited_for() {
-    // Guards against `completed` while another entry still sends the old version requests.
-    let mut table = ordered();
-    prove(&mut table);
+    // Guards against `completed` while another entry still sends requests to the old version.
+    let mut table = table_with_rollout();
+    prove_new_version(&mut table);
     let facts = coordinator(&[other()]);
     table.step(&facts, 11_600);
-    assert!(writes(&table.step(&facts, 13_000)).is_empty());
-    let mut peer = ordered();
+    assert!(written_statuses(&table.step(&facts, 13_000)).is_empty());
+    let mut peer = table_with_rollout();
     let state = table.states(13_000).remove(0);
     peer.handle_message(other(), &RolloutMessage::State(state), 2, 13_000);
-    let told = peer.step(&FleetSnapshot::default(), 13_010);
-    for (_, next) in told {
-        if let RolloutAction::Report(report) = next {
+    let actions = peer.step(&FleetSnapshot::default(), 13_010);
+    for (_, action) in actions {
+        if let RolloutAction::Report(report) = action {
             table.handle_message(other(), &RolloutMessage::Report(report), 2, 13_020);
         }
     }
     assert_eq!(
-        writes(&table.step(&facts, 13_800)),
+        written_statuses(&table.step(&facts, 13_800)),
         [RolloutStatus::Completed]
     );
 }
 
 #[test]
 fn progress_no_upstreams_come_reverted() {
-    // Guards against an order whose upstreams never come and that stays open for ever.
-    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
-    table.set_upstreams(&both(4)[..4]);
+    // Guards against a rollout that never ends because its upstreams never appear.
+    let mut table = RolloutTable::new(Some(EXPOSURE_LIMIT), 1);
+    table.set_upstreams(&both_versions(4)[..4]);
     table.apply_stored(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
     let all = table.step(&coordinator(&[]), 12_050);
     assert!(
         all.iter()
-            .any(|(_, next)| *next == RolloutAction::Log(DecisionReason::TooFewUpstreams))
+            .any(|(_, action)| *action == RolloutAction::Log(DecisionReason::TooFewUpstreams))
     );
-    assert_eq!(writes(&all), [RolloutStatus::Reverted]);
+    assert_eq!(written_statuses(&all), [RolloutStatus::Reverted]);
 }
 
 #[test]
 fn progress_version_that_runs_already_completed_early() {
-    // Guards against a window's wait for a version that all upstreams have, and against taking a
-    // list without the old version for that while its entries may come back.
-    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
-    table.set_upstreams(&both(4)[4..]);
+    // Guards against waiting for the end of the window if all upstreams have the new version, and
+    // against assuming so from a list in which the old upstreams are only missing for a moment.
+    let mut table = RolloutTable::new(Some(EXPOSURE_LIMIT), 1);
+    table.set_upstreams(&both_versions(4)[4..]);
     table.apply_stored(&[rollout(10, RolloutStatus::InProgress)], 10, 1, 0);
-    assert!(writes(&table.step(&coordinator(&[]), 2_000)).is_empty());
+    assert!(written_statuses(&table.step(&coordinator(&[]), 2_000)).is_empty());
     assert_eq!(
-        writes(&table.step(&coordinator(&[]), 3_100)),
+        written_statuses(&table.step(&coordinator(&[]), 3_100)),
         [RolloutStatus::Completed]
     );
 }
 
 #[test]
-fn progress_rejection_heard_stops_at_once() {
-    // Guards against an entry that goes on after another one has found the version bad.
-    let mut judging = ordered();
+fn progress_rejection_received_stops_at_once() {
+    // Guards against an entry that goes on after another one has rejected the version.
+    let mut judging = table_with_rollout();
     judging.reject("pool", 1_000);
     let state = judging.states(1_000).remove(0);
-    let mut table = ordered();
-    let next = table.handle_message(other(), &RolloutMessage::State(state), 2, 1_000);
-    assert!(next.contains(&RolloutAction::UpdateEligibleUpstreams));
+    let mut table = table_with_rollout();
+    let action = table.handle_message(other(), &RolloutMessage::State(state), 2, 1_000);
+    assert!(action.contains(&RolloutAction::UpdateEligibleUpstreams));
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
 }
 
 #[test]
-fn progress_shift_heard_late_does_not_undo_rejection() {
+fn progress_late_shift_does_not_undo_rejection() {
     // Guards against a late or repeated message that brings a bad version back.
-    let mut table = ordered();
+    let mut table = table_with_rollout();
     let mut state = table.states(0).remove(0);
     state.phase = RolloutPhase::Shifting;
     table.reject("pool", 1_000);
@@ -403,19 +410,20 @@
 
 #[test]
 fn progress_final_state_of_the_store_holds() {
-    // Guards against two entries that decide differently behind a cut: the store's word ends both.
-    let mut table = ordered();
+    // Guards against two entries that decide differently during a network cut: the status in the
+    // store decides.
+    let mut table = table_with_rollout();
     table.reject("pool", 1_000);
     table.apply_stored(&[rollout(12, RolloutStatus::Completed)], 12, 1, 1_100);
-    assert!(writes(&table.step(&coordinator(&[]), 1_200)).is_empty());
+    assert!(written_statuses(&table.step(&coordinator(&[]), 1_200)).is_empty());
     assert_eq!(versions_used(&mut table), [("v2".into(), false)]);
 }
 
 #[test]
-fn progress_held_order_not_shifted() {
-    // Guards against a shift that an operator has put off; it goes on when let.
-    let mut table = ordered();
-    prove(&mut table);
+fn progress_rollout_on_hold_not_shifted() {
+    // Guards against shifting a rollout that is on hold, and against not resuming it.
+    let mut table = table_with_rollout();
+    prove_new_version(&mut table);
     table.set_hold("pool", true, 100);
     table.step(&coordinator(&[]), 11_600);
     assert_eq!(
@@ -431,9 +439,9 @@
 }
 
 #[test]
-fn book_withdrawn_order_not_brought_back() {
-    // Guards against a late message about an order that its operator took away.
-    let mut table = ordered();
+fn table_withdrawn_rollout_not_brought_back() {
+    // Guards against a late message that brings back a rollout removed by its operator.
+    let mut table = table_with_rollout();
     let state = table.states(0).remove(0);
     table.apply_stored(&[], 20, 1, 1_000);
     assert_eq!(versions_used(&mut table), [("v1".into(), false)]);
@@ -442,10 +450,10 @@
 }
 
 #[test]
-fn book_order_given_again_is_another() {
-    // Guards against an order that was taken away and given anew and counts as over.
-    let mut table = RolloutTable::new(Some(ALLOWANCE), 1);
-    table.set_upstreams(&both(4));
+fn table_rollout_created_again_is_another() {
+    // Guards against a rollout that counts as over because it was removed and created again.
+    let mut table = RolloutTable::new(Some(EXPOSURE_LIMIT), 1);
+    table.set_upstreams(&both_versions(4));
     table.apply_stored(&[rollout(10, RolloutStatus::Reverted)], 10, 1, 0);
     let mut again = rollout(30, RolloutStatus::Ordered);
     again.id.created = 30;
@@ -454,9 +462,9 @@
 }
 
 #[test]
-fn book_orders_for_two_services_apart() {
-    // Guards against a verdict on one service that ends the order of another.
-    let mut table = ordered();
+fn table_rollouts_for_two_services_independent() {
+    // Guards against a decision on one service that ends the rollout of another.
+    let mut table = table_with_rollout();
     let mut second = rollout(11, RolloutStatus::Ordered);
     second.id.service = "app".into();
     table.apply_stored(&[rollout(10, RolloutStatus::Ordered), second], 11, 1, 0);
@@ -469,29 +477,30 @@
 
 #[test]
 fn report_of_known_counts_is_short() {
-    // Guards against judges of a large fleet that get the same counts over and over.
-    let mut table = ordered();
-    for up in both(4) {
+    // Guards against sending unchanged counts to the coordinators of a large fleet over and over.
+    let mut table = table_with_rollout();
+    for up in both_versions(4) {
         for route in 0..10 {
             table.record_run_outcome(&up, &format!("route-{route}"), RunOutcome::Failed);
         }
     }
-    let mut cells = 0;
+    let mut count = 0;
     for number in 1..=10 {
-        for (_, next) in table.step(&FleetSnapshot::default(), number * 200) {
-            if let RolloutAction::Report(report) = next {
-                cells = report.counts.len();
+        for (_, action) in table.step(&FleetSnapshot::default(), number * 200) {
+            if let RolloutAction::Report(report) = action {
+                count = report.counts.len();
             }
         }
     }
-    assert!((1..10).contains(&cells), "{cells}");
+    assert!((1..10).contains(&count), "{count}");
 }
 
 #[test]
 fn report_fits_into_a_datagram() {
-    // Guards against reports that are too long to be sent, whose entry would seem not to be shifted.
-    let mut table = ordered();
-    for up in both(4) {
+    // Guards against reports too long to be sent, by which the entry would seem not to have
+    // shifted.
+    let mut table = table_with_rollout();
+    for up in both_versions(4) {
         for route in 0..40 {
             let name = format!("route-{route}");
             assert_ne!(upstream_hash(&name), 0);
@@ -501,8 +510,8 @@
     let facts = FleetSnapshot::default();
     let reports = table.step(&facts, 200);
     let mut seen = 0;
-    for (_, next) in reports {
-        if let RolloutAction::Report(report) = next {
+    for (_, action) in reports {
+        if let RolloutAction::Report(report) = action {
             seen += 1;
             let message = RolloutMessage::Report(report);
             let message =
--- a/lib/tests/test_direct_store_follower.rs
+++ b/lib/tests/test_direct_store_follower.rs
@@ -1,4 +1,5 @@
-//! Copies of the configuration and of the upstreams that entries give each other.
+//! The store follower, and the updates of configuration and upstreams that entries pull from each
+//! other.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -59,13 +60,13 @@
     }
 }
 
-/// A store that answers a list, then what it is given, then nothing more.
-struct Scripted {
+/// A store that answers a list and then the given batches, and is silent from then on.
+struct ScriptedStore {
     list: ObjectList,
     batches: RefCell<Vec<WatchBatch>>,
 }
 
-impl ObjectSource for Scripted {
+impl ObjectSource for ScriptedStore {
     async fn list(&self, _kind: &str) -> Result<ObjectList, ReadError> {
         Ok(self.list.clone())
     }
@@ -81,11 +82,11 @@
 
 fn follower() -> (StoreFollower, watch::Receiver<ReplicaSnapshot>) {
     let (view_sender, view) = watch::channel(ReplicaSnapshot::default());
-    // The sender may go: what it said last stays.
-    let (_asks, asks) = watch::channel(true);
-    let answers = LastStoreResponse::default();
+    // The sender may be dropped: its last value stays.
+    let (_sender, watches_store) = watch::channel(true);
+    let last_response = LastStoreResponse::default();
     (
-        StoreFollower::new(DECODERS, view_sender, asks, answers),
+        StoreFollower::new(DECODERS, view_sender, watches_store, last_response),
         view,
     )
 }
@@ -94,10 +95,10 @@
     SocketAddr::from(([10, 0, 0, 1], 7))
 }
 
-/// A follower that has seen a list of two upstreams, and then one more come and one go.
+/// A follower that has seen a list of two upstreams, then one more added and one removed.
 async fn followed() -> (StoreFollower, watch::Receiver<ReplicaSnapshot>) {
     let (follower, view) = follower();
-    let source = Scripted {
+    let source = ScriptedStore {
         list: ObjectList {
             revision: 5,
             objects: vec![object("u", "a", 2), object("u", "b", 3)],
@@ -146,26 +147,26 @@
 #[tokio::test]
 async fn peer_without_anything_gets_the_whole_list() {
     let (follower, _view) = followed().await;
-    let copies = follower.update_since(Revisions::default());
+    let update = follower.update_since(Revisions::default());
     assert!(matches!(
-        copies.upstreams,
+        update.upstreams,
         Some(UpstreamListUpdate::Full(_))
     ));
     let (other, view) = self::follower();
-    other.apply_update(peer(), copies);
+    other.apply_update(peer(), update);
     assert_eq!(names(&view), ["b", "c"]);
 }
 
 #[tokio::test]
 async fn lagging_peer_gets_the_changes_only() {
-    // A peer that knows the first list lacks one upstream and still has another that is gone.
+    // A peer with the first list lacks one upstream and still has another that was removed.
     let (follower, _view) = followed().await;
-    let copies = follower.update_since(Revisions {
+    let update = follower.update_since(Revisions {
         catalog: 0,
         directory: 3,
     });
-    let Some(UpstreamListUpdate::Delta(changes)) = &copies.upstreams else {
-        panic!("{copies:?}");
+    let Some(UpstreamListUpdate::Delta(changes)) = &update.upstreams else {
+        panic!("{update:?}");
     };
     assert_eq!(changes.objects.len(), 1);
     assert_eq!(changes.removed, [(9, "a".into())]);
@@ -181,13 +182,13 @@
             upstreams: Some(UpstreamListUpdate::Full(first)),
         },
     );
-    other.apply_update(peer(), copies);
+    other.apply_update(peer(), update);
     assert_eq!(names(&view), ["b", "c"]);
 }
 
 #[tokio::test]
-async fn older_copy_changes_nothing() {
-    // A revision never goes back, whatever source brings an older one.
+async fn older_update_changes_nothing() {
+    // A revision never decreases, whichever source brings an older one.
     let (follower, view) = followed().await;
     let old = ObjectList {
         revision: 4,
@@ -204,14 +205,14 @@
 }
 
 #[tokio::test]
-async fn older_configuration_not_taken() {
+async fn older_configuration_not_applied() {
     let (follower, view) = follower();
     for version in [7, 5] {
-        let copies = sardinewood::direct::replication::peer_pull::ReplicaUpdate {
+        let update = sardinewood::direct::replication::peer_pull::ReplicaUpdate {
             catalog: Some(Arc::new(object("c", "main", version))),
             upstreams: None,
         };
-        follower.apply_update(peer(), copies);
+        follower.apply_update(peer(), update);
     }
     let version = view
         .borrow()
@@ -222,21 +223,21 @@
 }
 
 /// A store in which an upstream changes every 20 ms.
-struct Busy {
-    began: Instant,
+struct BusyStore {
+    started_at: Instant,
     calls: Cell<u64>,
 }
 
-impl Busy {
+impl BusyStore {
     const CHANGE_MS: u64 = 20;
 
     fn revision(&self) -> u64 {
-        let passed = u64::try_from(self.began.elapsed().as_millis()).expect("a time");
+        let passed = u64::try_from(self.started_at.elapsed().as_millis()).expect("a time");
         1 + passed / Self::CHANGE_MS
     }
 }
 
-impl ObjectSource for Busy {
+impl ObjectSource for BusyStore {
     async fn list(&self, _kind: &str) -> Result<ObjectList, ReadError> {
         Ok(ObjectList {
             revision: 1,
@@ -258,13 +259,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn changes_in_quick_succession_gathered() {
-    // The workers of a service are replaced, and their entries change fifty times a second. Every
-    // answer to a watch costs a call, and copies for all other entries; so changes are taken a few
-    // times a second, none is missed, and the newest is known within a quarter of a second.
+async fn changes_in_quick_succession_batched() {
+    // While the workers of a service are replaced, the list changes fifty times a second. Every
+    // answer to a watch costs a call, and updates for all other entries. So the follower takes
+    // changes a few times a second, misses none, and knows the newest within a quarter of a second.
     let (follower, view) = follower();
-    let source = Busy {
-        began: Instant::now(),
+    let source = BusyStore {
+        started_at: Instant::now(),
         calls: Cell::new(0),
     };
     let follow = follower.follow_upstreams(&source);
@@ -274,5 +275,5 @@
     assert!(source.calls.get() <= 11, "{}", source.calls.get());
     let known = view.borrow().revisions.directory;
     let lag = source.revision() - known;
-    assert!(lag * Busy::CHANGE_MS <= 250, "{lag} changes");
+    assert!(lag * BusyStore::CHANGE_MS <= 250, "{lag} changes");
 }
