--- a/lib/src/direct/membership/heartbeat_payload.rs
+++ b/lib/src/direct/membership/heartbeat_payload.rs
@@ -92,6 +92,7 @@
     }
 }
 
+/// The last reported spending of a customer.
 #[derive(Clone, Copy, Debug, Default)]
 struct SentSpending {
     units: u64,
--- a/lib/src/direct/membership/peer_table.rs
+++ b/lib/src/direct/membership/peer_table.rs
@@ -330,8 +330,8 @@
     /// ```
     #[must_use]
     pub fn live_peers(&self, now_ms: u64) -> Vec<SocketAddr> {
-        let heard = self.peers.iter();
-        heard
+        let peers = self.peers.iter();
+        peers
             .filter(|(_, peer)| self.is_live(peer, now_ms))
             .map(|(address, _)| *address)
             .collect()
--- a/lib/src/direct/replication/peer_pull.rs
+++ b/lib/src/direct/replication/peer_pull.rs
@@ -70,6 +70,7 @@
     upstreams: Option<SentList>,
 }
 
+/// An [`UpstreamListUpdate`] as sent.
 #[derive(Debug, Serialize, Deserialize)]
 struct SentList {
     /// None if this is the whole list.
@@ -80,9 +81,9 @@
 }
 
 impl From<&UpstreamListUpdate> for SentList {
-    fn from(copy: &UpstreamListUpdate) -> Self {
+    fn from(update: &UpstreamListUpdate) -> Self {
         let sent = |objects: &[StoredObject]| objects.iter().map(SentObject::from).collect();
-        match copy {
+        match update {
             UpstreamListUpdate::Full(list) => Self {
                 after: None,
                 revision: list.revision,
@@ -121,6 +122,7 @@
     }
 }
 
+/// A [`StoredObject`] as sent.
 #[derive(Debug, Serialize, Deserialize)]
 struct SentObject {
     kind: String,
@@ -153,6 +155,7 @@
     }
 }
 
+/// A connection to a peer that carries length-delimited messages.
 type Channel = Framed<TcpStream, LengthDelimitedCodec>;
 
 fn channel(stream: TcpStream) -> Channel {
@@ -223,6 +226,7 @@
     }
 }
 
+/// Reads a peer's revisions, and sends it what it lacks.
 async fn serve_update(stream: TcpStream, follower: StoreFollower) -> io::Result<()> {
     let mut channel = channel(stream);
     let theirs: Revisions = receive(&mut channel).await?;
--- a/lib/src/direct/rollout/message.rs
+++ b/lib/src/direct/rollout/message.rs
@@ -34,7 +34,7 @@
 /// Why a rollout has entered its phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionReason {
-    /// It is in its first phase.
+    /// The rollout has begun, and nothing is decided yet.
     Begun,
     /// Nothing speaks against the new version, and it is time for the shift.
     Clean,
@@ -50,7 +50,7 @@
     NotProven,
     /// The window is over, and the new version has too few upstreams.
     TooFewUpstreams,
-    /// An operator has decided.
+    /// An operator has rejected the new version.
     Operator,
 }
 
@@ -136,9 +136,9 @@
     /// ```
     pub fn choose(&mut self, outcome_counts: &OutcomeCounts) -> Vec<(OutcomeKey, u32)> {
         for (key, count) in outcome_counts.iter() {
-            let sent_counts = self.sent_counts.entry(key).or_default();
-            if sent_counts.0 != count {
-                *sent_counts = (count, 0);
+            let sent = self.sent_counts.entry(key).or_default();
+            if sent.0 != count {
+                *sent = (count, 0);
             }
         }
         let mut keys: Vec<OutcomeKey> = self.sent_counts.keys().copied().collect();
--- a/lib/src/direct/rollout/table.rs
+++ b/lib/src/direct/rollout/table.rs
@@ -67,8 +67,8 @@
 impl RouteBaseline {
     fn observe(&mut self, time_ms: f64) {
         self.samples += 1.0;
-        let counts = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
-        self.mean_ln_ms += (time_ms.max(0.1).ln() - self.mean_ln_ms) * counts;
+        let weight = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
+        self.mean_ln_ms += (time_ms.max(0.1).ln() - self.mean_ln_ms) * weight;
     }
 
     /// Returns how many times the usual time a run took, if that is known.
@@ -285,14 +285,14 @@
                 let is_new = self.apply_rollout(&state.rollout, entries, state.elapsed_ms, now_ms);
                 let known = self.rollouts.get_mut(&state.rollout.id.service);
                 let known = known.filter(|known| known.rollout().id == state.rollout.id);
-                let mut next = known
+                let mut actions = known
                     .map(|known| known.apply_state(state, now_ms))
                     .unwrap_or_default();
                 if is_new {
-                    next.push(RolloutAction::UpdateEligibleUpstreams);
+                    actions.push(RolloutAction::UpdateEligibleUpstreams);
                 }
                 self.update_versions();
-                next
+                actions
             }
             RolloutMessage::Report(report) => {
                 let known = self.rollouts.get_mut(&report.id.service);
@@ -331,8 +331,12 @@
                 }
             }
             service_snapshot.pinned_at_old = pinned_at_old(&self.pinned, service, to);
-            let next = progress.step(&service_snapshot, now_ms);
-            all.extend(next.into_iter().map(|next| (Arc::clone(service), next)));
+            let actions = progress.step(&service_snapshot, now_ms);
+            all.extend(
+                actions
+                    .into_iter()
+                    .map(|action| (Arc::clone(service), action)),
+            );
         }
         all
     }
@@ -457,7 +461,7 @@
             return;
         }
         let route = upstream_hash(route);
-        let name = upstream_hash(&upstream.instance);
+        let instance = upstream_hash(&upstream.instance);
         let progress = self.rollouts.get_mut(&upstream.service);
         let progress = progress.filter(|progress| !progress.is_over());
         let is_new = progress
@@ -474,10 +478,10 @@
         if let (false, RunOutcome::Answered { ms_per_event }) = (is_new, run_outcome) {
             baseline.observe(ms_per_event);
         }
-        let is_control = self.control.contains(&name);
+        let is_control = self.control.contains(&instance);
         match progress {
             Some(progress) if is_new || is_control => {
-                progress.observe(is_new, name, route, outcome);
+                progress.observe(is_new, instance, route, outcome);
             }
             Some(progress) => progress.observe(false, OTHER_UPSTREAMS, route, outcome.untimed()),
             None => {
@@ -496,6 +500,7 @@
     }
 }
 
+/// Counts a request, and halves the counts if there are too many.
 fn count_earlier_request(counts: &mut RequestCounts, run_outcome: RunOutcome) {
     counts.requests += 1;
     counts.bad += u32::from(run_outcome == RunOutcome::Failed);
@@ -510,6 +515,7 @@
     (Arc::clone(&upstream.service), Arc::clone(&upstream.version))
 }
 
+/// Returns the pinned requests of a service that run at another version than `to`.
 fn pinned_at_old(pinned: &IndexMap<(Arc<str>, Arc<str>), u32>, service: &str, to: &str) -> u32 {
     let at_old = pinned
         .iter()
