--- a/lib/src/direct/placement.rs
+++ b/lib/src/direct/placement.rs
@@ -5,6 +5,6 @@
 pub mod dispatch;
 pub mod health;
 pub mod job;
-pub mod place;
 pub mod shared_prefix;
 pub mod slot_search;
+pub mod tracked_upstream;
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -15,11 +15,11 @@
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
-use crate::direct::placement::place::Place;
 use crate::direct::placement::shared_prefix;
 use crate::direct::placement::shared_prefix::Candidate;
 use crate::direct::placement::shared_prefix::KeptAt;
 use crate::direct::placement::shared_prefix::SharedPrefix;
+use crate::direct::placement::tracked_upstream::Place;
 use crate::direct::store_view::directory::Upstream;
 use crate::numbers;
 
