--- a/lib/src/direct/store_view.rs
+++ b/lib/src/direct/store_view.rs
@@ -1,5 +1,5 @@
-//! What an entry believes of the platform's store: the configuration in force and the list of
-//! upstreams, through outages, restarts and late writes. It decides and knows no socket.
+//! What an entry knows of the platform's store: the configuration in force and the list of
+//! upstreams, kept consistent through outages, restarts and late writes. These modules do no I/O.
 
 pub mod catalog;
 pub mod directory;
--- a/lib/src/direct/store_view/catalog.rs
+++ b/lib/src/direct/store_view/catalog.rs
@@ -1,29 +1,30 @@
-//! What operators have configured: routes, services, customers and limits.
+//! The configuration that operators set: routes, services, customers and limits.
 
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-/// How long a caller's connection may stay without a request if no limit is set: as long as
-/// common HTTP servers keep one.
+/// Time for which a caller's connection may be idle if no limit is set, the same as in common HTTP
+/// servers.
 pub const DEFAULT_IDLE_TIMEOUT_MS: u64 = 60_000;
 
 /// Whether a request may run again after its outcome became unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It changes nothing, so another upstream may run it again.
+    /// The request has no side effects, so another upstream may run it again.
     Safe,
-    /// It runs once at most.
+    /// The request may run at most once.
     Unsafe,
-    /// Its answer is a stream; another upstream may go on after the last event if `resumable`.
+    /// The answer is a stream. Another upstream may continue it after the last event if
+    /// `resumable`.
     Stream {
-        /// Whether a second upstream may continue it.
+        /// Whether a second upstream may continue the stream.
         resumable: bool,
     },
 }
 
 impl RetryPolicy {
-    /// Whether a second upstream may run the request after a first one may have.
+    /// Returns whether a second upstream may run the request after a first one may have run it.
     ///
     /// ```
     /// use sardinewood::direct::store_view::catalog::RetryPolicy;
@@ -36,7 +37,7 @@
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     ///
     /// ```
     /// use sardinewood::direct::store_view::catalog::RetryPolicy;
@@ -49,44 +50,44 @@
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that gets a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its share, relative to the other targets of the route.
+    /// Share of the requests, relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where requests of one path go and how they are treated.
+/// Routing and treatment of the requests with one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: Arc<str>,
-    /// The start of the path, with a slash at both ends.
+    /// Prefix of the path, with a slash at both ends.
     pub path_prefix: Arc<str>,
-    /// Whether and how a request may be repeated.
+    /// Whether a request may run again.
     pub retry_policy: RetryPolicy,
-    /// The longest that a caller is kept waiting for the answer.
+    /// Longest time that a caller waits for the answer.
     pub timeout_ms: u64,
-    /// The time within which the answer, or the first event, is worth most.
+    /// Time within which the answer, or its first event, has its full worth.
     pub objective_ms: u64,
-    /// Importance, 0 the highest.
+    /// Tier of the requests; 0 is the most important.
     pub tier: u8,
-    /// Services that take its requests.
+    /// Services that get the route's requests.
     pub services: Vec<WeightedService>,
-    /// Upstreams to which one request may be sent.
+    /// Maximum number of upstreams to which one request may be sent.
     pub max_upstreams: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub allows_anonymous: bool,
-    /// The longest pause between two events with which a stream is on time.
+    /// Longest event gap with which a stream is on time.
     pub gap_target_ms: Option<u64>,
-    /// How long callers wait for a first event before they leave.
+    /// Time that callers wait for the first event before they leave.
     pub caller_patience_ms: Option<u64>,
 }
 
 impl Route {
-    /// The service for a request, by a random number, in proportion to the weights.
+    /// Chooses the service for a request by a random number, in proportion to the weights.
     ///
     /// ```
     /// # use sardinewood::direct::store_view::catalog::{RetryPolicy, Route, WeightedService};
@@ -98,88 +99,88 @@
     /// ```
     #[must_use]
     pub fn service_for(&self, random: u32) -> Option<&Arc<str>> {
-        let total: u32 = self.services.iter().map(|target| target.weight).sum();
-        let mut left = random.checked_rem(total)?;
-        for target in &self.services {
-            if left < target.weight {
-                return Some(&target.service);
+        let total: u32 = self.services.iter().map(|weighted| weighted.weight).sum();
+        let mut remaining = random.checked_rem(total)?;
+        for weighted in &self.services {
+            if remaining < weighted.weight {
+                return Some(&weighted.service);
             }
-            left -= target.weight;
+            remaining -= weighted.weight;
         }
         None
     }
 }
 
-/// What a customer may spend, in tokens or in requests.
+/// Quota of a customer, in tokens or in requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// Units that come in each second.
+    /// Units that are added per second.
     pub rate_per_s: u64,
     /// Units that may be spent at once.
     pub burst: u64,
-    /// What a request of unknown size counts; none if each request counts one.
+    /// Tokens that are charged for a request of unknown size; `None` if the quota counts requests.
     pub default_tokens: Option<u64>,
 }
 
-/// Whoever a key belongs to.
+/// The holder of one or more API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name, as upstreams are told.
+    /// Name of the customer, as sent to upstreams.
     pub name: Arc<str>,
-    /// Importance of its requests, in place of the route's.
+    /// Tier of the customer's requests, instead of the route's tier.
     pub tier: Option<u8>,
-    /// What it may spend.
+    /// Quota of the customer; `None` if it is not limited.
     pub quota: Option<Quota>,
 }
 
-/// What all upstreams of a service have in common.
+/// Properties that all upstreams of a service share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Whether its upstreams are engines that generate tokens.
+    /// Whether the service's upstreams are engines that generate tokens.
     pub is_engine: bool,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's body.
+    /// Maximum size of a request body.
     pub max_body_bytes: u64,
-    /// How long a connection may stay without a request.
+    /// Time for which a connection may be idle.
     pub idle_timeout_ms: u64,
 }
 
-/// A configuration that is in force as a whole.
+/// A complete configuration. Takes effect as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalog {
-    /// The operator's number of it, for logs.
+    /// Version number given by the operator, for logs.
     pub version: u64,
-    /// Routes by the host that callers name; the longest prefix comes first.
+    /// Routes by the host name in the request; the longest prefix comes first.
     pub routes: IndexMap<Arc<str>, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: IndexMap<Arc<str>, Service>,
-    /// Customers by key; none at all if requests need no key.
+    /// Customers by API key; empty if requests need no key.
     pub customers: IndexMap<Arc<str>, Arc<Customer>>,
-    /// Whether requests need a key, also if nobody holds one.
+    /// Whether requests need an API key, even if no customer has one.
     pub requires_key: bool,
-    /// Limits of callers.
+    /// Limits on callers.
     pub limits: Option<CallerLimits>,
 }
 
-/// What the catalog says of a request.
+/// Result of looking up a request in the catalog.
 #[derive(Clone, Debug)]
 pub enum RouteLookup {
-    /// The request may go on.
+    /// The route of the request, and its customer if it has a known key.
     Found(Arc<Route>, Option<Arc<Customer>>),
-    /// No route leads anywhere.
+    /// No route matches the request.
     NoRoute,
-    /// The key is missing or nobody's.
+    /// The API key is missing or unknown.
     UnknownKey,
 }
 
 impl Catalog {
-    /// Adds a route, and keeps the longest prefix first.
+    /// Adds a route. The longest prefix of each host stays first.
     ///
     /// ```
     /// # use std::sync::Arc;
@@ -196,8 +197,8 @@
     pub fn add_route(&mut self, host: Arc<str>, route: Route) {
         let routes = self.routes.entry(host).or_default();
         let longer = |other: &Arc<Route>| other.path_prefix.len() >= route.path_prefix.len();
-        let at = routes.partition_point(longer);
-        routes.insert(at, Arc::new(route));
+        let index = routes.partition_point(longer);
+        routes.insert(index, Arc::new(route));
     }
 
     /// Finds the route and the customer of a request.
@@ -225,7 +226,7 @@
         RouteLookup::Found(Arc::clone(route), customer)
     }
 
-    /// The customer of a name.
+    /// Returns the customer with a name.
     ///
     /// ```
     /// assert!(sardinewood::direct::store_view::catalog::Catalog::default().customer("c").is_none());
@@ -237,7 +238,7 @@
             .find(|customer| &*customer.name == name)
     }
 
-    /// How long a caller's connection may stay without a request.
+    /// Returns the time for which a caller's connection may be idle.
     ///
     /// ```
     /// assert!(sardinewood::direct::store_view::catalog::Catalog::default().idle_timeout_ms() > 0);
--- a/lib/src/direct/store_view/directory.rs
+++ b/lib/src/direct/store_view/directory.rs
@@ -1,50 +1,51 @@
-//! Which upstreams there are, as the platform's list says: through outages of that list, restarts
-//! under the same name, and entries that no upstream wrote.
+//! The upstreams in the platform's list, kept usable through outages of the store, restarts under
+//! the same name, and entries that no upstream wrote.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-/// How long an upstream that vanished around an outage of the store is still used. Live
-/// upstreams write themselves back within about two seconds of the store's return; a little
-/// is added for our own way to the list.
+/// Time for which an upstream that disappeared around an outage of the store is still used. Live
+/// upstreams rewrite their entries within about two seconds of the store's return; the rest is for
+/// the delay until this process sees them.
 pub const RETURN_GRACE_MS: u64 = 2_300;
 
-/// How long an entry of an older incarnation has to stand until it is believed after all. The
-/// upstream that it hides writes its own entry with each heartbeat, every 1.2 s on the
-/// deployments described; this is three of them, after which its silence means its end.
-pub const OLDER_STANDS_MS: u64 = 3_600;
+/// Time after which an entry of an older incarnation is accepted if it is still in the list. The
+/// newer incarnation that it hides writes its own entry with each heartbeat, every 1.2 s on the
+/// deployments described. After three missed heartbeats the newer incarnation is taken to have
+/// ended.
+pub const OLDER_INCARNATION_GRACE_MS: u64 = 3_600;
 
-/// One incarnation of an upstream: one start of a process that runs requests.
+/// One incarnation of an upstream, that is, one start of a process that runs requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Names this incarnation. Everything that is believed of an upstream is kept under this
-    /// name, so nothing outlives a restart: neither counts and speeds nor connections and tries.
+    /// Id of this incarnation. All state of an upstream is kept under this id, so that no counts,
+    /// speeds, connections or attempts are carried over a restart.
     pub instance: Arc<str>,
-    /// The name that the platform's list gives it, which a restart may keep.
+    /// Name in the platform's list, which a restarted upstream may keep.
     pub name: Arc<str>,
-    /// When this incarnation began, by the clock of its own host. Such clocks jump, so it is
-    /// compared with other incarnations of the same name and with nothing else.
+    /// Start time of this incarnation by the clock of its host. Such clocks can jump, so it is only
+    /// compared with other incarnations of the same name.
     pub born_ms: Option<u64>,
-    /// The service that it belongs to.
+    /// Service that the upstream belongs to.
     pub service: Arc<str>,
-    /// The version of its software.
+    /// Version of the upstream's software.
     pub version: Arc<str>,
-    /// The store's revision of its entry.
+    /// Revision of the upstream's entry in the store.
     pub revision: u64,
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the upstream.
     pub data_centre: Arc<str>,
-    /// Requests that it runs side by side.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it has said that it will end.
+    /// Whether the upstream has announced that it will end.
     pub is_leaving: bool,
 }
 
 impl Upstream {
-    /// Names an incarnation.
+    /// Returns the id of an incarnation.
     ///
     /// ```
     /// use sardinewood::direct::store_view::directory::Upstream;
@@ -69,15 +70,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct Member {
+struct DirectoryEntry {
     upstream: Arc<Upstream>,
-    /// When it vanished around an outage, if it has not come back.
+    /// Time at which the entry disappeared around an outage, if it has not returned.
     missing_since_ms: Option<u64>,
-    /// An older incarnation's entry that stands in the list, and since when.
+    /// Entry of an older incarnation that is in the list, and the time at which it appeared.
     older: Option<(Upstream, u64)>,
 }
 
-impl Member {
+impl DirectoryEntry {
     fn new(upstream: Upstream) -> Self {
         Self {
             upstream: Arc::new(upstream),
@@ -86,9 +87,10 @@
         }
     }
 
-    /// Takes an older incarnation's entry if it has stood for long enough; whether it did.
-    fn believe_older(&mut self, now_ms: u64) -> bool {
-        let is_due = |older: &mut (Upstream, u64)| now_ms >= older.1 + OLDER_STANDS_MS;
+    /// Accepts the entry of an older incarnation if it has been in the list for long enough.
+    /// Returns whether it was accepted.
+    fn accept_older(&mut self, now_ms: u64) -> bool {
+        let is_due = |older: &mut (Upstream, u64)| now_ms >= older.1 + OLDER_INCARNATION_GRACE_MS;
         let Some((upstream, _)) = self.older.take_if(is_due) else {
             return false;
         };
@@ -97,18 +99,19 @@
     }
 }
 
-/// The upstreams that may be given work.
+/// The upstreams that may be sent requests.
 ///
-/// A store that was away loses the entries of live upstreams, for want of their renewals. An
-/// entry that believed it would drop its whole fleet at the moment the store returns, and
-/// refuse all work. What vanishes around an outage is therefore kept for
-/// [`RETURN_GRACE_MS`]; what vanishes at other times, or had said that it leaves, goes at once.
+/// During an outage, the store loses the entries of live upstreams because they cannot renew them.
+/// If this process applied that list, it would drop all of its upstreams as soon as the store
+/// returns, and refuse all requests. Upstreams that disappear around an outage are therefore kept
+/// for [`RETURN_GRACE_MS`]. Upstreams that disappear at other times, or that had announced their
+/// end, are removed at once.
 ///
-/// A write of an incarnation that has ended may be done seconds late, over the entry of its
-/// successor. Believed at once, it would bring back the counts, the drain and the speed of a
-/// process that is gone. So the newer incarnation stays until its entry is written again, which
-/// takes a heartbeat; only if that never comes, since the clock of its host was set back between
-/// the two starts, does the entry count that stands in the list.
+/// The last write of an incarnation that has ended may be applied seconds late and replace the
+/// entry of its successor. If it were accepted at once, the counts, the drain state and the speed
+/// of the ended process would be used again. So the newer incarnation stays in use until its entry
+/// is written again, which takes one heartbeat. Only if that does not happen, because the clock of
+/// the host was set back between the two starts, is the entry in the list accepted.
 ///
 /// ```
 /// use sardinewood::direct::store_view::directory::Directory;
@@ -117,25 +120,25 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    members: IndexMap<Arc<str>, Member>,
-    /// Until when a vanished entry may be one that the outage took.
-    doubt_until_ms: u64,
-    /// Whether upstreams here tell when they were born. An entry that does not is then none of
-    /// theirs.
-    tell_birth: bool,
+    entries: IndexMap<Arc<str>, DirectoryEntry>,
+    /// Time until which a missing entry may be due to the outage.
+    grace_until_ms: u64,
+    /// Whether upstreams in this list give their start time. An entry without one was then not
+    /// written by an upstream.
+    reports_start_time: bool,
 }
 
 impl Directory {
-    /// Notes that the store answers again after it did not.
+    /// Records that the store answers again after an outage.
     ///
     /// ```
     /// sardinewood::direct::store_view::directory::Directory::default().store_recovered(1_000);
     /// ```
     pub fn store_recovered(&mut self, now_ms: u64) {
-        self.doubt_until_ms = now_ms + RETURN_GRACE_MS;
+        self.grace_until_ms = now_ms + RETURN_GRACE_MS;
     }
 
-    /// Takes one upstream's entry.
+    /// Applies an upstream's entry.
     ///
     /// ```
     /// # use sardinewood::direct::store_view::directory::{Directory, Upstream};
@@ -146,94 +149,97 @@
     /// assert_eq!(directory.usable().count(), 1);
     /// ```
     pub fn put(&mut self, upstream: Upstream, now_ms: u64) {
-        self.tell_birth |= upstream.born_ms.is_some();
-        match self.members.get_mut(&upstream.name) {
-            Some(member) if upstream.is_older_than(&member.upstream) => {
-                member.missing_since_ms = None;
-                let since_ms = member.older.take().map_or(now_ms, |(_, since_ms)| since_ms);
-                member.older = Some((upstream, since_ms));
+        self.reports_start_time |= upstream.born_ms.is_some();
+        match self.entries.get_mut(&upstream.name) {
+            Some(entry) if upstream.is_older_than(&entry.upstream) => {
+                entry.missing_since_ms = None;
+                let since_ms = entry.older.take().map_or(now_ms, |(_, since_ms)| since_ms);
+                entry.older = Some((upstream, since_ms));
             }
-            Some(member) => *member = Member::new(upstream),
+            Some(entry) => *entry = DirectoryEntry::new(upstream),
             None => {
                 let name = Arc::clone(&upstream.name);
-                self.members.insert(name, Member::new(upstream));
+                self.entries.insert(name, DirectoryEntry::new(upstream));
             }
         }
     }
 
-    /// Notes that an upstream's entry is gone.
+    /// Records that an upstream's entry was removed.
     ///
     /// ```
     /// sardinewood::direct::store_view::directory::Directory::default().remove("i-1", 0);
     /// ```
     pub fn remove(&mut self, name: &str, now_ms: u64) {
-        let Some(member) = self.members.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
-        if now_ms < self.doubt_until_ms && !member.upstream.is_leaving {
-            member.missing_since_ms.get_or_insert(now_ms);
+        if now_ms < self.grace_until_ms && !entry.upstream.is_leaving {
+            entry.missing_since_ms.get_or_insert(now_ms);
         } else {
-            self.members.shift_remove(name);
+            self.entries.shift_remove(name);
         }
     }
 
-    /// Notes that an entry names no upstream any more, since another writer's stands in its place;
-    /// whether it named one.
+    /// Removes an upstream whose entry was replaced by one that describes no upstream. Returns
+    /// whether the upstream was known.
     ///
-    /// Unlike [`Self::remove`] it gives no time to come back: the list does answer, and what it
-    /// says is that nobody vouches for this upstream.
+    /// Unlike [`Self::remove`], it has no grace period: the store answers, and its list no longer
+    /// confirms this upstream.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::store_view::directory::Directory::default().disown("i-1"));
+    /// assert!(!sardinewood::direct::store_view::directory::Directory::default().remove_invalid("i-1"));
     /// ```
-    pub fn disown(&mut self, name: &str) -> bool {
-        self.members.shift_remove(name).is_some()
+    pub fn remove_invalid(&mut self, name: &str) -> bool {
+        self.entries.shift_remove(name).is_some()
     }
 
-    /// Drops what has not come back in time, and believes what has stood for long enough; true
-    /// if anything changed.
+    /// Removes upstreams that have not returned in time, and accepts entries of older incarnations
+    /// that have been in the list for long enough. Returns whether anything changed.
     ///
     /// ```
     /// assert!(!sardinewood::direct::store_view::directory::Directory::default().sweep(0));
     /// ```
     pub fn sweep(&mut self, now_ms: u64) -> bool {
-        let before = self.members.len();
-        if now_ms >= self.doubt_until_ms {
-            self.members
-                .retain(|_, member| member.missing_since_ms.is_none());
+        let before = self.entries.len();
+        if now_ms >= self.grace_until_ms {
+            self.entries
+                .retain(|_, entry| entry.missing_since_ms.is_none());
         }
-        let mut is_changed = self.members.len() != before;
-        for member in self.members.values_mut() {
-            is_changed |= member.believe_older(now_ms);
+        let mut is_changed = self.entries.len() != before;
+        for entry in self.entries.values_mut() {
+            is_changed |= entry.accept_older(now_ms);
         }
         is_changed
     }
 
-    /// When [`Self::sweep`] has something to do.
+    /// Returns the time at which [`Self::sweep`] is due next.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::store_view::directory::Directory::default().sweep_at_ms(), None);
+    /// assert_eq!(sardinewood::direct::store_view::directory::Directory::default().next_sweep_ms(), None);
     /// ```
     #[must_use]
-    pub fn sweep_at_ms(&self) -> Option<u64> {
-        let due_ms = |member: &Member| {
-            let missing_ms = member.missing_since_ms.map(|_| self.doubt_until_ms);
-            let older_ms = member.older.as_ref().map(|older| older.1 + OLDER_STANDS_MS);
+    pub fn next_sweep_ms(&self) -> Option<u64> {
+        let due_ms = |entry: &DirectoryEntry| {
+            let missing_ms = entry.missing_since_ms.map(|_| self.grace_until_ms);
+            let older_ms = entry
+                .older
+                .as_ref()
+                .map(|older| older.1 + OLDER_INCARNATION_GRACE_MS);
             missing_ms.into_iter().chain(older_ms).min()
         };
-        self.members.values().filter_map(due_ms).min()
+        self.entries.values().filter_map(due_ms).min()
     }
 
-    /// Upstreams that take new work.
+    /// Returns the upstreams that accept new requests.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::store_view::directory::Directory::default().usable().count(), 0);
     /// ```
     pub fn usable(&self) -> impl Iterator<Item = &Arc<Upstream>> {
-        self.members
+        self.entries
             .values()
-            .map(|member| &member.upstream)
+            .map(|entry| &entry.upstream)
             .filter(|upstream| !upstream.is_leaving)
-            .filter(|upstream| !self.tell_birth || upstream.born_ms.is_some())
+            .filter(|upstream| !self.reports_start_time || upstream.born_ms.is_some())
     }
 }
--- a/lib/src/direct/store_view/replica.rs
+++ b/lib/src/direct/store_view/replica.rs
@@ -1,8 +1,8 @@
 //! This entry's replica of the configuration and of the list of upstreams.
 //!
-//! It takes what the store lists and tells, and what peers give, in any order, and knows neither.
-//! A revision only moves forward: a list that was long on its way, a watch that lags behind a
-//! peer's copy and a peer that lags behind the store change nothing that is newer.
+//! It applies lists and events of the store and updates of peers in any order, and does no I/O.
+//! Revisions only increase: a delayed list, a watch that lags behind a peer, or a peer that lags
+//! behind the store never replaces newer state.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,56 +24,58 @@
 use crate::store::StoredObject;
 use crate::store::WatchEvent;
 
-/// Upstreams that are gone and remembered for peers that lag: some minutes of a large fleet.
-const MAX_GONE: usize = 1_000;
+/// Maximum number of tombstones of removed upstreams, kept for peers that lag. Covers some minutes
+/// in a large fleet.
+const MAX_TOMBSTONES: usize = 1_000;
 
-/// How stored objects are read.
+/// Functions that decode the stored objects, and the objects' kinds and names.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectDecoders {
-    /// Kind of the configuration's object.
+    /// Kind of the object that holds the configuration.
     pub catalog_kind: &'static str,
-    /// Name of the configuration's object.
+    /// Name of the object that holds the configuration.
     pub catalog_name: &'static str,
-    /// Kind of the upstreams' objects.
+    /// Kind of the objects that hold upstreams.
     pub upstream_kind: &'static str,
-    /// Reads the configuration.
+    /// Decodes the configuration.
     pub catalog: fn(&StoredObject) -> Result<Catalog, Findings>,
-    /// Reads an upstream.
+    /// Decodes an upstream.
     pub upstream: fn(&StoredObject) -> Result<Upstream, Findings>,
 }
 
-/// What the traffic thread is told.
+/// The state of the replica that is passed to the traffic thread.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaSnapshot {
     /// The configuration in force.
     pub catalog: Option<Arc<Catalog>>,
-    /// Upstreams that take new work; none before the first list.
+    /// Upstreams that accept new requests; `None` before the first list.
     pub upstreams: Option<Arc<[Arc<Upstream>]>>,
-    /// Their revisions.
+    /// Revisions of the catalog and of the list of upstreams.
     pub revisions: Revisions,
 }
 
-/// The newest that this entry knows.
+/// The newest known state of the configuration and of the list of upstreams.
 #[derive(Debug)]
 pub struct StoreReplica {
     decoders: ObjectDecoders,
     catalog: Option<(Arc<StoredObject>, Arc<Catalog>)>,
-    /// The configuration's object as text, as peers get it.
+    /// The configuration's object as JSON text, as sent to peers.
     catalog_json: Arc<str>,
     objects: IndexMap<Arc<str>, StoredObject>,
-    /// Names of objects that are gone, with the revision of that, the oldest first.
-    gone: VecDeque<(u64, Arc<str>)>,
-    /// Revision up to which [`Self::gone`] has been cut.
-    gone_cut_at: u64,
-    /// Names whose objects name no upstream, so that each is logged once and not at each change.
-    not_understood: IndexSet<Arc<str>>,
+    /// Names of removed objects with the revisions of their removal, the oldest first.
+    tombstones: VecDeque<(u64, Arc<str>)>,
+    /// Revision up to which [`Self::tombstones`] has been truncated.
+    tombstones_cut_at: u64,
+    /// Names of objects that describe no upstream, so that each is logged once and not at each
+    /// change.
+    invalid_names: IndexSet<Arc<str>>,
     directory: Directory,
     is_listed: bool,
     revisions: Revisions,
 }
 
 impl StoreReplica {
-    /// A replica that knows nothing yet.
+    /// Creates an empty replica.
     #[must_use]
     pub fn new(decoders: ObjectDecoders) -> Self {
         Self {
@@ -81,122 +83,123 @@
             catalog: None,
             catalog_json: Arc::default(),
             objects: IndexMap::new(),
-            gone: VecDeque::new(),
-            gone_cut_at: 0,
-            not_understood: IndexSet::new(),
+            tombstones: VecDeque::new(),
+            tombstones_cut_at: 0,
+            invalid_names: IndexSet::new(),
             directory: Directory::default(),
             is_listed: false,
             revisions: Revisions::default(),
         }
     }
 
-    /// How its objects are read.
+    /// Returns the decoders of the stored objects.
     #[must_use]
     pub fn decoders(&self) -> &ObjectDecoders {
         &self.decoders
     }
 
-    /// How far it has come.
+    /// Returns the newest applied revisions.
     #[must_use]
     pub fn revisions(&self) -> Revisions {
         self.revisions
     }
 
-    /// The configuration's object as text; empty if there is none.
+    /// Returns the configuration's object as JSON text, empty if there is none.
     #[must_use]
     pub fn catalog_json(&self) -> Arc<str> {
         Arc::clone(&self.catalog_json)
     }
 
-    /// Notes that the store answers again after it did not.
+    /// Records that the store answers again after an outage.
     pub fn store_recovered(&mut self, now_ms: u64) {
         self.directory.store_recovered(now_ms);
     }
 
-    /// Settles what only time tells; whether the upstreams have changed.
+    /// Applies changes that are due by time. Returns whether the upstreams have changed.
     pub fn sweep(&mut self, now_ms: u64) -> bool {
         let is_due = self
             .directory
-            .sweep_at_ms()
+            .next_sweep_ms()
             .is_some_and(|at_ms| now_ms >= at_ms);
         is_due && self.directory.sweep(now_ms)
     }
 
-    /// Takes all objects of a kind.
+    /// Applies a list of all objects of a kind.
     pub fn apply_list(&mut self, kind: &str, list: ObjectList, now_ms: u64) {
         if kind == self.decoders.catalog_kind {
             for object in list.objects {
-                self.take_catalog(object);
+                self.apply_catalog(object);
             }
         } else {
-            self.take_upstreams(list, now_ms);
+            self.apply_upstreams(list, now_ms);
         }
     }
 
-    /// Takes one change that the store tells of.
+    /// Applies one change event of the store.
     pub fn apply_event(&mut self, kind: &str, event: WatchEvent, now_ms: u64) {
         let is_catalog = kind == self.decoders.catalog_kind;
         match event {
-            WatchEvent::Put(object) if is_catalog => self.take_catalog(object),
-            WatchEvent::Put(object) => self.take_upstream(object, now_ms),
+            WatchEvent::Put(object) if is_catalog => self.apply_catalog(object),
+            WatchEvent::Put(object) => self.apply_upstream(object, now_ms),
             WatchEvent::Delete { name, version, .. } if !is_catalog => {
-                self.drop_upstream(&name, version, now_ms);
+                self.apply_removal(&name, version, now_ms);
             }
             WatchEvent::Delete { name, .. } => Line::new(
                 Level::Error,
-                "configuration was deleted; the last one stays",
+                "configuration was deleted; keeping the last one",
             )
             .field("name", name)
             .send(),
         }
     }
 
-    /// Takes what a peer gave, as far as it is newer.
-    pub fn apply_update(&mut self, copies: ReplicaUpdate, now_ms: u64) {
-        if let Some(object) = copies.catalog {
-            self.take_catalog(Arc::unwrap_or_clone(object));
+    /// Applies an update of a peer, as far as it is newer.
+    pub fn apply_update(&mut self, update: ReplicaUpdate, now_ms: u64) {
+        if let Some(object) = update.catalog {
+            self.apply_catalog(Arc::unwrap_or_clone(object));
         }
-        match copies.upstreams {
+        match update.upstreams {
             Some(UpstreamListUpdate::Full(list)) if list.revision > self.revisions.directory => {
-                self.take_upstreams(list, now_ms);
+                self.apply_upstreams(list, now_ms);
             }
             Some(UpstreamListUpdate::Delta(changes))
                 if changes.after <= self.revisions.directory
                     && changes.revision > self.revisions.directory =>
             {
-                self.take_changes(changes, now_ms);
+                self.apply_changes(changes, now_ms);
             }
             Some(_) | None => {}
         }
     }
 
-    fn take_changes(&mut self, changes: UpstreamListDelta, now_ms: u64) {
+    fn apply_changes(&mut self, changes: UpstreamListDelta, now_ms: u64) {
         for object in changes.objects {
-            self.take_upstream(object, now_ms);
+            self.apply_upstream(object, now_ms);
         }
         for (version, name) in changes.removed {
-            self.drop_upstream(&name, version, now_ms);
+            self.apply_removal(&name, version, now_ms);
         }
         self.is_listed = true;
         self.revisions.directory = self.revisions.directory.max(changes.revision);
     }
 
-    /// What a peer lacks.
+    /// Returns the state that a peer lacks.
     #[must_use]
-    pub fn update_since(&self, theirs: Revisions) -> ReplicaUpdate {
+    pub fn update_since(&self, peer_revisions: Revisions) -> ReplicaUpdate {
         let catalog = self.catalog.as_ref().map(|(object, _)| Arc::clone(object));
         ReplicaUpdate {
-            catalog: catalog.filter(|_| self.revisions.catalog > theirs.catalog),
-            upstreams: (self.revisions.directory > theirs.directory)
-                .then(|| self.upstreams_after(theirs.directory)),
+            catalog: catalog.filter(|_| self.revisions.catalog > peer_revisions.catalog),
+            upstreams: (self.revisions.directory > peer_revisions.directory)
+                .then(|| self.upstreams_since(peer_revisions.directory)),
         }
     }
 
-    /// What has changed in the list of upstreams: whole lists of thousands, sent to hundreds of
-    /// peers at each change, would take hundreds of megabytes.
-    fn upstreams_after(&self, after: u64) -> UpstreamListUpdate {
+    /// Returns the changes in the list of upstreams after a revision, because lists of thousands of
+    /// upstreams, sent to hundreds of peers at each change, would take hundreds of megabytes.
+    /// Returns the whole list if the changes are not known back to the revision.
+    fn upstreams_since(&self, after: u64) -> UpstreamListUpdate {
         let revision = self.revisions.directory;
-        if after == 0 || after < self.gone_cut_at {
+        if after == 0 || after < self.tombstones_cut_at {
             return UpstreamListUpdate::Full(ObjectList {
                 revision,
                 objects: self.objects.values().cloned().collect(),
@@ -212,7 +215,7 @@
                 .cloned()
                 .collect(),
             removed: self
-                .gone
+                .tombstones
                 .iter()
                 .filter(|(version, _)| *version > after)
                 .cloned()
@@ -220,9 +223,9 @@
         })
     }
 
-    fn take_catalog(&mut self, object: StoredObject) {
-        let is_meant = *object.name == *self.decoders.catalog_name;
-        if !is_meant || object.version <= self.revisions.catalog {
+    fn apply_catalog(&mut self, object: StoredObject) {
+        let is_catalog = *object.name == *self.decoders.catalog_name;
+        if !is_catalog || object.version <= self.revisions.catalog {
             return;
         }
         match (self.decoders.catalog)(&object) {
@@ -242,12 +245,13 @@
         }
     }
 
-    /// Takes the whole list as it was at its revision.
+    /// Applies the whole list as of its revision.
     ///
-    /// The list may have been on its way while a peer told of later changes. Those stay, or an
-    /// upstream that has left would come back and one that restarted would be its former self.
-    fn take_upstreams(&mut self, list: ObjectList, now_ms: u64) {
-        let at = list.revision;
+    /// A peer may have sent later changes while the list was in transit. These changes are kept,
+    /// because otherwise an upstream that was removed would return, and one that restarted would be
+    /// replaced by its previous incarnation.
+    fn apply_upstreams(&mut self, list: ObjectList, now_ms: u64) {
+        let list_revision = list.revision;
         let listed: IndexSet<Arc<str>> = list
             .objects
             .iter()
@@ -256,23 +260,23 @@
         for object in list.objects {
             self.put(object, now_ms);
         }
-        let vanished: Vec<Arc<str>> = self
+        let missing: Vec<Arc<str>> = self
             .objects
             .values()
-            .filter(|object| object.version <= at && !listed.contains(&object.name))
+            .filter(|object| object.version <= list_revision && !listed.contains(&object.name))
             .map(|object| Arc::clone(&object.name))
             .collect();
-        for name in vanished {
-            self.forget(&name, at, now_ms);
+        for name in missing {
+            self.remove(&name, list_revision, now_ms);
         }
         self.is_listed = true;
         Line::new(Level::Info, "upstreams listed")
             .field("count", self.objects.len())
-            .revision(at)
+            .revision(list_revision)
             .send();
     }
 
-    fn take_upstream(&mut self, object: StoredObject, now_ms: u64) {
+    fn apply_upstream(&mut self, object: StoredObject, now_ms: u64) {
         let name = Arc::clone(&object.name);
         let version = object.version;
         if let Some(upstream) = self.put(object, now_ms) {
@@ -287,24 +291,24 @@
         }
     }
 
-    fn drop_upstream(&mut self, name: &str, version: u64, now_ms: u64) {
+    fn apply_removal(&mut self, name: &str, version: u64, now_ms: u64) {
         let known = self.objects.get(name);
         if known.is_none_or(|known| known.version > version) {
             self.revisions.directory = self.revisions.directory.max(version);
             return;
         }
-        self.forget(name, version, now_ms);
+        self.remove(name, version, now_ms);
         Line::new(Level::Info, "upstream is gone")
             .field("upstream", name)
             .revision(version)
             .send();
     }
 
-    /// Takes an object if it is newer than what is known; the upstream that it names.
+    /// Applies an object if it is newer than the known one. Returns the upstream that it describes.
     fn put(&mut self, object: StoredObject, now_ms: u64) -> Option<Upstream> {
         let known = self.objects.get(&object.name);
         let is_known = known.is_some_and(|known| known.version >= object.version);
-        if is_known || self.is_known_gone(&object) {
+        if is_known || self.is_removed(&object) {
             return None;
         }
         self.revisions.directory = self.revisions.directory.max(object.version);
@@ -313,21 +317,21 @@
         self.objects.insert(Arc::clone(&name), object);
         match decoded {
             Ok(upstream) => {
-                self.not_understood.swap_remove(&name);
+                self.invalid_names.swap_remove(&name);
                 self.directory.put(upstream.clone(), now_ms);
                 Some(upstream)
             }
             Err(findings) => {
-                self.disown(&name, &findings);
+                self.mark_invalid(&name, &findings);
                 None
             }
         }
     }
 
-    /// Stops using an upstream whose entry is none any more.
-    fn disown(&mut self, name: &Arc<str>, findings: &Findings) {
-        let was_used = self.directory.disown(name);
-        if self.not_understood.insert(Arc::clone(name)) {
+    /// Stops using an upstream whose entry is no longer valid, and logs each such entry once.
+    fn mark_invalid(&mut self, name: &Arc<str>, findings: &Findings) {
+        let was_used = self.directory.remove_invalid(name);
+        if self.invalid_names.insert(Arc::clone(name)) {
             Line::new(Level::Error, "entry names no upstream")
                 .field("upstream", name)
                 .field("was_used", was_used)
@@ -336,31 +340,31 @@
         }
     }
 
-    fn forget(&mut self, name: &str, version: u64, now_ms: u64) {
+    fn remove(&mut self, name: &str, version: u64, now_ms: u64) {
         self.revisions.directory = self.revisions.directory.max(version);
-        self.not_understood.swap_remove(name);
+        self.invalid_names.swap_remove(name);
         if let Some((name, _)) = self.objects.shift_remove_entry(name) {
-            self.note_gone(name, version);
+            self.add_tombstone(name, version);
         }
         self.directory.remove(name, now_ms);
     }
 
-    fn note_gone(&mut self, name: Arc<str>, version: u64) {
-        self.gone.push_back((version, name));
-        if self.gone.len() > MAX_GONE
-            && let Some((version, _)) = self.gone.pop_front()
+    fn add_tombstone(&mut self, name: Arc<str>, version: u64) {
+        self.tombstones.push_back((version, name));
+        if self.tombstones.len() > MAX_TOMBSTONES
+            && let Some((version, _)) = self.tombstones.pop_front()
         {
-            self.gone_cut_at = version;
+            self.tombstones_cut_at = version;
         }
     }
 
-    fn is_known_gone(&self, object: &StoredObject) -> bool {
-        self.gone
+    fn is_removed(&self, object: &StoredObject) -> bool {
+        self.tombstones
             .iter()
             .any(|(version, name)| *version > object.version && *name == object.name)
     }
 
-    /// What the traffic thread is told.
+    /// Returns the state of the replica that is passed to the traffic thread.
     #[must_use]
     pub fn snapshot(&self) -> ReplicaSnapshot {
         ReplicaSnapshot {
--- a/lib/tests/test_direct_directory.rs
+++ b/lib/tests/test_direct_directory.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams through outages of the store.
+//! Tests the list of upstreams through outages of the store.
 
 use sardinewood::direct::store_view::directory::Directory;
 use sardinewood::direct::store_view::directory::RETURN_GRACE_MS;
@@ -14,7 +14,7 @@
     }
 }
 
-/// A directory of these upstreams.
+/// Returns a directory of these upstreams.
 fn listed(upstreams: &[Upstream]) -> Directory {
     let mut directory = Directory::default();
     for upstream in upstreams {
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn vanished_goes_at_once_in_calm_time() {
+fn removed_at_once_without_an_outage() {
     let mut directory = listed(&[upstream("a", false), upstream("b", false)]);
     directory.remove("a", 10);
     assert_eq!(usable(&directory), ["b"]);
 }
 
 #[test]
-fn lapsed_during_outage_kept_until_it_had_time() {
-    // Callers notice nothing. The store was away, live upstreams could not renew their
-    // entries, and the first list after its return is empty; they write themselves back
-    // within two seconds. The one that does not is gone then.
+fn lapsed_during_outage_kept_for_grace_period() {
+    // After an outage of the store, during which live upstreams could not renew their entries, the
+    // first list is empty. Upstreams rewrite their entries within two seconds, so callers notice
+    // nothing; one that does not is removed then.
     let mut directory = listed(&[upstream("a", false), upstream("b", false)]);
     directory.store_recovered(9_000);
     directory.remove("a", 9_000);
@@ -58,7 +58,7 @@
     let mut directory = listed(&[upstream("a", true)]);
     directory.store_recovered(9_000);
     directory.remove("a", 9_000);
-    assert_eq!(directory.sweep_at_ms(), None);
+    assert_eq!(directory.next_sweep_ms(), None);
     assert!(usable(&directory).is_empty());
 }
 
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn entry_without_birth_not_used_where_others_tell_it() {
-    // Work goes to upstreams only. Whoever wrote the entry is no upstream of this list, for each
-    // of them says when it was born; without any that says so, none is asked to.
+fn entry_without_start_time_not_used_where_others_have_one() {
+    // Requests go to upstreams only. If the upstreams of a list give their start times, an entry
+    // without one was written by something else. If none of them does, no start time is required.
     let mut directory = Directory::default();
     directory.put(upstream("a", false), 0);
     assert_eq!(usable(&directory), ["a"]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn restart_ends_the_former_selfs_drain() {
+fn restart_ends_the_drain_of_the_previous_incarnation() {
     let mut directory = Directory::default();
     let leaving = Upstream {
         is_leaving: true,
@@ -94,10 +94,10 @@
 }
 
 #[test]
-fn disowned_goes_at_once_even_around_an_outage() {
+fn invalid_entry_removed_at_once_even_around_an_outage() {
     let mut directory = Directory::default();
     directory.put(born("a", 5), 0);
     directory.store_recovered(10);
-    assert!(directory.disown("a"));
+    assert!(directory.remove_invalid("a"));
     assert!(usable(&directory).is_empty());
 }
--- a/lib/tests/test_direct_replica.rs
+++ b/lib/tests/test_direct_replica.rs
@@ -1,4 +1,4 @@
-//! The replica of the list of upstreams: what comes late, out of order or spoiled.
+//! Tests the replica of the list of upstreams with late, reordered and invalid updates.
 
 use sardinewood::direct::membership::peer_message::Revisions;
 use sardinewood::direct::replication::peer_pull::ReplicaUpdate;
@@ -24,7 +24,7 @@
     upstream,
 };
 
-/// An upstream whose value is when it was born; any other value names none.
+/// Decodes an upstream whose value is its start time; any other value is invalid.
 fn upstream(object: &StoredObject) -> Result<Upstream, Findings> {
     let born_ms = object.value.as_u64().ok_or_else(|| {
         let mut findings = Findings::default();
@@ -47,7 +47,7 @@
     ObjectList { revision, objects }
 }
 
-fn gone(name: &str, version: u64) -> WatchEvent {
+fn deletion(name: &str, version: u64) -> WatchEvent {
     WatchEvent::Delete {
         kind: "u".into(),
         name: name.into(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Of a peer that has followed the list from `after` to `revision`.
+/// Returns the update of a peer that has followed the list from `after` to `revision`.
 fn changes(after: u64, revision: u64, objects: Vec<StoredObject>) -> ReplicaUpdate {
     ReplicaUpdate {
         catalog: None,
@@ -78,7 +78,7 @@
     instances
 }
 
-/// A replica that has listed `a` and `b` at revision 5.
+/// Returns a replica that has listed `a` and `b` at revision 5.
 fn listed() -> StoreReplica {
     let mut replica = StoreReplica::new(DECODERS);
     let first = list(5, vec![object("a", 2, 10), object("b", 3, 10)]);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn restart_replaces_the_former_self() {
+fn restart_replaces_the_previous_incarnation() {
     let mut replica = listed();
     replica.apply_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
@@ -95,20 +95,21 @@
 
 #[test]
 fn watch_behind_a_peer_removes_nothing_newer() {
-    // Callers go on being served by the restarted upstream. Its former self's entry lapsed at
-    // revision 6 and the new one's came at 7; a peer told of 7 before our own watch told of 6.
+    // The entry of the previous incarnation lapsed at revision 6 and that of the restarted upstream
+    // came at 7. A peer sent revision 7 before this entry's watch reported 6, which must not remove
+    // the restarted upstream.
     let mut replica = listed();
     replica.apply_update(changes(3, 7, vec![object("a", 7, 20)]), 0);
-    replica.apply_event("u", gone("a", 6), 0);
+    replica.apply_event("u", deletion("a", 6), 0);
     assert_eq!(instances(&replica), ["a@20", "b@10"]);
-    replica.apply_event("u", gone("a", 8), 0);
+    replica.apply_event("u", deletion("a", 8), 0);
     assert_eq!(instances(&replica), ["b@10"]);
 }
 
 #[test]
-fn list_long_on_its_way_brings_nothing_back() {
-    // The store's list left it at revision 5 and comes after a peer's changes up to 9, in which
-    // `a` has started again, `b` is gone and `c` is new.
+fn delayed_list_restores_nothing() {
+    // The store's list is of revision 5 and arrives after a peer's changes up to 9, in which `a`
+    // has restarted, `b` was removed and `c` is new.
     let mut replica = listed();
     let mut newer = changes(3, 9, vec![object("a", 7, 20), object("c", 9, 10)]);
     if let Some(UpstreamListUpdate::Delta(changes)) = &mut newer.upstreams {
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn lagging_peer_brings_nothing_back() {
+fn lagging_peer_restores_nothing() {
     let mut replica = listed();
     replica.apply_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
     let stale = ReplicaUpdate {
@@ -134,9 +135,9 @@
 }
 
 #[test]
-fn late_write_of_the_former_self_not_believed() {
-    // The upstream has started again, and then a write of its former self is done over its entry:
-    // it takes an hour-old speed, drain and address with it. Its next heartbeat sets that right.
+fn late_write_of_the_previous_incarnation_not_applied() {
+    // The upstream has restarted, and then a late write of its previous incarnation replaces its
+    // entry, with an hour-old speed, drain state and address. The next heartbeat corrects that.
     let mut replica = listed();
     replica.apply_event("u", WatchEvent::Put(object("a", 7, 20)), 0);
     replica.apply_event("u", WatchEvent::Put(object("a", 8, 10)), 100);
@@ -148,8 +149,9 @@
 
 #[test]
 fn clock_set_back_between_two_starts() {
-    // The host's clock was set back while the upstream was down, so the new start seems older.
-    // Nobody writes for the one that seems newer, so after three heartbeats the list is believed.
+    // The host's clock was set back while the upstream was down, so the new incarnation seems
+    // older. The incarnation that seems newer no longer writes, so after three heartbeats the entry
+    // in the list is accepted.
     let mut replica = listed();
     replica.apply_event("u", WatchEvent::Put(object("a", 7, 4)), 1_000);
     assert!(!replica.sweep(4_500));
@@ -161,21 +163,22 @@
 fn removed_after_a_late_write() {
     let mut replica = listed();
     replica.apply_event("u", WatchEvent::Put(object("a", 7, 4)), 1_000);
-    replica.apply_event("u", gone("a", 8), 1_100);
+    replica.apply_event("u", deletion("a", 8), 1_100);
     assert_eq!(instances(&replica), ["b@10"]);
     assert!(!replica.sweep(9_000));
 }
 
 #[test]
-fn spoiled_entry_names_no_upstream() {
+fn invalid_entry_describes_no_upstream() {
     let mut replica = listed();
-    let spoiled = StoredObject {
+    let invalid = StoredObject {
         value: Value::Null,
         ..object("a", 7, 0)
     };
-    replica.apply_event("u", WatchEvent::Put(spoiled.clone()), 0);
+    replica.apply_event("u", WatchEvent::Put(invalid.clone()), 0);
     assert_eq!(instances(&replica), ["b@10"]);
-    // It is passed on to peers as it is: they know as well that it names nothing.
+    // The entry is forwarded to peers unchanged, since they also find that it describes no
+    // upstream.
     let theirs = Revisions {
         catalog: 0,
         directory: 5,
@@ -183,7 +186,7 @@
     let Some(UpstreamListUpdate::Delta(changes)) = replica.update_since(theirs).upstreams else {
         panic!("changes were expected");
     };
-    assert_eq!(changes.objects, [spoiled]);
+    assert_eq!(changes.objects, [invalid]);
     replica.apply_event("u", WatchEvent::Put(object("a", 8, 10)), 0);
     assert_eq!(instances(&replica), ["a@10", "b@10"]);
 }
