--- a/lib/src/direct/slot_driver.rs
+++ b/lib/src/direct/slot_driver.rs
@@ -1,4 +1,5 @@
-//! How a request gets room at an upstream: it asks doors, and the first grant wins.
+//! Waiting for a slot at an upstream: the request asks admission queues, and the first grant is
+//! used.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,63 +27,63 @@
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// What a door answers to a waiting request.
+/// Reply of an admission queue to a waiting request.
 #[derive(Debug)]
-pub enum Reply {
-    /// There is room.
+pub enum AdmissionReply {
+    /// A slot is granted.
     Granted(SlotLease),
-    /// The question waits.
-    Busy {
-        /// The question.
+    /// The slot request is queued.
+    Queued {
+        /// Id of the slot request.
         request_id: PeerRequestId,
-        /// How long it is expected to wait.
+        /// Expected time until the grant.
         wait_ms: u32,
     },
 }
 
-/// A question that has no grant yet.
+/// A slot request without a grant.
 #[derive(Debug)]
 pub struct PendingSlotRequest {
-    replies: UnboundedSender<Reply>,
-    /// The service that the request is for.
+    replies: UnboundedSender<AdmissionReply>,
+    /// Service that the request is sent to.
     pub service: Arc<str>,
     instance: Arc<str>,
-    /// Tokens of the prompt that the upstream is likely to keep.
+    /// Number of prompt tokens that the upstream is likely to have cached.
     cached_tokens: u32,
     owner: EntryRef,
 }
 
-/// A waiting request; dropping it takes its questions back.
-struct Waiting {
+/// A waiting request. Cancels its slot requests when dropped.
+struct WaitingRequest {
     traffic: Rc<TrafficState>,
-    asking: SlotSearch,
-    replies: UnboundedSender<Reply>,
+    search: SlotSearch,
+    replies: UnboundedSender<AdmissionReply>,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingRequest {
     fn drop(&mut self) {
-        for next in self.asking.cancel_all() {
-            self.carry_out(next);
+        for step in self.search.cancel_all() {
+            self.execute(step);
         }
     }
 }
 
-/// How a wait ended.
-enum End {
+/// How waiting for a slot ended.
+enum WaitEnd {
     Started(SlotLease),
     Refused,
 }
 
-impl Waiting {
-    /// Carries out what was decided, and whether that ends the wait.
-    fn carry_out(&self, next: SearchStep) -> Option<End> {
-        match next {
+impl WaitingRequest {
+    /// Executes a step of the search. Returns how the wait ended if the step ends it.
+    fn execute(&self, step: SearchStep) -> Option<WaitEnd> {
+        match step {
             SearchStep::RequestSlot { id, instance } => self.request_slot(id, &instance),
-            SearchStep::CancelSlotRequest { id, instance } => self.take_back(id, &instance),
+            SearchStep::CancelSlotRequest { id, instance } => self.cancel(id, &instance),
             SearchStep::StartWithoutGrant { instance } => {
-                return self.go_unasked(&instance).map(End::Started);
+                return self.start_without_grant(&instance).map(WaitEnd::Started);
             }
-            SearchStep::Refuse => return Some(End::Refused),
+            SearchStep::Refuse => return Some(WaitEnd::Refused),
         }
         None
     }
@@ -91,18 +92,21 @@
         let traffic = &self.traffic;
         let dispatcher = traffic.dispatcher.borrow();
         let slot_request = self
-            .asking
+            .search
             .slot_request(id, instance, &dispatcher, traffic.now_ms());
         drop(dispatcher);
         let owner = traffic.owner(slot_request.upstream);
-        let open = PendingSlotRequest {
+        let pending = PendingSlotRequest {
             replies: self.replies.clone(),
-            service: Arc::clone(&self.asking.job.service),
+            service: Arc::clone(&self.search.job.service),
             instance: Arc::clone(instance),
-            cached_tokens: self.asking.job.cached_tokens(instance),
+            cached_tokens: self.search.job.cached_tokens(instance),
             owner,
         };
-        traffic.pending_slot_requests.borrow_mut().insert(id, open);
+        traffic
+            .pending_slot_requests
+            .borrow_mut()
+            .insert(id, pending);
         match owner {
             EntryRef::Local => traffic.handle_slot_request(EntryRef::Local, slot_request),
             EntryRef::Peer(address) => {
@@ -111,13 +115,13 @@
         }
     }
 
-    fn take_back(&self, id: PeerRequestId, instance: &str) {
+    fn cancel(&self, id: PeerRequestId, instance: &str) {
         let traffic = &self.traffic;
-        let Some(open) = traffic.pending_slot_requests.borrow_mut().swap_remove(&id) else {
+        let Some(pending) = traffic.pending_slot_requests.borrow_mut().swap_remove(&id) else {
             return;
         };
         let upstream = upstream_hash(instance);
-        match open.owner {
+        match pending.owner {
             EntryRef::Local => traffic
                 .admission
                 .borrow_mut()
@@ -134,8 +138,8 @@
         }
     }
 
-    /// Takes room at an upstream whose door does not answer.
-    fn go_unasked(&self, instance: &Arc<str>) -> Option<SlotLease> {
+    /// Takes a slot at an upstream whose admission queue does not reply.
+    fn start_without_grant(&self, instance: &Arc<str>) -> Option<SlotLease> {
         let traffic = &self.traffic;
         let now_ms = traffic.now_ms();
         let upstream = traffic
@@ -144,83 +148,88 @@
             .occupy_slot(instance, now_ms)?;
         traffic.log(
             Level::Warn,
-            "door is silent, engine called unasked",
+            "admission queue did not reply; request started without a grant",
             |line| line.field("upstream", instance),
         );
-        let cached_tokens = self.asking.job.cached_tokens(instance);
+        let cached_tokens = self.search.job.cached_tokens(instance);
         Some(SlotLease::new(traffic, upstream, cached_tokens, false))
     }
 
-    /// Lets the request decide, and carries out what it decided; whether that ends the wait.
+    /// Lets the search decide on its next steps and executes them. Returns how the wait ended if a
+    /// step ends it.
     ///
-    /// Carrying it out may change the dispatcher, so that is not held meanwhile.
+    /// The steps may change the dispatcher, so it is not borrowed while they are executed.
     fn decide(
         &mut self,
         decide: impl FnOnce(&mut SlotSearch, &Dispatcher, u64) -> Vec<SearchStep>,
-    ) -> Option<End> {
+    ) -> Option<WaitEnd> {
         let dispatcher = self.traffic.dispatcher.borrow();
-        let all = decide(&mut self.asking, &dispatcher, self.traffic.now_ms());
+        let steps = decide(&mut self.search, &dispatcher, self.traffic.now_ms());
         drop(dispatcher);
-        all.into_iter().find_map(|next| self.carry_out(next))
+        steps.into_iter().find_map(|step| self.execute(step))
     }
 
-    async fn wait(&mut self, replies: &mut UnboundedReceiver<Reply>, until: Instant) -> End {
+    async fn wait(
+        &mut self,
+        replies: &mut UnboundedReceiver<AdmissionReply>,
+        until: Instant,
+    ) -> WaitEnd {
         let begun = self
-            .decide(|asking, dispatcher, now_ms| asking.start(dispatcher, now_ms, rand::random));
+            .decide(|search, dispatcher, now_ms| search.start(dispatcher, now_ms, rand::random));
         if let Some(end) = begun {
             return end;
         }
         while Instant::now() < until {
-            let pause = (Instant::now() + Duration::from_millis(REPLY_TIMEOUT_MS)).min(until);
-            let end = match timeout_at(pause, replies.recv()).await {
-                Ok(Some(Reply::Granted(lease))) => Some(End::Started(lease)),
-                Ok(Some(Reply::Busy {
+            let wait_until = (Instant::now() + Duration::from_millis(REPLY_TIMEOUT_MS)).min(until);
+            let end = match timeout_at(wait_until, replies.recv()).await {
+                Ok(Some(AdmissionReply::Granted(lease))) => Some(WaitEnd::Started(lease)),
+                Ok(Some(AdmissionReply::Queued {
                     request_id,
                     wait_ms,
-                })) => self.decide(|asking, dispatcher, now_ms| {
-                    asking.handle_queued(request_id, wait_ms, dispatcher, now_ms, rand::random)
+                })) => self.decide(|search, dispatcher, now_ms| {
+                    search.handle_queued(request_id, wait_ms, dispatcher, now_ms, rand::random)
                 }),
-                Ok(None) => Some(End::Refused),
-                Err(_) => self.decide(|asking, dispatcher, now_ms| {
-                    asking.handle_timeout(dispatcher, now_ms, rand::random)
+                Ok(None) => Some(WaitEnd::Refused),
+                Err(_) => self.decide(|search, dispatcher, now_ms| {
+                    search.handle_timeout(dispatcher, now_ms, rand::random)
                 }),
             };
             if let Some(end) = end {
                 return end;
             }
         }
-        End::Refused
+        WaitEnd::Refused
     }
 }
 
-/// Waits for room at an upstream until the request's time is up.
+/// Waits for a slot at an upstream until the request's waiting time is over.
 pub async fn acquire_slot(traffic: &Rc<TrafficState>, job: Job) -> SlotResult {
     let until = traffic.instant_at(job.waits_until_ms());
     let (sender, mut replies) = mpsc::unbounded_channel();
-    let mut waiting = Waiting {
+    let mut waiting = WaitingRequest {
         traffic: Rc::clone(traffic),
-        asking: SlotSearch::new(job),
+        search: SlotSearch::new(job),
         replies: sender,
     };
     match waiting.wait(&mut replies, until).await {
-        End::Started(lease) => SlotResult::Acquired(lease),
-        End::Refused => SlotResult::Refused {
-            retry_after_ms: traffic.retry_after_ms(&waiting.asking.job),
+        WaitEnd::Started(lease) => SlotResult::Acquired(lease),
+        WaitEnd::Refused => SlotResult::Refused {
+            retry_after_ms: traffic.retry_after_ms(&waiting.search.job),
         },
     }
 }
 
 impl TrafficState {
-    /// When a refused caller should come back: when the first upstream has had its rest, if all are at
-    /// rest, and otherwise after a part of its time.
+    /// Returns the retry delay for a refused caller: the time until the first backoff ends if all
+    /// upstreams are backing off, and otherwise a share of the caller's remaining time.
     #[must_use]
     pub fn retry_after_ms(&self, job: &Job) -> u64 {
         let now_ms = self.now_ms();
-        let rest_ms = self.dispatcher.borrow().all_backed_off_for_ms(job, now_ms);
-        rest_ms.unwrap_or_else(|| job.retry_after_ms(now_ms))
+        let backoff_ms = self.dispatcher.borrow().all_backed_off_for_ms(job, now_ms);
+        backoff_ms.unwrap_or_else(|| job.retry_after_ms(now_ms))
     }
 
-    /// Takes a question to a door of ours.
+    /// Handles a slot request to an admission queue that this entry owns.
     pub fn handle_slot_request(self: &Rc<Self>, from: EntryRef, slot_request: SlotRequest) {
         let now_ms = self.now_ms();
         self.admission
@@ -248,7 +257,7 @@
         }
     }
 
-    /// Gives out what room the doors have.
+    /// Grants the free slots of the admission queues that this entry owns.
     pub fn grant_slots(self: &Rc<Self>) {
         loop {
             let grant = self.admission.borrow_mut().next_grant(self.now_ms());
@@ -269,39 +278,39 @@
         }
     }
 
-    /// Takes a grant in, or gives it back if nobody waits for it any more.
+    /// Handles a grant. Releases the slot if no request waits for it any more.
     pub fn handle_grant(self: &Rc<Self>, request_id: PeerRequestId, upstream: u32) {
-        let asked = self
+        let pending = self
             .pending_slot_requests
             .borrow_mut()
             .swap_remove(&request_id);
-        let started = asked.and_then(|asked| {
+        let started = pending.and_then(|pending| {
             let mut dispatcher = self.dispatcher.borrow_mut();
-            let upstream = dispatcher.occupy_slot(&asked.instance, self.now_ms())?;
-            Some((asked.replies, asked.cached_tokens, upstream))
+            let upstream = dispatcher.occupy_slot(&pending.instance, self.now_ms())?;
+            Some((pending.replies, pending.cached_tokens, upstream))
         });
         match started {
-            // A request that has just ended drops the lease, which gives the room back.
+            // If the request has just ended, the lease is dropped, which releases the slot.
             Some((replies, cached_tokens, upstream)) => {
                 let lease = SlotLease::new(self, upstream, cached_tokens, true);
-                let _ = replies.send(Reply::Granted(lease));
+                let _ = replies.send(AdmissionReply::Granted(lease));
             }
             None => self.release_slot(upstream, SlotRelease::Unused),
         }
     }
 
-    /// Takes a door's reply that a question waits.
+    /// Handles the reply that a slot request is queued.
     pub fn handle_queued(&self, request_id: PeerRequestId, wait_ms: u32) {
-        if let Some(asked) = self.pending_slot_requests.borrow().get(&request_id) {
-            // The receiver lives as long as the question is open.
-            let _ = asked.replies.send(Reply::Busy {
+        if let Some(pending) = self.pending_slot_requests.borrow().get(&request_id) {
+            // The receiver exists as long as the slot request is pending.
+            let _ = pending.replies.send(AdmissionReply::Queued {
                 request_id,
                 wait_ms,
             });
         }
     }
 
-    /// Gives room back to its door.
+    /// Releases a slot to its admission queue.
     pub fn release_slot(self: &Rc<Self>, upstream: u32, release: SlotRelease) {
         match self.owner(upstream) {
             EntryRef::Local => {
