--- a/bench/src/direct/fleet/callers.rs
+++ b/bench/src/direct/fleet/callers.rs
@@ -151,7 +151,7 @@
         let job = &state.waiting[&request].job;
         let draw = || usize::from(random.random::<u16>());
         let chosen = state.dispatcher.choose(job, &[], now_ms, draw);
-        let roomy = chosen.filter(|up| state.dispatcher.has_room(&up.instance, now_ms));
+        let roomy = chosen.filter(|up| state.dispatcher.has_free_slot(&up.instance, now_ms));
         match roomy {
             Some(upstream) => self.start(entry, request, &upstream.instance, false),
             None => self.at(
--- a/lib/src/direct/placement.rs
+++ b/lib/src/direct/placement.rs
@@ -1,5 +1,6 @@
-//! Where a request goes, and in which order: what it is worth, what an upstream costs it, which
-//! doors it asks, and how long it waits. All of it decides and knows no socket.
+//! Selection of an upstream for each request: the worth of a request, its cost at each upstream,
+//! the admission queues that it asks for a slot, and how long it waits. These modules make
+//! decisions only and do no I/O.
 
 pub mod baseline;
 pub mod dispatch;
--- a/lib/src/direct/placement/dispatch.rs
+++ b/lib/src/direct/placement/dispatch.rs
@@ -1,7 +1,8 @@
-//! Which upstream a request goes to.
+//! Choice of the upstream that a request goes to.
 //!
-//! An upstream gets only what it can begin at once: upstreams admit in order of arrival and
-//! know no importance, so what waits, waits at their doors, where it can still be put in order.
+//! An upstream gets only requests that it can start at once. Upstreams admit requests in order of
+//! arrival and know no priorities, so requests wait in the admission queues, where they can still
+//! be reordered.
 
 use std::sync::Arc;
 
@@ -11,33 +12,35 @@
 use crate::direct::membership::heartbeat_payload::LoadChunk;
 use crate::direct::membership::peer_message::UpstreamCondition;
 use crate::direct::membership::peer_message::UpstreamLoad;
-use crate::direct::placement::baseline::Baseline;
+use crate::direct::placement::baseline::ServiceBaseline;
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::ObservedHealth;
 use crate::direct::placement::job::Job;
 use crate::direct::placement::shared_prefix;
+use crate::direct::placement::shared_prefix::CachedPrefix;
 use crate::direct::placement::shared_prefix::Candidate;
-use crate::direct::placement::shared_prefix::KeptAt;
 use crate::direct::placement::shared_prefix::SharedPrefix;
-use crate::direct::placement::tracked_upstream::Place;
+use crate::direct::placement::tracked_upstream::TrackedUpstream;
 use crate::direct::store_view::directory::Upstream;
 use crate::numbers;
 
-/// Upstreams of which the best is asked.
-const DRAWN_PLACES: usize = 4;
-/// Of so many requests that could go to an upstream of which nothing is known, one does. Unknown
-/// ones count as usual; where a known one is a little faster than that, and callers come one
-/// after the other, they would never be tried, however fast they are.
-const TRIED_ONCE_IN: usize = 8;
-/// Part of a usual holding of a slot that has to be saved at an engine, since it keeps the start
-/// of a prompt, for its door to be asked first. Below it, load decides more than what is kept.
-const HOME_FIRST_PART: f64 = 0.1;
-/// Time on the way to an upstream and back, and for a new connection, within one region.
+/// Number of randomly sampled upstreams, of which the best is asked.
+const SAMPLED_UPSTREAMS: usize = 4;
+/// One in this many requests that could go to an upstream without measurements is sent there. Such
+/// an upstream is assumed to be typical. If a known one is slightly faster than that and requests
+/// come one after the other, the unmeasured upstream would otherwise never be tried, however fast
+/// it is.
+const EXPLORE_ONE_IN: usize = 8;
+/// Share of the typical hold time that a cached prefix has to save for an engine's admission queue
+/// to be asked first. Below it, load matters more than the cache.
+const PREFERRED_MIN_SAVED_SHARE: f64 = 0.1;
+/// Round-trip time to an upstream, including a new connection, within one region.
 pub const ROUND_TRIP_MS: u64 = 15;
-/// How much longer than usual a first event may take beside other prompts.
-const LEAD_FACTOR: f64 = 1.3;
-/// How long the load that a peer reported is believed.
-const PEER_LOAD_MS: u64 = 1_500;
+/// Factor by which the first event may take longer than expected when the engine also reads other
+/// prompts.
+const FIRST_EVENT_MARGIN: f64 = 1.3;
+/// Time for which a load report of a peer is used.
+const PEER_LOAD_TTL_MS: u64 = 1_500;
 
 #[derive(Clone, Debug, Default)]
 struct PeerLoad {
@@ -45,20 +48,20 @@
     running: IndexMap<u32, u16>,
 }
 
-/// How many upstreams of a service are what.
+/// Numbers of upstreams of a service by their state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceCounts {
-    /// They take new work.
+    /// Upstreams that accept new requests.
     pub listed: usize,
-    /// Of these, they neither break nor hang.
+    /// Of these, upstreams that neither fail nor hang.
     pub working: usize,
-    /// They have asked this entry for rest.
+    /// Upstreams that have asked this entry to back off.
     pub backed_off: usize,
-    /// They limit their requests.
+    /// Upstreams that limit their request rate.
     pub limited: usize,
 }
 
-/// The upstreams as one entry sees them.
+/// The upstreams as seen by one entry, and the choice among them.
 ///
 /// ```
 /// use sardinewood::direct::placement::dispatch::Dispatcher;
@@ -67,12 +70,12 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    places: IndexMap<Arc<str>, Place>,
-    baseline: IndexMap<Arc<str>, Baseline>,
+    upstreams: IndexMap<Arc<str>, TrackedUpstream>,
+    baselines: IndexMap<Arc<str>, ServiceBaseline>,
     peers: IndexMap<u64, PeerLoad>,
 }
 
-/// The short name under which entries tell each other of an upstream.
+/// Returns the hash by which entries refer to an upstream in messages.
 ///
 /// ```
 /// use sardinewood::direct::placement::dispatch::upstream_hash;
@@ -85,28 +88,28 @@
 }
 
 impl Dispatcher {
-    /// Takes the upstreams that may be used; what runs at others goes on.
+    /// Sets the upstreams that may be used. Requests that run at other upstreams continue.
     ///
     /// ```
     /// sardinewood::direct::placement::dispatch::Dispatcher::default().set_upstreams(&[]);
     /// ```
     pub fn set_upstreams(&mut self, usable: &[Arc<Upstream>]) {
-        for place in self.places.values_mut() {
-            place.is_listed = false;
+        for tracked in self.upstreams.values_mut() {
+            tracked.is_listed = false;
         }
         for upstream in usable {
-            let place = self
-                .places
+            let tracked = self
+                .upstreams
                 .entry(Arc::clone(&upstream.instance))
-                .or_insert_with(|| Place::new(upstream));
-            place.upstream = Arc::clone(upstream);
-            place.is_listed = true;
+                .or_insert_with(|| TrackedUpstream::new(upstream));
+            tracked.upstream = Arc::clone(upstream);
+            tracked.is_listed = true;
         }
-        self.places
-            .retain(|_, place| place.is_listed || place.running > 0);
+        self.upstreams
+            .retain(|_, tracked| tracked.is_listed || tracked.running > 0);
     }
 
-    /// Takes what a peer has running, and how fast it is served.
+    /// Applies a peer's report of its running requests and of the speeds that it measured.
     ///
     /// ```
     /// # use sardinewood::direct::{membership::peer_message::UpstreamLoad, membership::heartbeat_payload::LoadChunk};
@@ -114,92 +117,93 @@
     /// let two = UpstreamLoad { upstream: 7, requests: 2, ..UpstreamLoad::default() };
     /// dispatcher.set_peer_load(1, &LoadChunk::whole(vec![two]), 0);
     /// ```
-    pub fn set_peer_load(&mut self, peer: u64, told: &LoadChunk, now_ms: u64) {
+    pub fn set_peer_load(&mut self, peer: u64, report: &LoadChunk, now_ms: u64) {
         let load = self.peers.entry(peer).or_default();
         load.at_ms = now_ms;
-        load.running.retain(|name, _| !told.covers(*name));
-        let counts = told
+        load.running.retain(|hash, _| !report.covers(*hash));
+        let counts = report
             .loads
             .iter()
             .map(|running| (running.upstream, running.requests));
         load.running.extend(counts);
-        let by_name: IndexMap<u32, &UpstreamLoad> = told
+        let by_hash: IndexMap<u32, &UpstreamLoad> = report
             .loads
             .iter()
             .map(|running| (running.upstream, running))
             .collect();
-        for place in self.places.values_mut() {
-            let Some(told) = by_name.get(&place.name) else {
+        for tracked in self.upstreams.values_mut() {
+            let Some(report) = by_hash.get(&tracked.hash) else {
                 continue;
             };
-            if let Some(event_ms) = place.hear(told, now_ms) {
-                let service = Arc::clone(&place.upstream.service);
-                self.baseline
+            if let Some(event_gap_ms) = tracked.merge_peer_report(report, now_ms) {
+                let service = Arc::clone(&tracked.upstream.service);
+                self.baselines
                     .entry(service)
                     .or_default()
-                    .observe_event(event_ms);
+                    .observe_event_gap(event_gap_ms);
             }
         }
         self.peers
-            .retain(|_, load| now_ms < load.at_ms + PEER_LOAD_MS);
+            .retain(|_, load| now_ms < load.at_ms + PEER_LOAD_TTL_MS);
     }
 
-    /// What this entry has running, by upstream, and how fast it is served.
+    /// Returns what this entry reports to peers: its running requests by upstream, and the measured
+    /// speeds.
     ///
     /// ```
     /// let dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// assert_eq!(dispatcher.running(0).count(), 0);
     /// ```
     pub fn running(&self, now_ms: u64) -> impl Iterator<Item = UpstreamLoad> {
-        self.places
+        self.upstreams
             .values()
-            .map(move |place| UpstreamLoad {
-                upstream: place.name,
-                requests: u16::try_from(place.running).unwrap_or(u16::MAX),
-                event_us: place.event_us(),
-                condition: place.condition(now_ms),
+            .map(move |tracked| UpstreamLoad {
+                upstream: tracked.hash,
+                requests: u16::try_from(tracked.running).unwrap_or(u16::MAX),
+                event_us: tracked.event_us(),
+                condition: tracked.condition(now_ms),
             })
-            .filter(|told| told.requests > 0 || told.condition == UpstreamCondition::Replaced)
+            .filter(|report| report.requests > 0 || report.condition == UpstreamCondition::Replaced)
     }
 
-    /// Takes the instances of upstreams that only take requests that judge their version.
+    /// Sets the instances that only accept canary requests.
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::Dispatcher;
     /// Dispatcher::default().set_canaries(&["i-1".into()].into());
     /// ```
-    pub fn set_canaries(&mut self, trials: &IndexSet<Arc<str>>) {
-        for (instance, place) in &mut self.places {
-            place.is_on_trial = trials.contains(instance);
+    pub fn set_canaries(&mut self, canaries: &IndexSet<Arc<str>>) {
+        for (instance, tracked) in &mut self.upstreams {
+            tracked.is_canary_only = canaries.contains(instance);
         }
     }
 
-    /// Takes the short names of the upstreams that limit their requests.
+    /// Sets the upstreams, by hash, that limit their request rate.
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::Dispatcher;
     /// Dispatcher::default().set_limited(&[7].into());
     /// ```
     pub fn set_limited(&mut self, limited: &IndexSet<u32>) {
-        for place in self.places.values_mut() {
-            place.is_limited = limited.contains(&place.name);
+        for tracked in self.upstreams.values_mut() {
+            tracked.is_limited = limited.contains(&tracked.hash);
         }
     }
 
-    /// Takes until when upstreams want nothing from this entry, by short name.
+    /// Sets the time until which upstreams asked this entry to back off, by hash.
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::Dispatcher;
     /// Dispatcher::default().set_backoffs(&[(7, 3_000)].into());
     /// ```
-    pub fn set_backoffs(&mut self, rests: &IndexMap<u32, u64>) {
-        for place in self.places.values_mut() {
-            place.rests_until_ms = rests.get(&place.name).copied().unwrap_or_default();
+    pub fn set_backoffs(&mut self, backoffs: &IndexMap<u32, u64>) {
+        for tracked in self.upstreams.values_mut() {
+            tracked.backoff_until_ms = backoffs.get(&tracked.hash).copied().unwrap_or_default();
         }
     }
 
-    /// Time until the first upstream that takes a request of this kind has had the rest that it asked
-    /// for; none if one may be sent requests now, or there is none at all.
+    /// Returns the time until the first backoff ends among the upstreams that accept a request of
+    /// this kind. Returns `None` if one of them can be sent requests now, or if there are none.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
@@ -211,60 +215,64 @@
     /// ```
     #[must_use]
     pub fn all_backed_off_for_ms(&self, job: &Job, now_ms: u64) -> Option<u64> {
-        let mut soonest_ms = None;
-        for place in self.places_for(job) {
-            if place.is_open(now_ms) {
+        let mut first_end_ms = None;
+        for tracked in self.upstreams_for(job) {
+            if tracked.accepts_requests(now_ms) {
                 return None;
             }
-            if place.is_at_rest(now_ms) {
-                let rest_ms = place.rests_until_ms - now_ms;
-                soonest_ms = Some(soonest_ms.map_or(rest_ms, |known: u64| known.min(rest_ms)));
+            if tracked.is_backing_off(now_ms) {
+                let backoff_ms = tracked.backoff_until_ms - now_ms;
+                first_end_ms =
+                    Some(first_end_ms.map_or(backoff_ms, |known: u64| known.min(backoff_ms)));
             }
         }
-        soonest_ms
+        first_end_ms
     }
 
-    fn untried(&self, job: &Job, now_ms: u64) -> impl Iterator<Item = &Place> {
-        self.places_for(job)
-            .filter(move |place| place.is_open(now_ms))
-            .filter(|place| !job.tried_upstreams.contains(&place.upstream.instance))
+    fn untried(&self, job: &Job, now_ms: u64) -> impl Iterator<Item = &TrackedUpstream> {
+        self.upstreams_for(job)
+            .filter(move |tracked| tracked.accepts_requests(now_ms))
+            .filter(|tracked| !job.tried_upstreams.contains(&tracked.upstream.instance))
     }
 
-    /// Whether an upstream takes new work.
+    /// Returns whether an upstream accepts new requests.
     ///
     /// ```
     /// assert!(!sardinewood::direct::placement::dispatch::Dispatcher::default().is_listed("i-1"));
     /// ```
     #[must_use]
     pub fn is_listed(&self, instance: &str) -> bool {
-        self.places
+        self.upstreams
             .get(instance)
-            .is_some_and(|place| place.is_listed)
+            .is_some_and(|tracked| tracked.is_listed)
     }
 
-    /// Whether an upstream takes new work and is there.
+    /// Returns whether an upstream accepts new requests and can be sent any now.
     ///
     /// ```
     /// assert!(!sardinewood::direct::placement::dispatch::Dispatcher::default().is_available("i-1", 0));
     /// ```
     #[must_use]
     pub fn is_available(&self, instance: &str, now_ms: u64) -> bool {
-        self.places
+        self.upstreams
             .get(instance)
-            .is_some_and(|place| place.is_listed && place.is_open(now_ms))
+            .is_some_and(|tracked| tracked.is_listed && tracked.accepts_requests(now_ms))
     }
 
-    /// How many upstreams take new work.
+    /// Returns the number of upstreams that accept new requests.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::placement::dispatch::Dispatcher::default().listed_count(), 0);
     /// ```
     #[must_use]
     pub fn listed_count(&self) -> usize {
-        self.places.values().filter(|place| place.is_listed).count()
+        self.upstreams
+            .values()
+            .filter(|tracked| tracked.is_listed)
+            .count()
     }
 
-    /// What the upstreams of a service are like, as far as is known here.
+    /// Returns the numbers of upstreams of a service by their state, as known to this entry.
     ///
     /// ```
     /// # use sardinewood::direct::placement::dispatch::{ServiceCounts, Dispatcher};
@@ -273,32 +281,33 @@
     #[must_use]
     pub fn service_counts(&self, service: &str, now_ms: u64) -> ServiceCounts {
         let mut counts = ServiceCounts::default();
-        for place in self.places_of(service) {
+        for tracked in self.upstreams_of(service) {
             counts.listed += 1;
-            counts.working += usize::from(place.works(now_ms));
-            counts.backed_off += usize::from(place.is_at_rest(now_ms));
-            counts.limited += usize::from(place.is_limited);
+            counts.working += usize::from(tracked.is_working(now_ms));
+            counts.backed_off += usize::from(tracked.is_backing_off(now_ms));
+            counts.limited += usize::from(tracked.is_limited);
         }
         counts
     }
 
-    /// The upstreams that take a request of this kind.
-    fn places_for(&self, job: &Job) -> impl Iterator<Item = &Place> {
+    /// Returns the upstreams that accept a request of this kind.
+    fn upstreams_for(&self, job: &Job) -> impl Iterator<Item = &TrackedUpstream> {
         let is_canary = job.is_canary;
-        self.places_of(&job.service)
-            .filter(move |place| place.is_on_trial == is_canary)
+        self.upstreams_of(&job.service)
+            .filter(move |tracked| tracked.is_canary_only == is_canary)
     }
 
-    fn places_of(&self, service: &str) -> impl Iterator<Item = &Place> {
-        self.places
+    fn upstreams_of(&self, service: &str) -> impl Iterator<Item = &TrackedUpstream> {
+        self.upstreams
             .values()
-            .filter(move |place| place.is_listed && &*place.upstream.service == service)
+            .filter(move |tracked| tracked.is_listed && &*tracked.upstream.service == service)
     }
 
-    /// The upstream whose door a request asks next: the best of a few drawn at random.
+    /// Returns the upstream whose admission queue a request asks next: the best of a few chosen at
+    /// random.
     ///
-    /// If every entry asked the best one that it knows of, all of them would ask the same one.
-    /// Of four drawn, the best is among the best third in eight of ten cases.
+    /// If every entry asked the best upstream that it knows of, all entries would ask the same one.
+    /// The best of four random upstreams is among the best third in eight of ten cases.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
@@ -315,59 +324,74 @@
         now_ms: u64,
         mut random: impl FnMut() -> usize,
     ) -> Option<Arc<Upstream>> {
-        let mut places = self.open_places(job, now_ms);
-        places.retain(|place| !asked.contains(&place.upstream.instance));
-        let keeps = |place: &&Place| job.cached_tokens(&place.upstream.instance) > 0;
-        let mut drawn: Vec<&Place> = places.iter().copied().filter(keeps).collect();
+        let mut upstreams = self.usable_upstreams(job, now_ms);
+        upstreams.retain(|tracked| !asked.contains(&tracked.upstream.instance));
+        let has_cached =
+            |tracked: &&TrackedUpstream| job.cached_tokens(&tracked.upstream.instance) > 0;
+        let mut sampled: Vec<&TrackedUpstream> =
+            upstreams.iter().copied().filter(has_cached).collect();
         if asked.is_empty()
-            && let Some(home) = self.home(job, &drawn, now_ms)
+            && let Some(preferred) = self.preferred_engine(job, &sampled, now_ms)
         {
-            return Some(Arc::clone(&home.upstream));
+            return Some(Arc::clone(&preferred.upstream));
         }
-        places.retain(|place| !keeps(place));
-        for _ in 0..DRAWN_PLACES.min(places.len()) {
-            drawn.push(places.swap_remove(random() % places.len()));
+        upstreams.retain(|tracked| !has_cached(tracked));
+        for _ in 0..SAMPLED_UPSTREAMS.min(upstreams.len()) {
+            sampled.push(upstreams.swap_remove(random() % upstreams.len()));
         }
-        let unknown = drawn.iter().find(|place| place.is_unknown());
-        if let Some(unknown) = unknown
-            && random().is_multiple_of(TRIED_ONCE_IN)
+        let unmeasured = sampled.iter().find(|tracked| tracked.is_unmeasured());
+        if let Some(unmeasured) = unmeasured
+            && random().is_multiple_of(EXPLORE_ONE_IN)
         {
-            return Some(Arc::clone(&unknown.upstream));
+            return Some(Arc::clone(&unmeasured.upstream));
         }
-        let best = self.cheapest(job, &drawn, now_ms)?;
+        let best = self.cheapest(job, &sampled, now_ms)?;
         Some(Arc::clone(&best.upstream))
     }
 
-    fn cheapest<'a>(&self, job: &Job, places: &[&'a Place], now_ms: u64) -> Option<&'a Place> {
-        let baseline = self.baseline_of(&job.service);
-        let cost_ms = |place: &Place| {
-            let running = place.running + self.running_elsewhere(place, now_ms);
-            place.cost_ms(running, job, baseline, now_ms)
+    fn cheapest<'a>(
+        &self,
+        job: &Job,
+        upstreams: &[&'a TrackedUpstream],
+        now_ms: u64,
+    ) -> Option<&'a TrackedUpstream> {
+        let baseline = self.baseline_for(&job.service);
+        let cost_ms = |tracked: &TrackedUpstream| {
+            let running = tracked.running + self.running_at_peers(tracked, now_ms);
+            tracked.cost_ms(running, job, baseline, now_ms)
         };
-        let costs = places.iter().map(|place| (cost_ms(place), *place));
+        let costs = upstreams.iter().map(|tracked| (cost_ms(tracked), *tracked));
         let best = costs.min_by(|(one, _), (other, _)| one.total_cmp(other));
-        best.map(|(_, place)| place)
+        best.map(|(_, tracked)| tracked)
     }
 
-    /// The home of a prompt's start, if a good part of a usual holding is saved there. Its door is
-    /// asked first whatever its load seems to be: the door knows, and answers at once.
-    fn home<'a>(&self, job: &Job, keeping: &[&'a Place], now_ms: u64) -> Option<&'a Place> {
-        let start = job.shared_prefix?;
-        let baseline = self.baseline_of(&job.service);
-        let is_home = |place: &&Place| {
-            let tokens = job.cached_tokens(&place.upstream.instance);
-            let saved_ms = place.read_ms(tokens, baseline);
-            tokens == start.tokens
-                && place.works(now_ms)
-                && !place.health.is_bad()
-                && place.ends_in_time(job, baseline, now_ms)
-                && saved_ms >= baseline.hold_ms() * HOME_FIRST_PART
+    /// Returns the best preferred engine of the shared prefix, if the cache there saves a
+    /// sufficient share of the typical hold time. Its admission queue is asked first regardless of
+    /// its reported load, because the queue knows the exact load and replies at once.
+    fn preferred_engine<'a>(
+        &self,
+        job: &Job,
+        caching: &[&'a TrackedUpstream],
+        now_ms: u64,
+    ) -> Option<&'a TrackedUpstream> {
+        let prefix = job.shared_prefix?;
+        let baseline = self.baseline_for(&job.service);
+        let is_preferred = |tracked: &&TrackedUpstream| {
+            let tokens = job.cached_tokens(&tracked.upstream.instance);
+            let saved_ms = tracked.read_ms(tokens, baseline);
+            tokens == prefix.tokens
+                && tracked.is_working(now_ms)
+                && !tracked.health.is_failing()
+                && tracked.ends_in_time(job, baseline, now_ms)
+                && saved_ms >= baseline.hold_ms() * PREFERRED_MIN_SAVED_SHARE
         };
-        let homes: Vec<&Place> = keeping.iter().copied().filter(is_home).collect();
-        self.cheapest(job, &homes, now_ms)
+        let preferred: Vec<&TrackedUpstream> =
+            caching.iter().copied().filter(is_preferred).collect();
+        self.cheapest(job, &preferred, now_ms)
     }
 
-    /// The engines that are likely to keep the start of a request's prompt, the likeliest first.
+    /// Returns the engines that are likely to have cached the shared prefix of a request, the most
+    /// likely first.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
@@ -378,23 +402,24 @@
     /// assert!(Dispatcher::default().cached_at(&job, 0).is_empty());
     /// ```
     #[must_use]
-    pub fn cached_at(&self, job: &Job, now_ms: u64) -> Vec<KeptAt> {
-        let Some(start) = job.shared_prefix.filter(SharedPrefix::is_worth_placing) else {
+    pub fn cached_at(&self, job: &Job, now_ms: u64) -> Vec<CachedPrefix> {
+        let Some(prefix) = job.shared_prefix.filter(SharedPrefix::is_long_enough) else {
             return Vec::new();
         };
-        let baseline = self.baseline_of(&job.service);
+        let baseline = self.baseline_for(&job.service);
         let engines = self
-            .places_for(job)
-            .filter(|place| place.is_open(now_ms))
-            .map(|place| Candidate {
-                instance: Arc::clone(&place.upstream.instance),
-                name: place.name,
-                speed: place.speed(baseline),
+            .upstreams_for(job)
+            .filter(|tracked| tracked.accepts_requests(now_ms))
+            .map(|tracked| Candidate {
+                instance: Arc::clone(&tracked.upstream.instance),
+                hash: tracked.hash,
+                speed: tracked.speed(baseline),
             });
-        shared_prefix::homes(start, engines.collect())
+        shared_prefix::preferred_engines(prefix, engines.collect())
     }
 
-    /// Time that is saved at an engine since it is likely to keep a part of a request's prompt.
+    /// Returns the prefill time that is saved at an engine because it is likely to have cached a
+    /// part of the prompt.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
@@ -407,16 +432,16 @@
     #[must_use]
     pub fn saved_ms(&self, instance: &str, job: &Job) -> u64 {
         let tokens = job.cached_tokens(instance);
-        let saved_ms = self.places.get(instance).map_or(0.0, |place| {
-            place.read_ms(tokens, self.baseline_of(&place.upstream.service))
+        let saved_ms = self.upstreams.get(instance).map_or(0.0, |tracked| {
+            tracked.read_ms(tokens, self.baseline_for(&tracked.upstream.service))
         });
-        whole_wait(saved_ms)
+        whole_ms(saved_ms)
     }
 
-    /// How long before its objective a request has to start at an upstream to be in time.
+    /// Returns how long before its objective a request has to start at an upstream to be in time.
     ///
-    /// Without this lead a full queue serves each request just as it becomes late, and all
-    /// room goes to answers that are worth three tenths.
+    /// Without this lead, a full queue starts each request just as it becomes late, and all slots
+    /// are spent on answers that are worth three tenths.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::job::Job};
@@ -428,30 +453,31 @@
     /// ```
     #[must_use]
     pub fn lead_ms(&self, instance: &str, job: &Job) -> u64 {
-        let first_ms = self.places.get(instance).map_or(0.0, |place| {
-            place.first_ms(
+        let first_ms = self.upstreams.get(instance).map_or(0.0, |tracked| {
+            tracked.first_ms(
                 job.unread_tokens(instance),
-                self.baseline_of(&place.upstream.service),
+                self.baseline_for(&tracked.upstream.service),
             )
         });
-        ROUND_TRIP_MS + whole_wait(first_ms * LEAD_FACTOR)
+        ROUND_TRIP_MS + whole_ms(first_ms * FIRST_EVENT_MARGIN)
     }
 
-    /// Whether an upstream has room, as far as this entry knows by itself. Of one that limits its
-    /// requests only the door knows.
+    /// Returns whether an upstream has a free slot, as far as this entry knows. For an upstream
+    /// that limits its request rate, only the admission queue knows.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::placement::dispatch::Dispatcher::default().has_room("i-1", 0));
+    /// assert!(!sardinewood::direct::placement::dispatch::Dispatcher::default().has_free_slot("i-1", 0));
     /// ```
     #[must_use]
-    pub fn has_room(&self, instance: &str, now_ms: u64) -> bool {
-        self.places.get(instance).is_some_and(|place| {
-            let running = place.running + self.running_elsewhere(place, now_ms);
-            place.is_listed && !place.is_limited && running < place.upstream.slots
+    pub fn has_free_slot(&self, instance: &str, now_ms: u64) -> bool {
+        self.upstreams.get(instance).is_some_and(|tracked| {
+            let running = tracked.running + self.running_at_peers(tracked, now_ms);
+            tracked.is_listed && !tracked.is_limited && running < tracked.upstream.slots
         })
     }
 
-    /// Counts a request that starts at an upstream; none if the upstream is not there.
+    /// Counts a request that starts at an upstream. Returns the upstream, or `None` if it is not
+    /// available.
     ///
     /// ```
     /// assert!(sardinewood::direct::placement::dispatch::Dispatcher::default().occupy_slot("i-1", 0).is_none());
@@ -460,37 +486,38 @@
         if !self.is_available(instance, now_ms) {
             return None;
         }
-        let place = self.places.get_mut(instance)?;
-        place.running += 1;
-        Some(Arc::clone(&place.upstream))
+        let tracked = self.upstreams.get_mut(instance)?;
+        tracked.running += 1;
+        Some(Arc::clone(&tracked.upstream))
     }
 
-    /// Notes that a request was sent and has no answer yet.
+    /// Records that a request was sent and has no answer yet.
     ///
     /// ```
     /// sardinewood::direct::placement::dispatch::Dispatcher::default().sent("i-1", 1, 4_000, 0);
     /// ```
     pub fn sent(&mut self, instance: &str, id: u64, prompt_tokens: u32, now_ms: u64) {
-        let Some(place) = self.places.get_mut(instance) else {
+        let Some(tracked) = self.upstreams.get_mut(instance) else {
             return;
         };
-        let baseline = self.baseline.get(&place.upstream.service);
-        let first_ms = place.first_ms(prompt_tokens, baseline.unwrap_or(&Baseline::UNKNOWN));
-        place.sent(id, first_ms, now_ms);
+        let baseline = self.baselines.get(&tracked.upstream.service);
+        let first_ms =
+            tracked.first_ms(prompt_tokens, baseline.unwrap_or(&ServiceBaseline::UNKNOWN));
+        tracked.sent(id, first_ms, now_ms);
     }
 
-    /// Notes that the first part of a request's answer has come.
+    /// Records that the first part of a request's answer has arrived.
     ///
     /// ```
     /// sardinewood::direct::placement::dispatch::Dispatcher::default().answered("i-1", 1);
     /// ```
     pub fn answered(&mut self, instance: &str, id: u64) {
-        if let Some(place) = self.places.get_mut(instance) {
-            place.answered(id);
+        if let Some(tracked) = self.upstreams.get_mut(instance) {
+            tracked.answered(id);
         }
     }
 
-    /// Frees the room of a request that had started.
+    /// Frees the slot of a request that had started.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::Dispatcher, placement::health::AttemptOutcome};
@@ -500,76 +527,78 @@
         &mut self,
         instance: &str,
         id: u64,
-        ended: AttemptOutcome,
+        outcome: AttemptOutcome,
         held_ms: u64,
         now_ms: u64,
     ) {
-        let Some(place) = self.places.get_mut(instance) else {
+        let Some(tracked) = self.upstreams.get_mut(instance) else {
             return;
         };
-        let ended = place.finished(id, ended, now_ms);
-        if ended == AttemptOutcome::Answered {
-            let service = Arc::clone(&place.upstream.service);
-            let baseline = self.baseline.entry(service).or_default();
+        let outcome = tracked.finished(id, outcome, now_ms);
+        if outcome == AttemptOutcome::Answered {
+            let service = Arc::clone(&tracked.upstream.service);
+            let baseline = self.baselines.entry(service).or_default();
             baseline.observe_hold(numbers::as_f64(held_ms));
         }
-        if !place.is_listed && place.running == 0 {
-            self.places.shift_remove(instance);
+        if !tracked.is_listed && tracked.running == 0 {
+            self.upstreams.shift_remove(instance);
         }
     }
 
-    /// Notes how many events an answer had of which so many tokens were expected.
+    /// Records the number of events of an answer and the number of tokens that its caller expected.
     ///
     /// ```
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// dispatcher.record_answer_length(&"s".into(), 60, 20);
     /// ```
     pub fn record_answer_length(&mut self, service: &Arc<str>, tokens: u32, events: u64) {
-        let baseline = self.baseline.entry(Arc::clone(service)).or_default();
+        let baseline = self.baselines.entry(Arc::clone(service)).or_default();
         baseline.observe_length(tokens, events);
     }
 
-    /// Adds to what this entry has learned of an upstream.
+    /// Updates the measurements of an upstream.
     ///
     /// ```
     /// let mut dispatcher = sardinewood::direct::placement::dispatch::Dispatcher::default();
     /// dispatcher.learn("i-1", |health| health.answered_after(30.0));
     /// ```
     pub fn learn(&mut self, instance: &str, learn: impl FnOnce(&mut ObservedHealth)) {
-        let Some(place) = self.places.get_mut(instance) else {
+        let Some(tracked) = self.upstreams.get_mut(instance) else {
             return;
         };
-        learn(&mut place.health);
-        let service = Arc::clone(&place.upstream.service);
-        let baseline = self.baseline.entry(service).or_default();
-        baseline.observe_speed(&place.health);
+        learn(&mut tracked.health);
+        let service = Arc::clone(&tracked.upstream.service);
+        let baseline = self.baselines.entry(service).or_default();
+        baseline.observe_speed(&tracked.health);
     }
 
-    fn baseline_of(&self, service: &str) -> &Baseline {
-        self.baseline.get(service).unwrap_or(&Baseline::UNKNOWN)
+    fn baseline_for(&self, service: &str) -> &ServiceBaseline {
+        self.baselines
+            .get(service)
+            .unwrap_or(&ServiceBaseline::UNKNOWN)
     }
 
-    /// Where a request could go: to all that work, or, if none does, to all there are. A
-    /// service's only upstream that is slow for a moment is still better than none.
-    fn open_places(&self, job: &Job, now_ms: u64) -> Vec<&Place> {
-        let untried: Vec<&Place> = self.untried(job, now_ms).collect();
-        let works = |place: &&Place| place.works(now_ms);
-        let working: Vec<&Place> = untried.iter().copied().filter(works).collect();
+    /// Returns the upstreams that a request can go to: all working ones, or all of them if none
+    /// works. A service's only upstream that is slow for a moment is still better than none.
+    fn usable_upstreams(&self, job: &Job, now_ms: u64) -> Vec<&TrackedUpstream> {
+        let untried: Vec<&TrackedUpstream> = self.untried(job, now_ms).collect();
+        let is_working = |tracked: &&TrackedUpstream| tracked.is_working(now_ms);
+        let working: Vec<&TrackedUpstream> = untried.iter().copied().filter(is_working).collect();
         if working.is_empty() { untried } else { working }
     }
 
-    fn running_elsewhere(&self, place: &Place, now_ms: u64) -> u32 {
+    fn running_at_peers(&self, tracked: &TrackedUpstream, now_ms: u64) -> u32 {
         self.peers
             .values()
-            .filter(|load| now_ms < load.at_ms + PEER_LOAD_MS)
-            .filter_map(|load| load.running.get(&place.name))
+            .filter(|load| now_ms < load.at_ms + PEER_LOAD_TTL_MS)
+            .filter_map(|load| load.running.get(&tracked.hash))
             .map(|running| u32::from(*running))
             .sum()
     }
 }
 
-/// A time in whole milliseconds; an infinite one becomes a minute.
-fn whole_wait(time_ms: f64) -> u64 {
-    const MOST_MS: f64 = 60_000.0;
-    numbers::whole_u64(time_ms.min(MOST_MS))
+/// Rounds a time to whole milliseconds, at most one minute.
+fn whole_ms(time_ms: f64) -> u64 {
+    const MAX_MS: f64 = 60_000.0;
+    numbers::whole_u64(time_ms.min(MAX_MS))
 }
--- a/lib/src/direct/placement/health.rs
+++ b/lib/src/direct/placement/health.rs
@@ -1,20 +1,21 @@
-//! What an entry has learned of one upstream from the answers that it gave.
+//! Speed and health of one upstream, as observed from its answers.
 
-/// Part of a new sample in an average. Some ten answers make up a new opinion, which at a few
-/// answers a second is the "within seconds" that a slow-down may go unnoticed.
-const SAMPLE_PART: f64 = 0.1;
-/// Prompts below this size say nothing about the speed of reading.
+/// Weight of a new sample in a moving average. About ten answers replace the previous value, which
+/// at a few answers per second meets the requirement that a slow-down is noticed within seconds.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Prompts with fewer tokens are too short to measure the prefill speed.
 const MIN_PROMPT_TOKENS: u32 = 256;
-/// Time for which an upstream is left alone after a first failure to connect or to answer.
-const FIRST_PAUSE_MS: u64 = 300;
-/// The longest such time. A process that starts again is back in about a second.
-const MOST_PAUSE_MS: u64 = 2_000;
-/// Age of this entry's last sample beyond which a peer's is preferred.
-const OWN_SAMPLE_MS: u64 = 2_000;
-/// Failures beyond this part of recent answers make an upstream the last choice.
-const BAD_PART: f64 = 0.25;
-
-/// A moving average that begins with its first sample.
+/// Pause before the upstream is used again after a first failure to connect or to answer.
+const MIN_PAUSE_MS: u64 = 300;
+/// Upper bound of that pause. A restarted process is available again after about a second.
+const MAX_PAUSE_MS: u64 = 2_000;
+/// Age of this entry's last sample after which a sample from a peer is preferred.
+const OWN_SAMPLE_TTL_MS: u64 = 2_000;
+/// Share of failures among recent answers above which an upstream is chosen only if there is no
+/// other.
+const FAILING_SHARE: f64 = 0.25;
+
+/// An exponential moving average that starts with its first sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MovingAverage {
     value: Option<f64>,
@@ -24,7 +25,7 @@
     /// An average without samples.
     pub const NONE: Self = Self { value: None };
 
-    /// Takes a sample in.
+    /// Adds a sample.
     ///
     /// ```
     /// let mut average = sardinewood::direct::placement::health::MovingAverage::default();
@@ -34,11 +35,11 @@
     pub fn observe(&mut self, sample: f64) {
         self.value = Some(match self.value {
             None => sample,
-            Some(value) => value + (sample - value) * SAMPLE_PART,
+            Some(value) => value + (sample - value) * SAMPLE_WEIGHT,
         });
     }
 
-    /// The average, if there was a sample.
+    /// Returns the average, or `None` without samples.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::placement::health::MovingAverage::default().value(), None);
@@ -49,35 +50,36 @@
     }
 }
 
-/// How a call at an upstream ended.
+/// How an attempt at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered whole, whatever the answer said.
+    /// The upstream sent a complete answer, whatever its status.
     Answered,
-    /// It answered with a failure of its own.
+    /// The upstream answered with a failure of its own.
     Failed,
-    /// It answered that it has not run the request.
+    /// The upstream answered that it has not run the request.
     Declined,
-    /// Another process answered in its place, and has not run the request.
+    /// Another process answered at the upstream's address and has not run the request.
     Misdirected,
-    /// The connection could not be had or broke.
+    /// The connection failed or was lost.
     Broken,
-    /// We left, so the upstream is not to blame.
+    /// This entry ended the attempt, so the upstream is not to blame.
     Abandoned,
 }
 
-/// How fast an engine reads, over its latest prompts. Each counts by its length, since short ones
-/// say little: what else passes before their first event is as long as their reading.
+/// Prefill speed of an engine over its latest prompts. Each prompt is weighted by its length,
+/// because for short prompts the other delays before the first event are as long as the prefill
+/// itself.
 #[derive(Clone, Copy, Debug, Default)]
-struct Reading {
+struct PrefillSpeed {
     tokens: f64,
     ms: f64,
 }
 
-impl Reading {
+impl PrefillSpeed {
     fn observe(&mut self, tokens: u32, read_ms: f64) {
-        self.tokens += f64::from(tokens) - self.tokens * SAMPLE_PART;
-        self.ms += read_ms - self.ms * SAMPLE_PART;
+        self.tokens += f64::from(tokens) - self.tokens * SAMPLE_WEIGHT;
+        self.ms += read_ms - self.ms * SAMPLE_WEIGHT;
     }
 
     fn ms_per_token(self) -> Option<f64> {
@@ -85,28 +87,28 @@
     }
 }
 
-/// One upstream as this entry sees it.
+/// Speed and health of one upstream, as observed by this entry.
 ///
 /// ```
 /// use sardinewood::direct::placement::health::{AttemptOutcome, ObservedHealth};
 ///
 /// let mut health = ObservedHealth::default();
-/// health.ended(AttemptOutcome::Broken, 0);
+/// health.record_outcome(AttemptOutcome::Broken, 0);
 /// assert!(health.is_paused(100) && !health.is_paused(400));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ObservedHealth {
-    reading: Reading,
-    pause_ms: MovingAverage,
+    prefill: PrefillSpeed,
+    event_gap_ms: MovingAverage,
     answer_ms: MovingAverage,
     sampled_at_ms: u64,
-    failures: f64,
-    strikes: u32,
+    failure_rate: f64,
+    consecutive_failures: u32,
     paused_until_ms: u64,
 }
 
 impl ObservedHealth {
-    /// Notes when the first event came.
+    /// Records the time to the first event.
     ///
     /// ```
     /// sardinewood::direct::placement::health::ObservedHealth::default().first_event(1_000, 20.0);
@@ -115,43 +117,43 @@
         if prompt_tokens < MIN_PROMPT_TOKENS {
             return;
         }
-        // An event leaves when its tokens are made, the first one as well as each other. Taken for
-        // reading, the time of one event made a long prompt seem late before it was sent: short
-        // prompts, which are many, take longer to their first event than to be read.
-        let event_ms = self.event_ms().unwrap_or_default();
-        self.reading
-            .observe(prompt_tokens, (after_ms - event_ms).max(0.0));
+        // An engine sends each event, including the first, when its tokens are generated. If that
+        // event gap counted as prefill time, a long prompt would seem late before it was sent: the
+        // many short prompts take longer to generate their first event than to be read.
+        let event_gap_ms = self.event_gap_ms().unwrap_or_default();
+        self.prefill
+            .observe(prompt_tokens, (after_ms - event_gap_ms).max(0.0));
     }
 
-    /// Notes the time between two events.
+    /// Records an event gap.
     ///
     /// ```
     /// sardinewood::direct::placement::health::ObservedHealth::default().next_event(15.0, 0);
     /// ```
-    pub fn next_event(&mut self, pause_ms: f64, now_ms: u64) {
+    pub fn next_event(&mut self, event_gap_ms: f64, now_ms: u64) {
         self.sampled_at_ms = now_ms;
-        self.pause_ms.observe(pause_ms);
+        self.event_gap_ms.observe(event_gap_ms);
     }
 
-    /// Takes a peer's word for the time between two events, if this entry has no recent sample;
-    /// whether it did.
+    /// Applies the event gap that a peer measured, if this entry has no recent sample. Returns
+    /// whether it was applied.
     ///
     /// ```
     /// let mut health = sardinewood::direct::placement::health::ObservedHealth::default();
-    /// assert!(health.hear_event_ms(15.0, 0));
-    /// assert_eq!(health.event_ms(), Some(15.0));
-    /// ```
-    pub fn hear_event_ms(&mut self, event_ms: f64, now_ms: u64) -> bool {
-        let is_news =
-            self.pause_ms.value().is_none() || now_ms > self.sampled_at_ms + OWN_SAMPLE_MS;
-        if is_news {
-            self.pause_ms = MovingAverage::default();
-            self.pause_ms.observe(event_ms);
+    /// assert!(health.merge_event_gap_ms(15.0, 0));
+    /// assert_eq!(health.event_gap_ms(), Some(15.0));
+    /// ```
+    pub fn merge_event_gap_ms(&mut self, event_gap_ms: f64, now_ms: u64) -> bool {
+        let is_newer =
+            self.event_gap_ms.value().is_none() || now_ms > self.sampled_at_ms + OWN_SAMPLE_TTL_MS;
+        if is_newer {
+            self.event_gap_ms = MovingAverage::default();
+            self.event_gap_ms.observe(event_gap_ms);
         }
-        is_news
+        is_newer
     }
 
-    /// Notes how long a whole answer took.
+    /// Records the duration of a complete answer.
     ///
     /// ```
     /// sardinewood::direct::placement::health::ObservedHealth::default().answered_after(30.0);
@@ -160,31 +162,31 @@
         self.answer_ms.observe(answer_ms);
     }
 
-    /// Notes how a call ended.
+    /// Records how an attempt ended.
     ///
     /// ```
     /// # use sardinewood::direct::placement::health::{AttemptOutcome, ObservedHealth};
-    /// ObservedHealth::default().ended(AttemptOutcome::Answered, 0);
+    /// ObservedHealth::default().record_outcome(AttemptOutcome::Answered, 0);
     /// ```
-    pub fn ended(&mut self, ended: AttemptOutcome, now_ms: u64) {
-        let failed = match ended {
+    pub fn record_outcome(&mut self, outcome: AttemptOutcome, now_ms: u64) {
+        let failed = match outcome {
             AttemptOutcome::Answered => 0.0,
             AttemptOutcome::Failed | AttemptOutcome::Broken => 1.0,
             AttemptOutcome::Declined | AttemptOutcome::Misdirected | AttemptOutcome::Abandoned => {
                 return;
             }
         };
-        self.failures += (failed - self.failures) * SAMPLE_PART;
-        if ended == AttemptOutcome::Broken {
-            let pause_ms = (FIRST_PAUSE_MS << self.strikes.min(8)).min(MOST_PAUSE_MS);
-            self.strikes += 1;
+        self.failure_rate += (failed - self.failure_rate) * SAMPLE_WEIGHT;
+        if outcome == AttemptOutcome::Broken {
+            let pause_ms = (MIN_PAUSE_MS << self.consecutive_failures.min(8)).min(MAX_PAUSE_MS);
+            self.consecutive_failures += 1;
             self.paused_until_ms = now_ms + pause_ms;
         } else {
-            self.strikes = 0;
+            self.consecutive_failures = 0;
         }
     }
 
-    /// Whether the upstream is left alone for now.
+    /// Returns whether the upstream is paused after a failure.
     ///
     /// ```
     /// assert!(!sardinewood::direct::placement::health::ObservedHealth::default().is_paused(0));
@@ -194,17 +196,17 @@
         now_ms < self.paused_until_ms
     }
 
-    /// Whether so many answers fail that others are to be preferred.
+    /// Returns whether so many answers fail that other upstreams are preferred.
     ///
     /// ```
-    /// assert!(!sardinewood::direct::placement::health::ObservedHealth::default().is_bad());
+    /// assert!(!sardinewood::direct::placement::health::ObservedHealth::default().is_failing());
     /// ```
     #[must_use]
-    pub fn is_bad(&self) -> bool {
-        self.failures > BAD_PART
+    pub fn is_failing(&self) -> bool {
+        self.failure_rate > FAILING_SHARE
     }
 
-    /// Time to read a token of a prompt, if that was seen.
+    /// Returns the time to read a prompt token, if it was measured.
     ///
     /// ```
     /// let mut health = sardinewood::direct::placement::health::ObservedHealth::default();
@@ -213,10 +215,10 @@
     /// ```
     #[must_use]
     pub fn prefill_ms_per_token(&self) -> Option<f64> {
-        self.reading.ms_per_token()
+        self.prefill.ms_per_token()
     }
 
-    /// Time of a plain answer, 0 if none was seen: an upstream that nobody has asked yet
+    /// Returns the duration of a plain answer, 0 if none was measured. An upstream without answers
     /// counts as fast, so that it is tried.
     ///
     /// ```
@@ -227,13 +229,13 @@
         self.answer_ms.value().unwrap_or_default()
     }
 
-    /// Time between two events, if it is known.
+    /// Returns the event gap, if it was measured.
     ///
     /// ```
-    /// assert_eq!(sardinewood::direct::placement::health::ObservedHealth::default().event_ms(), None);
+    /// assert_eq!(sardinewood::direct::placement::health::ObservedHealth::default().event_gap_ms(), None);
     /// ```
     #[must_use]
-    pub fn event_ms(&self) -> Option<f64> {
-        self.pause_ms.value()
+    pub fn event_gap_ms(&self) -> Option<f64> {
+        self.event_gap_ms.value()
     }
 }
--- a/lib/src/direct/placement/job.rs
+++ b/lib/src/direct/placement/job.rs
@@ -1,80 +1,82 @@
-//! A request as its order and its place depend on it: what it is worth, how long it waits.
+//! A request as the scheduler sees it: its worth, and how long it waits.
 
 use std::sync::Arc;
 
-use crate::direct::placement::shared_prefix::KeptAt;
+use crate::direct::placement::shared_prefix::CachedPrefix;
 use crate::direct::placement::shared_prefix::SharedPrefix;
 use crate::direct::sharing::admission;
 use crate::numbers;
 
-/// Part of a request's worth that does not depend on its size, from the operators' sheets.
-const FIXED_WORTH: f64 = 0.3;
-/// The most that a large request is worth, in relation to a usual one of its kind.
-const MOST_WORTH: f64 = 4.0;
-/// Worth of a customer's requests in relation to those of a customer one tier before it. Any
-/// request of the first goes before any but the most important of the second.
+/// Share of a request's worth that does not depend on its size, from the operators' sheets.
+const FIXED_WORTH_SHARE: f64 = 0.3;
+/// Upper bound of a request's size factor, relative to a typical request of its kind.
+const MAX_SIZE_FACTOR: f64 = 4.0;
+/// Worth of a customer's requests relative to those of a customer one tier above. With this factor
+/// any request of the first customer goes before all but the most important requests of the second.
 const CUSTOMER_FACTOR: f64 = 0.05;
-/// Unit of a request's worth: fine enough for the least important of a customer far behind.
-const WORTH_MICROS: f64 = 1_000_000.0;
-/// Bounds of a request's worth for the time that it takes, in relation to a usual one of its
-/// kind. Short ones first serves more callers in the same time, but in a fleet far beyond its
-/// capacity whatever comes last in a strict order is hardly served. No bound helps against that;
-/// the account of what each size is owed does.
-const LEAST_DENSITY: f64 = 1.0;
-const MOST_DENSITY: f64 = 1.3;
-/// Part of the objective for which any request may wait, in percent: what starts later can
-/// hardly be in time.
-const LEAST_WAIT_PERCENT: u64 = 60;
-/// Part of the caller's patience for which the most important may wait, in percent: the first
-/// event has to come within the rest.
-const MOST_WAIT_PERCENT: u64 = 85;
-/// Part of its time after which a refused caller comes back. Of a quarter and a tenth, the
-/// tenth served more on heavy days (0.01 of the worth) and its callers a second sooner.
-const COME_BACK_PARTS: u64 = 10;
-/// Shortest time that a refused caller is asked to stay away.
+/// Units per 1.0 of worth. Fine enough for the least important request of a customer several tiers
+/// down.
+const MICROS_PER_WORTH: f64 = 1_000_000.0;
+/// Bounds of the worth per slot time of a request, relative to a typical request of its kind.
+/// Starting short requests first serves more callers in the same time, but under heavy overload the
+/// last in a strict order is hardly served at all. No bound prevents that; the size fairness, which
+/// tracks the start deficit of each size, does.
+const MIN_DENSITY: f64 = 1.0;
+const MAX_DENSITY: f64 = 1.3;
+/// Share of the objective, in percent, for which any request may wait. A request that starts later
+/// can hardly be in time.
+const MIN_WAIT_PERCENT: u64 = 60;
+/// Share of the caller's patience, in percent, for which the most important requests may wait. The
+/// first event has to arrive within the rest.
+const MAX_WAIT_PERCENT: u64 = 85;
+/// A refused caller is asked to retry after its remaining time divided by this. Compared with a
+/// quarter of the time, a tenth served more on heavy days (0.01 of the worth), and served the
+/// callers a second sooner.
+const RETRY_AFTER_DIVISOR: u64 = 10;
+/// Lower bound of the retry delay of a refused caller.
 pub const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// A request as far as its order and its place depend on it.
+/// A request as the scheduler sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Names it within this entry.
+    /// Id of the request within this entry.
     pub id: u64,
-    /// The service that it is for.
+    /// Service that the request is sent to.
     pub service: Arc<str>,
-    /// Importance of its route, 0 the highest.
+    /// Tier of the route; 0 is the most important.
     pub tier: u8,
-    /// Importance of its customer, which goes before that of the route.
+    /// Tier of the customer, which takes precedence over the tier of the route.
     pub customer_tier: u8,
-    /// Size of its prompt, 0 for plain calls.
+    /// Number of prompt tokens; 0 for plain calls.
     pub prompt_tokens: u32,
-    /// Tokens that its caller expects of the answer.
+    /// Number of answer tokens that the caller expects.
     pub expected_output_tokens: Option<u32>,
-    /// Its size in relation to the mean of its route.
+    /// Size relative to the mean of the route.
     pub relative_size: f64,
-    /// Its expected time at an engine in relation to the mean of its route.
+    /// Expected hold time at an engine relative to the mean of the route.
     pub relative_hold: f64,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived_ms: u64,
-    /// Until when its answer is worth most.
+    /// Time until which the answer has its full worth.
     pub objective_at_ms: u64,
-    /// When its caller gets an answer in any case.
+    /// Deadline, at which the caller gets an answer in any case.
     pub deadline_at_ms: u64,
-    /// When its caller leaves if nothing has come yet.
+    /// Time at which the caller is expected to leave if it has received nothing.
     pub caller_leaves_at_ms: u64,
-    /// Upstreams that have had it.
+    /// Upstreams that the request was already sent to.
     pub tried_upstreams: Vec<Arc<str>>,
-    /// The start of its prompt, if other requests may have it as well.
+    /// Prefix of the prompt that other requests may share.
     pub shared_prefix: Option<SharedPrefix>,
-    /// Engines that are likely to keep that start, the likeliest first.
-    pub cached_at: Vec<KeptAt>,
-    /// Whether its size is owed a start, so that it goes first of its kind.
+    /// Engines that are likely to have cached the shared prefix, the most likely first.
+    pub cached_at: Vec<CachedPrefix>,
+    /// Whether the request's size has a start deficit, so that the request goes first of its kind.
     pub has_start_deficit: bool,
-    /// Whether it judges the version of the upstream that it goes to.
+    /// Whether this is a canary request, by which a new version of the upstream is judged.
     pub is_canary: bool,
 }
 
 impl Job {
-    /// Tokens of its prompt that an engine is likely to keep.
+    /// Returns the number of prompt tokens that an engine is likely to have cached.
     ///
     /// ```
     /// # use sardinewood::direct::placement::job::Job;
@@ -88,11 +90,11 @@
     pub fn cached_tokens(&self, instance: &str) -> u32 {
         self.cached_at
             .iter()
-            .find(|kept| &*kept.instance == instance)
-            .map_or(0, |kept| kept.tokens.min(self.prompt_tokens))
+            .find(|cached| &*cached.instance == instance)
+            .map_or(0, |cached| cached.tokens.min(self.prompt_tokens))
     }
 
-    /// Tokens of its prompt that an engine is likely to read.
+    /// Returns the number of prompt tokens that an engine is likely to have to read.
     ///
     /// ```
     /// # use sardinewood::direct::placement::job::Job;
@@ -107,11 +109,12 @@
         self.prompt_tokens - self.cached_tokens(instance)
     }
 
-    /// What it is worth if it is in time, in millionths of one of the first tier and of
-    /// usual size.
+    /// Returns the worth of the request if it is in time, in millionths of the worth of a
+    /// first-tier request of typical size.
     ///
-    /// A long document is worth more than a short one of the same kind, and keeps an engine
-    /// busy for longer: without this, what can't be in time for its very size comes last.
+    /// A long document is worth more than a short one of the same kind, but keeps an engine busy
+    /// for longer. Without the size factor, requests that miss their objective because of their
+    /// size would always come last.
     ///
     /// ```
     /// # use sardinewood::direct::placement::job::Job;
@@ -123,23 +126,24 @@
     /// ```
     #[must_use]
     pub fn worth_micros(&self) -> u32 {
-        let size = (FIXED_WORTH + (1.0 - FIXED_WORTH) * self.relative_size).min(MOST_WORTH);
+        let size = (FIXED_WORTH_SHARE + (1.0 - FIXED_WORTH_SHARE) * self.relative_size)
+            .min(MAX_SIZE_FACTOR);
         let density = if self.has_start_deficit {
-            MOST_DENSITY
+            MAX_DENSITY
         } else {
-            (size / self.relative_hold).clamp(LEAST_DENSITY, MOST_DENSITY)
+            (size / self.relative_hold).clamp(MIN_DENSITY, MAX_DENSITY)
         };
         let customer = CUSTOMER_FACTOR.powi(i32::from(self.customer_tier));
-        let micros = admission::tier_worth(self.tier) * customer * density * WORTH_MICROS;
+        let micros = admission::tier_worth(self.tier) * customer * density * MICROS_PER_WORTH;
         numbers::whole_u32(micros).max(1)
     }
 
-    /// Until when the request waits for room.
+    /// Returns the time until which the request waits for a slot.
     ///
-    /// The most important waits for as long as its caller does, since late is better than
-    /// never. What is worth less gives up its place the sooner: under overload it would be
-    /// passed by until its caller left, and its caller can come back in calmer time if it is
-    /// told so early.
+    /// The most important requests wait for as long as their callers do, because a late answer is
+    /// better than none. Less important requests stop waiting sooner: under overload they would be
+    /// passed over until their callers leave. A caller that is refused early can retry at a calmer
+    /// time.
     ///
     /// ```
     /// # use sardinewood::direct::placement::job::Job;
@@ -152,16 +156,16 @@
     /// ```
     #[must_use]
     pub fn waits_until_ms(&self) -> u64 {
-        let least_ms = (self.objective_at_ms - self.arrived_ms) * LEAST_WAIT_PERCENT / 100;
+        let min_ms = (self.objective_at_ms - self.arrived_ms) * MIN_WAIT_PERCENT / 100;
         let caller_leaves_at_ms = self.caller_leaves_at_ms.min(self.deadline_at_ms);
-        let most_ms = caller_leaves_at_ms.saturating_sub(self.arrived_ms) * MOST_WAIT_PERCENT / 100;
-        let beyond_ms =
-            numbers::as_f64(most_ms.saturating_sub(least_ms)) * admission::tier_worth(self.tier);
-        self.arrived_ms + least_ms.min(most_ms) + numbers::whole_u64(beyond_ms)
+        let max_ms = caller_leaves_at_ms.saturating_sub(self.arrived_ms) * MAX_WAIT_PERCENT / 100;
+        let extra_ms =
+            numbers::as_f64(max_ms.saturating_sub(min_ms)) * admission::tier_worth(self.tier);
+        self.arrived_ms + min_ms.min(max_ms) + numbers::whole_u64(extra_ms)
     }
 
-    /// When a refused caller should come back: after a part of its time, so that whoever has
-    /// more time stays away for longer.
+    /// Returns the retry delay for a refused caller, a share of its remaining time. A caller with
+    /// more time left is asked to wait longer.
     ///
     /// ```
     /// # use sardinewood::direct::placement::job::Job;
@@ -173,6 +177,6 @@
     /// ```
     #[must_use]
     pub fn retry_after_ms(&self, now_ms: u64) -> u64 {
-        (self.deadline_at_ms.saturating_sub(now_ms) / COME_BACK_PARTS).max(MIN_RETRY_AFTER_MS)
+        (self.deadline_at_ms.saturating_sub(now_ms) / RETRY_AFTER_DIVISOR).max(MIN_RETRY_AFTER_MS)
     }
 }
--- a/lib/src/direct/placement/shared_prefix.rs
+++ b/lib/src/direct/placement/shared_prefix.rs
@@ -1,9 +1,10 @@
-//! Which engines are likely to keep the start of a prompt that many requests share.
+//! Which engines are likely to have cached a prompt prefix that many requests share.
 //!
-//! An engine does not read again what it has kept of earlier prompts. No entry sees all requests, so
-//! none knows what each engine keeps. Instead all entries agree, by hashing, on a few engines for
-//! each shared start, its homes, and send its requests there if they can: then the homes do keep
-//! it. A belief that is wrong costs time for reading, never an answer.
+//! An engine does not read a prefix again that it has cached from earlier prompts. No entry sees
+//! all requests, so none knows the cache of each engine. Instead, all entries choose the same few
+//! preferred engines for each shared prefix by rendezvous hashing, and send its requests to them if
+//! possible, so that these engines do have it cached. A wrong estimate costs prefill time, never an
+//! answer.
 
 use std::sync::Arc;
 
@@ -11,44 +12,47 @@
 
 use crate::numbers;
 
-/// Shared starts below this size are read as fast as a request is sent, so they bind no choice.
-const LEAST_TOKENS: u32 = 128;
-/// Homes of a start in relation to the engines that its requests keep busy. With fewer, its
-/// requests would wait for each other; with more, each home reads it once for fewer requests.
-const HOMES_PER_LOAD: f64 = 2.0;
-/// Speed of the slowest engine that is a home, in relation to the usual one.
-const SLOWEST_HOME: f64 = 0.35;
-/// Homes beyond this part of all engines: then they all keep the start, and none is preferred.
-const EVERYWHERE_PART: f64 = 0.5;
-/// Part of a start that is taken to be kept at the engine next in order after its homes, where
-/// its requests go if the homes have no room.
-const NEXT_KEPT_PART: f64 = 0.25;
-/// Requests after which what was counted of starts counts half.
-const HALVED_AFTER: u32 = 512;
-/// Starts that are counted at a time; those seen least are forgotten first.
-const MOST_COUNTED: usize = 2_048;
+/// Shorter prefixes do not influence the choice of an engine, because reading them takes no longer
+/// than sending the request.
+const MIN_TOKENS: u32 = 128;
+/// Number of preferred engines of a prefix, relative to the number of engines that its requests
+/// keep busy. With fewer engines the requests would wait for each other; with more, each engine
+/// reads the prefix for fewer requests.
+const ENGINES_PER_LOAD: f64 = 2.0;
+/// Lowest speed of a preferred engine, relative to the typical engine.
+const MIN_PREFERRED_SPEED: f64 = 0.35;
+/// Share of all engines above which no engine is preferred: at that load all of them have the
+/// prefix cached.
+const MAX_PREFERRED_SHARE: f64 = 0.5;
+/// Share of a prefix that is assumed to be cached at the next engine after the preferred ones,
+/// which gets the requests if the preferred engines have no free slot.
+const NEXT_ENGINE_CACHED_SHARE: f64 = 0.25;
+/// Number of requests after which the prefix counts are halved.
+const HALVING_INTERVAL_REQUESTS: u32 = 512;
+/// Upper bound of the prefixes that are counted; the least frequent are dropped first.
+const MAX_PREFIXES: usize = 2_048;
 
-/// The start of a prompt that other requests have as well: all of its parts but the last, which
-/// is the request's own.
+/// A prompt prefix that other requests may share: all parts of the prompt except the last one,
+/// which belongs to the request alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedPrefix {
-    /// Names the chain of its parts; the same parts in another order have another name.
+    /// Hash of the sequence of parts; the same parts in another order have another hash.
     pub name: u64,
-    /// Tokens in all of its parts.
+    /// Number of tokens in all parts.
     pub tokens: u32,
-    /// Part of recent requests that began with it; 0 if this is the first.
+    /// Share of recent requests that started with this prefix; 0 for the first one.
     pub share: f64,
 }
 
 impl SharedPrefix {
-    /// Reads parts, of which each has a name and its tokens; none if only one is given, or if they
-    /// have more tokens than can be counted.
+    /// Creates the shared prefix of a prompt from its parts, each given as name and number of
+    /// tokens. Returns `None` if there is only one part or if the number of tokens overflows.
     ///
     /// ```
     /// use sardinewood::direct::placement::shared_prefix::SharedPrefix;
     ///
-    /// let start = SharedPrefix::of(&[("a1", 800), ("b2", 410), ("c3", 250)]).unwrap();
-    /// assert_eq!(start.tokens, 1_210);
+    /// let prefix = SharedPrefix::of(&[("a1", 800), ("b2", 410), ("c3", 250)]).unwrap();
+    /// assert_eq!(prefix.tokens, 1_210);
     /// assert_eq!(SharedPrefix::of(&[("a1", 800)]), None);
     /// ```
     #[must_use]
@@ -70,158 +74,160 @@
         })
     }
 
-    /// Whether it is long enough for engines to be preferred that keep it.
+    /// Returns whether the prefix is long enough to prefer engines that have it cached.
     ///
     /// ```
     /// use sardinewood::direct::placement::shared_prefix::SharedPrefix;
     ///
-    /// assert!(!SharedPrefix::of(&[("a1", 60), ("b2", 800)]).unwrap().is_worth_placing());
+    /// assert!(!SharedPrefix::of(&[("a1", 60), ("b2", 800)]).unwrap().is_long_enough());
     /// ```
     #[must_use]
-    pub fn is_worth_placing(&self) -> bool {
-        self.tokens >= LEAST_TOKENS
+    pub fn is_long_enough(&self) -> bool {
+        self.tokens >= MIN_TOKENS
     }
 }
 
-/// An engine that is likely to keep a part of a prompt.
+/// An engine that is likely to have cached a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptAt {
-    /// The engine.
+pub struct CachedPrefix {
+    /// Instance of the engine.
     pub instance: Arc<str>,
-    /// Tokens that it is likely to keep.
+    /// Number of prompt tokens that are likely to be cached.
     pub tokens: u32,
 }
 
-/// An engine as it is ranked for a start.
+/// An engine that can be ranked for a prefix.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The engine.
+    /// Instance of the engine.
     pub instance: Arc<str>,
-    /// Its short name, which all entries know it by.
-    pub name: u32,
-    /// Its speed in relation to the usual one.
+    /// Upstream hash, the same at all entries.
+    pub hash: u32,
+    /// Speed relative to the typical engine.
     pub speed: f64,
 }
 
-/// The engines that are likely to keep a start, the likeliest first.
+/// Returns the engines that are likely to have cached a prefix, the most likely first.
 ///
-/// Slow engines are chosen for fewer starts, and the slowest for none.
+/// Slow engines are chosen for fewer prefixes, and the slowest for none.
 ///
 /// ```
-/// use sardinewood::direct::placement::shared_prefix::{Candidate, SharedPrefix, homes};
+/// use sardinewood::direct::placement::shared_prefix::{Candidate, SharedPrefix, preferred_engines};
 ///
-/// let engine = |name: u32| Candidate { instance: format!("i-{name}").into(), name, speed: 1.0 };
-/// let start = SharedPrefix { name: 7, tokens: 4_000, share: 0.0 };
-/// let homes = homes(start, (0..20).map(engine).collect());
-/// assert_eq!(homes[0].tokens, 4_000);
-/// assert!(homes[1].tokens < 4_000);
+/// let engine = |hash: u32| Candidate { instance: format!("i-{hash}").into(), hash, speed: 1.0 };
+/// let prefix = SharedPrefix { name: 7, tokens: 4_000, share: 0.0 };
+/// let preferred_engines = preferred_engines(prefix, (0..20).map(engine).collect());
+/// assert_eq!(preferred_engines[0].tokens, 4_000);
+/// assert!(preferred_engines[1].tokens < 4_000);
 /// ```
 #[must_use]
-pub fn homes(start: SharedPrefix, engines: Vec<Candidate>) -> Vec<KeptAt> {
+pub fn preferred_engines(prefix: SharedPrefix, engines: Vec<Candidate>) -> Vec<CachedPrefix> {
     let engines: Vec<Candidate> = engines
         .into_iter()
         .filter(|engine| weight(engine.speed) > 0.0)
         .collect();
-    if !start.is_worth_placing() || engines.is_empty() {
+    if !prefix.is_long_enough() || engines.is_empty() {
         return Vec::new();
     }
     let count = numbers::as_f64(engines.len() as u64);
-    let wanted = 1.0 + (start.share * count * HOMES_PER_LOAD).floor();
-    if wanted > 1.0 && wanted > count * EVERYWHERE_PART {
+    let preferred_count = 1.0 + (prefix.share * count * ENGINES_PER_LOAD).floor();
+    if preferred_count > 1.0 && preferred_count > count * MAX_PREFERRED_SHARE {
         return Vec::new();
     }
     let mut ranked: Vec<(f64, Arc<str>)> = engines
         .into_iter()
-        .map(|engine| (rank(start.name, &engine), engine.instance))
+        .map(|engine| (rendezvous_score(prefix.name, &engine), engine.instance))
         .collect();
     ranked.sort_by(|one, other| one.0.total_cmp(&other.0));
-    let wanted = usize::try_from(numbers::whole_u64(wanted)).unwrap_or(1);
-    let kept = f64::from(start.tokens);
+    let preferred_count = usize::try_from(numbers::whole_u64(preferred_count)).unwrap_or(1);
+    let prefix_tokens = f64::from(prefix.tokens);
     ranked
         .into_iter()
-        .take(wanted + 1)
+        .take(preferred_count + 1)
         .enumerate()
-        .map(|(index, (_, instance))| KeptAt {
+        .map(|(index, (_, instance))| CachedPrefix {
             instance,
-            tokens: if index < wanted {
-                start.tokens
+            tokens: if index < preferred_count {
+                prefix.tokens
             } else {
-                numbers::whole_u32(kept * NEXT_KEPT_PART)
+                numbers::whole_u32(prefix_tokens * NEXT_ENGINE_CACHED_SHARE)
             },
         })
         .collect()
 }
 
-/// The place of an engine in the order for a start; the least comes first. Of engines with
-/// weights, each comes first as often as its weight says.
-fn rank(start: u64, engine: &Candidate) -> f64 {
-    let hash = twox_hash::XxHash64::oneshot(start, &engine.name.to_be_bytes());
+/// Returns the weighted rendezvous score of an engine for a prefix; the lowest score ranks first.
+/// An engine ranks first for a share of the prefixes in proportion to its weight.
+fn rendezvous_score(prefix: u64, engine: &Candidate) -> f64 {
+    let hash = twox_hash::XxHash64::oneshot(prefix, &engine.hash.to_be_bytes());
     let uniform = (numbers::as_f64(hash >> 12) + 0.5) / numbers::as_f64(1 << 52);
     -uniform.ln() / weight(engine.speed)
 }
 
-/// Speeds in classes: entries see them a little differently, and have to agree. An engine several
-/// times slower than the usual one is no home: to read a long start for the first time takes it
-/// longer than callers wait.
+/// Returns the weight of an engine by its speed. Speeds are put into classes because entries
+/// measure them slightly differently but have to agree. An engine several times slower than the
+/// typical one is never preferred: it would take longer than callers wait to read a long prefix for
+/// the first time.
 fn weight(speed: f64) -> f64 {
     match speed {
         speed if speed >= 0.7 => 1.0,
-        speed if speed >= SLOWEST_HOME => 0.5,
+        speed if speed >= MIN_PREFERRED_SPEED => 0.5,
         _ => 0.0,
     }
 }
 
-/// How many of the recent requests began with each start, as far as one entry has seen.
+/// Counts how many of the recent requests started with each prefix, as seen by one entry.
 ///
 /// ```
 /// use sardinewood::direct::placement::shared_prefix::PrefixPopularity;
 ///
 /// let mut popularity = PrefixPopularity::default();
-/// assert!(popularity.note(7) < 1e-9);
-/// popularity.note(8);
-/// assert!((popularity.note(7) - 1.0 / 3.0).abs() < 1e-9);
+/// assert!(popularity.record(7) < 1e-9);
+/// popularity.record(8);
+/// assert!((popularity.record(7) - 1.0 / 3.0).abs() < 1e-9);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PrefixPopularity {
     counts: IndexMap<u64, f64>,
-    all: f64,
+    total: f64,
     since_halved: u32,
 }
 
 impl PrefixPopularity {
-    /// Notes a request that begins with a start; the part of recent requests that did before.
+    /// Records a request that starts with a prefix. Returns the share of earlier recent requests
+    /// that started with it.
     ///
     /// ```
     /// # use sardinewood::direct::placement::shared_prefix::PrefixPopularity;
-    /// assert!(PrefixPopularity::default().note(7) < 1e-9);
+    /// assert!(PrefixPopularity::default().record(7) < 1e-9);
     /// ```
-    pub fn note(&mut self, start: u64) -> f64 {
+    pub fn record(&mut self, prefix: u64) -> f64 {
         self.since_halved += 1;
-        if self.since_halved >= HALVED_AFTER {
+        if self.since_halved >= HALVING_INTERVAL_REQUESTS {
             self.halve();
         }
-        self.all += 1.0;
-        let count = self.counts.entry(start).or_default();
+        self.total += 1.0;
+        let count = self.counts.entry(prefix).or_default();
         let before = *count;
         *count += 1.0;
-        if self.counts.len() > MOST_COUNTED {
+        if self.counts.len() > MAX_PREFIXES {
             self.halve();
         }
-        before / self.all
+        before / self.total
     }
 
     fn halve(&mut self) {
-        const FORGOTTEN: f64 = 0.6;
+        const MIN_COUNT: f64 = 0.6;
         self.since_halved = 0;
-        self.all /= 2.0;
+        self.total /= 2.0;
         self.counts.retain(|_, count| {
             *count /= 2.0;
-            *count > FORGOTTEN
+            *count > MIN_COUNT
         });
-        // If more starts are asked for often than can be counted, none of them is hot.
-        if self.counts.len() > MOST_COUNTED / 2 {
+        // If more prefixes are frequent than can be counted, none of them is popular.
+        if self.counts.len() > MAX_PREFIXES / 2 {
             self.counts.clear();
-            self.all = 0.0;
+            self.total = 0.0;
         }
     }
 }
--- a/lib/src/direct/placement/slot_search.rs
+++ b/lib/src/direct/placement/slot_search.rs
@@ -1,6 +1,7 @@
-//! Which doors a waiting request asks, and when it stops waiting.
+//! The search of a waiting request for a slot: which admission queues it asks, and when it stops
+//! waiting.
 //!
-//! It decides and sends nothing: an event and the time go in, and what to do next comes out.
+//! This module does no I/O: it takes an event and the time, and returns the next steps.
 
 use std::sync::Arc;
 
@@ -12,53 +13,55 @@
 use crate::direct::sharing::admission::SlotRequest;
 use crate::numbers::signed;
 
-/// Silence of a door after which another one is asked, and at last the engine itself. Doors
-/// answer within a round trip of a few milliseconds; a lost datagram is rarer than this.
+/// Time without a reply from an admission queue after which another one is asked, and finally the
+/// engine is called without a grant. Admission queues reply within a round trip of a few
+/// milliseconds, and a missing reply is seldom due to a lost datagram.
 pub const REPLY_TIMEOUT_MS: u64 = 40;
-/// Time after which a waiting question is sent again, in case its door has changed hands.
-const ASK_AGAIN_MS: u64 = 250;
+/// Time after which a waiting slot request is sent again, in case the admission queue has moved to
+/// another owner.
+const RESEND_AFTER_MS: u64 = 250;
 
-/// How long a request waits for an engine that keeps the start of its prompt, in times of the
-/// reading that is saved there.
-const WAITED_FOR_SAVED: u64 = 5;
-/// Bits of a random number that choose among upstreams.
-const DRAW_BITS: u64 = 0xffff;
+/// The longest wait for an engine that has cached the request's shared prefix, as a multiple of the
+/// prefill time that the cache saves.
+const MAX_WAIT_PER_SAVED_TIME: u64 = 5;
+/// Mask for the bits of a random number that are used to choose an upstream.
+const DRAW_MASK: u64 = 0xffff;
 
-/// What a waiting request does next.
+/// A step that a waiting request takes next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SearchStep {
-    /// Asks the door of an engine, perhaps not for the first time.
+    /// Sends a slot request to an engine's admission queue, for the first time or again.
     RequestSlot {
-        /// Names the question.
+        /// Id of the slot request.
         id: PeerRequestId,
-        /// The engine.
+        /// Instance of the engine.
         instance: Arc<str>,
     },
-    /// Takes a question back.
+    /// Cancels a slot request.
     CancelSlotRequest {
-        /// The question.
+        /// Id of the slot request.
         id: PeerRequestId,
-        /// The engine.
+        /// Instance of the engine.
         instance: Arc<str>,
     },
-    /// Goes to an engine whose door does not answer.
+    /// Starts at an engine whose admission queue does not reply.
     StartWithoutGrant {
-        /// The engine.
+        /// Instance of the engine.
         instance: Arc<str>,
     },
-    /// Gives up.
+    /// Ends the search without a slot.
     Refuse,
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct OpenSlotRequest {
     id: PeerRequestId,
     instance: Arc<str>,
-    at_ms: u64,
+    sent_at_ms: u64,
     wait_ms: Option<u32>,
 }
 
-/// A request that waits for room at an upstream, and the doors that it has asked.
+/// A request that waits for a slot, and its open slot requests.
 ///
 /// ```
 /// use sardinewood::direct::placement::slot_search::{SlotSearch, SearchStep};
@@ -69,28 +72,28 @@
 /// #     shared_prefix: None, cached_at: Vec::new(), has_start_deficit: false, is_canary: false };
 ///
 /// // There is no engine, so the request is refused at once.
-/// let mut asking = SlotSearch::new(job);
-/// let next = asking.start(&Dispatcher::default(), 0, || 1);
+/// let mut search = SlotSearch::new(job);
+/// let next = search.start(&Dispatcher::default(), 0, || 1);
 /// assert_eq!(next, [SearchStep::Refuse]);
 /// ```
 #[derive(Clone, Debug)]
 pub struct SlotSearch {
-    /// The request.
+    /// The waiting request.
     pub job: Job,
-    asks: Vec<Asked>,
+    open_requests: Vec<OpenSlotRequest>,
 }
 
 impl SlotSearch {
-    /// A request that has asked nobody yet; see [`SlotSearch`].
+    /// Creates a search without any slot requests; see [`SlotSearch`].
     #[must_use]
     pub fn new(job: Job) -> Self {
         Self {
             job,
-            asks: Vec::new(),
+            open_requests: Vec::new(),
         }
     }
 
-    /// Asks a first door. `random` gives a new number at each call.
+    /// Sends the first slot request. `random` returns a new number at each call.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
@@ -108,12 +111,13 @@
         random: impl FnMut() -> u64,
     ) -> Vec<SearchStep> {
         self.job.cached_at = dispatcher.cached_at(&self.job, now_ms);
-        let asked = self.ask_another(dispatcher, now_ms, random);
-        vec![asked.unwrap_or(SearchStep::Refuse)]
+        let step = self.ask_next_queue(dispatcher, now_ms, random);
+        vec![step.unwrap_or(SearchStep::Refuse)]
     }
 
-    /// Takes a door's reply that a question waits: others are asked as well, unless all of them
-    /// expect too long a wait.
+    /// Handles the reply that a slot request is queued. Asks another admission queue, unless it is
+    /// better to wait for a cached prefix, and refuses the request if all queues expect too long a
+    /// wait.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
@@ -132,20 +136,25 @@
         now_ms: u64,
         random: impl FnMut() -> u64,
     ) -> Vec<SearchStep> {
-        if let Some(asked) = self.asks.iter_mut().find(|asked| asked.id == request_id) {
-            asked.wait_ms = Some(wait_ms);
+        if let Some(open) = self
+            .open_requests
+            .iter_mut()
+            .find(|open| open.id == request_id)
+        {
+            open.wait_ms = Some(wait_ms);
         }
-        if self.is_hopeless(now_ms) {
+        if self.expects_too_long_waits(now_ms) {
             return vec![SearchStep::Refuse];
         }
-        if self.waits_for_what_is_kept(dispatcher) {
+        if self.prefers_to_wait_for_cache(dispatcher) {
             return Vec::new();
         }
-        let another = self.ask_another(dispatcher, now_ms, random);
+        let another = self.ask_next_queue(dispatcher, now_ms, random);
         another.into_iter().collect()
     }
 
-    /// What the time that has passed asks for: other doors, the same again, or no door at all.
+    /// Handles a timeout: asks other admission queues, sends slot requests again, or starts without
+    /// a grant.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
@@ -162,40 +171,42 @@
         now_ms: u64,
         mut random: impl FnMut() -> u64,
     ) -> Vec<SearchStep> {
-        let mut next = self.drop_gone(dispatcher, now_ms);
-        let is_silent =
-            |asked: &Asked| asked.wait_ms.is_none() && now_ms >= asked.at_ms + REPLY_TIMEOUT_MS;
-        let all_silent = self.asks.iter().all(is_silent);
-        if all_silent && !self.asks.is_empty() {
-            match self.ask_another(dispatcher, now_ms, &mut random) {
-                Some(asked) => next.push(asked),
-                None => next.extend(self.unasked(dispatcher, now_ms)),
+        let mut steps = self.cancel_unavailable(dispatcher, now_ms);
+        let is_silent = |open: &OpenSlotRequest| {
+            open.wait_ms.is_none() && now_ms >= open.sent_at_ms + REPLY_TIMEOUT_MS
+        };
+        let all_silent = self.open_requests.iter().all(is_silent);
+        if all_silent && !self.open_requests.is_empty() {
+            match self.ask_next_queue(dispatcher, now_ms, &mut random) {
+                Some(step) => steps.push(step),
+                None => steps.extend(self.start_without_grant(dispatcher, now_ms)),
             }
         }
-        for asked in &mut self.asks {
-            if now_ms >= asked.at_ms + ASK_AGAIN_MS {
-                asked.at_ms = now_ms;
-                next.push(SearchStep::RequestSlot {
-                    id: asked.id,
-                    instance: Arc::clone(&asked.instance),
+        for open in &mut self.open_requests {
+            if now_ms >= open.sent_at_ms + RESEND_AFTER_MS {
+                open.sent_at_ms = now_ms;
+                steps.push(SearchStep::RequestSlot {
+                    id: open.id,
+                    instance: Arc::clone(&open.instance),
                 });
             }
         }
-        if self.asks.is_empty() {
-            next.extend(self.ask_another(dispatcher, now_ms, random));
+        if self.open_requests.is_empty() {
+            steps.extend(self.ask_next_queue(dispatcher, now_ms, random));
         }
-        // Callers that wait for an upstream at rest would wait into their deadlines.
-        if self.asks.is_empty()
+        // If all upstreams are backing off, the request is refused, because its caller would
+        // otherwise wait until its deadline.
+        if self.open_requests.is_empty()
             && dispatcher
                 .all_backed_off_for_ms(&self.job, now_ms)
                 .is_some()
         {
-            next.push(SearchStep::Refuse);
+            steps.push(SearchStep::Refuse);
         }
-        next
+        steps
     }
 
-    /// The question to an upstream's door.
+    /// Creates the slot request for an upstream's admission queue.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::slot_search::SlotSearch, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
@@ -215,7 +226,8 @@
         dispatcher: &Dispatcher,
         now_ms: u64,
     ) -> SlotRequest {
-        // What is owed to a size is not put off again for the time that this size takes to be read.
+        // A request with a start deficit is not delayed further for the time that a prompt of its
+        // size takes to read.
         let lead_ms = if self.job.has_start_deficit {
             0
         } else {
@@ -230,7 +242,7 @@
         }
     }
 
-    /// Takes all questions back, when the request has room or waits no more.
+    /// Cancels all open slot requests, because the request has a slot or no longer waits.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::slot_search::{SlotSearch, SearchStep}, placement::dispatch::Dispatcher, sharing::admission::PeerRequestId, placement::job::Job};
@@ -241,86 +253,88 @@
     /// assert!(SlotSearch::new(job).cancel_all().is_empty());
     /// ```
     pub fn cancel_all(&mut self) -> Vec<SearchStep> {
-        self.asks.drain(..).map(take_back).collect()
+        self.open_requests.drain(..).map(cancel).collect()
     }
 
-    /// Asks one more door; none if there is none to ask.
-    fn ask_another(
+    /// Asks one more admission queue. Returns `None` if there is none left to ask.
+    fn ask_next_queue(
         &mut self,
         dispatcher: &Dispatcher,
         now_ms: u64,
         mut random: impl FnMut() -> u64,
     ) -> Option<SearchStep> {
-        if self.asks.len() >= usize::from(MAX_QUEUES_PER_REQUEST) {
+        if self.open_requests.len() >= usize::from(MAX_QUEUES_PER_REQUEST) {
             return None;
         }
-        let asked: Vec<Arc<str>> = self
-            .asks
+        let asked_instances: Vec<Arc<str>> = self
+            .open_requests
             .iter()
-            .map(|asked| Arc::clone(&asked.instance))
+            .map(|open| Arc::clone(&open.instance))
             .collect();
-        let draw = || usize::try_from(random() & DRAW_BITS).unwrap_or_default();
-        let upstream = dispatcher.choose(&self.job, &asked, now_ms, draw)?;
-        let asked = Asked {
+        let draw = || usize::try_from(random() & DRAW_MASK).unwrap_or_default();
+        let upstream = dispatcher.choose(&self.job, &asked_instances, now_ms, draw)?;
+        let open = OpenSlotRequest {
             id: PeerRequestId::from_random(random()),
             instance: Arc::clone(&upstream.instance),
-            at_ms: now_ms,
+            sent_at_ms: now_ms,
             wait_ms: None,
         };
-        let next = SearchStep::RequestSlot {
-            id: asked.id,
-            instance: Arc::clone(&asked.instance),
+        let step = SearchStep::RequestSlot {
+            id: open.id,
+            instance: Arc::clone(&open.instance),
         };
-        self.asks.push(asked);
-        Some(next)
+        self.open_requests.push(open);
+        Some(step)
     }
 
-    /// Gives up questions about upstreams that have left, so that others are asked.
-    fn drop_gone(&mut self, dispatcher: &Dispatcher, now_ms: u64) -> Vec<SearchStep> {
-        let (kept, dropped): (Vec<Asked>, Vec<Asked>) = std::mem::take(&mut self.asks)
-            .into_iter()
-            .partition(|asked| dispatcher.is_available(&asked.instance, now_ms));
-        self.asks = kept;
-        dropped.into_iter().map(take_back).collect()
+    /// Cancels slot requests for upstreams that are no longer available, so that others are asked.
+    fn cancel_unavailable(&mut self, dispatcher: &Dispatcher, now_ms: u64) -> Vec<SearchStep> {
+        let (available, unavailable): (Vec<OpenSlotRequest>, Vec<OpenSlotRequest>) =
+            std::mem::take(&mut self.open_requests)
+                .into_iter()
+                .partition(|open| dispatcher.is_available(&open.instance, now_ms));
+        self.open_requests = available;
+        unavailable.into_iter().map(cancel).collect()
     }
 
-    /// Goes to an engine whose door is silent, if there seems to be room.
-    fn unasked(&self, dispatcher: &Dispatcher, now_ms: u64) -> Option<SearchStep> {
-        let asked = self.asks.first()?;
-        let instance = Arc::clone(&asked.instance);
+    /// Starts at an engine whose admission queue does not reply, if the engine seems to have a free
+    /// slot.
+    fn start_without_grant(&self, dispatcher: &Dispatcher, now_ms: u64) -> Option<SearchStep> {
+        let open = self.open_requests.first()?;
+        let instance = Arc::clone(&open.instance);
         dispatcher
-            .has_room(&instance, now_ms)
+            .has_free_slot(&instance, now_ms)
             .then_some(SearchStep::StartWithoutGrant { instance })
     }
 
-    /// Whether to wait at an engine that keeps the start of the prompt is the better choice.
+    /// Returns whether it is better to wait for an engine that has cached the shared prefix.
     ///
-    /// Another door might grant at once, and its engine would read all of the prompt: for longer
-    /// than the wait, and at the cost of whoever runs there and of whoever needs its memory.
-    fn waits_for_what_is_kept(&self, dispatcher: &Dispatcher) -> bool {
-        self.asks.iter().any(|asked| {
-            let saved_ms = dispatcher.saved_ms(&asked.instance, &self.job);
-            asked
-                .wait_ms
-                .is_some_and(|wait_ms| u64::from(wait_ms) < saved_ms * WAITED_FOR_SAVED)
+    /// Another admission queue might grant a slot at once, but its engine would read the whole
+    /// prompt. That takes longer than the wait, slows down the requests that run there, and evicts
+    /// cached data that others need.
+    fn prefers_to_wait_for_cache(&self, dispatcher: &Dispatcher) -> bool {
+        self.open_requests.iter().any(|open| {
+            let saved_ms = dispatcher.saved_ms(&open.instance, &self.job);
+            open.wait_ms
+                .is_some_and(|wait_ms| u64::from(wait_ms) < saved_ms * MAX_WAIT_PER_SAVED_TIME)
         })
     }
 
-    /// Whether all doors expect the request to wait for too long.
-    fn is_hopeless(&self, now_ms: u64) -> bool {
+    /// Returns whether all admission queues expect too long a wait for the request.
+    fn expects_too_long_waits(&self, now_ms: u64) -> bool {
         let left_ms = self.job.waits_until_ms().saturating_sub(now_ms);
         let is_too_long = |wait_ms: u32| u64::from(wait_ms) > left_ms;
-        self.asks.len() == usize::from(MAX_QUEUES_PER_REQUEST)
+        self.open_requests.len() == usize::from(MAX_QUEUES_PER_REQUEST)
             && self
-                .asks
+                .open_requests
                 .iter()
-                .all(|asked| asked.wait_ms.is_some_and(is_too_long))
+                .all(|open| open.wait_ms.is_some_and(is_too_long))
     }
 }
 
-fn take_back(asked: Asked) -> SearchStep {
+fn cancel(open: OpenSlotRequest) -> SearchStep {
     SearchStep::CancelSlotRequest {
-        id: asked.id,
-        instance: asked.instance,
+        id: open.id,
+        instance: open.instance,
     }
 }
--- a/lib/src/direct/placement/tracked_upstream.rs
+++ b/lib/src/direct/placement/tracked_upstream.rs
@@ -1,4 +1,5 @@
-//! One upstream as an entry sees it: what runs there, whether it works, what a request costs.
+//! One upstream as an entry sees it: its running requests, whether it works, and the cost of a
+//! request there.
 
 use std::sync::Arc;
 
@@ -6,7 +7,7 @@
 
 use crate::direct::membership::peer_message::UpstreamCondition;
 use crate::direct::membership::peer_message::UpstreamLoad;
-use crate::direct::placement::baseline::Baseline;
+use crate::direct::placement::baseline::ServiceBaseline;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::placement::health::ObservedHealth;
@@ -14,114 +15,119 @@
 use crate::direct::store_view::directory::Upstream;
 use crate::numbers;
 
-/// How much slower than the best an upstream with many failures counts.
-const BAD_FACTOR: f64 = 20.0;
+/// Cost factor of an upstream with many failures.
+const FAILING_COST_FACTOR: f64 = 20.0;
 const US_PER_MS: f64 = 1_000.0;
-/// What it costs to wait at a full upstream, in usual holdings of a slot.
-const FULL_HOLDS: f64 = 1.0;
-/// How much longer than expected an answer may well be: callers' guesses are right at the
-/// median, and one in four answers is longer by this.
-const LENGTH_DOUBT: f64 = 1.4;
-/// What an answer costs that is likely to be cut at its deadline, in usual holdings.
-const CUT_HOLDS: f64 = 10.0;
-/// What the last slot of an upstream costs, in usual holdings of a slot.
-const CROWD_HOLDS: f64 = 1.0;
-/// Time without any answer beyond several times the usual after which an upstream counts as
-/// stalled. Healthy ones begin within a few hundred milliseconds, since they get only what
-/// they can begin.
+/// Cost of waiting at a full upstream, in typical hold times.
+const FULL_COST_HOLDS: f64 = 1.0;
+/// Factor by which an answer may be longer than its caller expects. Callers' estimates are right at
+/// the median, and one in four answers is longer by this factor.
+const LENGTH_MARGIN: f64 = 1.4;
+/// Cost of an answer that is likely to be cut at its deadline, in typical hold times.
+const CUT_COST_HOLDS: f64 = 10.0;
+/// Cost of the last slot of an upstream, in typical hold times.
+const LOAD_COST_HOLDS: f64 = 1.0;
+/// An upstream counts as stalled if a request has no answer after a multiple of the expected time
+/// plus this time. Healthy upstreams start to answer within a few hundred milliseconds, because
+/// they get only requests that they can start.
 const STALL_MS: u64 = 800;
 const STALL_FACTOR: f64 = 4.0;
-/// How long a peer's word of what is wrong with an upstream is believed; its heartbeats repeat it.
-const PEER_WORD_MS: u64 = 700;
+/// Time for which a condition reported by a peer is used. The peer's heartbeats repeat it.
+const PEER_CONDITION_TTL_MS: u64 = 700;
 
-/// How long an upstream is left alone at whose address another process answers. An incarnation
-/// that has ended may have written its entry late, over or beside that of its successor; the
-/// entry then stands until three heartbeats of 1.2 s have been missed, and a little is added for
-/// the way of that news. An entry that stands for longer is tried again, by one request each time.
-const GONE_MS: u64 = 4_000;
+/// Time for which an upstream is not used after another process has answered at its address. The
+/// late write of an incarnation that has ended can replace the entry of its successor or stand
+/// beside it. Such an entry stays in the list until three heartbeats of 1.2 s have been missed,
+/// plus a short time until entries learn of its removal. If the entry stays for longer, the
+/// upstream is tried again with one request at a time.
+const MISDIRECTED_PAUSE_MS: u64 = 4_000;
 
-/// An upstream, and what this entry has to do with it.
+/// An upstream and this entry's state for it.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// The upstream.
+pub struct TrackedUpstream {
+    /// The upstream's entry in the list.
     pub upstream: Arc<Upstream>,
-    /// Its short name, which is asked for with each heartbeat and each choice.
-    pub name: u32,
-    /// Whether it takes new work.
+    /// Upstream hash, kept here because each heartbeat and each choice needs it.
+    pub hash: u32,
+    /// Whether the upstream accepts new requests.
     pub is_listed: bool,
-    /// Whether it only takes requests that judge its version.
-    pub is_on_trial: bool,
-    /// Whether it limits its requests, so that only its door may start any.
+    /// Whether the upstream only accepts canary requests.
+    pub is_canary_only: bool,
+    /// Whether the upstream limits its request rate, so that requests start only with a grant of
+    /// its admission queue.
     pub is_limited: bool,
-    /// Until when it wants nothing from this entry.
-    pub rests_until_ms: u64,
-    /// Requests of this entry that run there.
+    /// End of the backoff that the upstream asked this entry for.
+    pub backoff_until_ms: u64,
+    /// Number of requests of this entry that run at the upstream.
     pub running: u32,
-    /// What its answers have told.
+    /// Measurements from the upstream's answers.
     pub health: ObservedHealth,
-    /// When a request there that has no answer yet becomes suspicious, by its number.
+    /// Times at which requests without an answer count as stalled, by id of the slot lease.
     unanswered: IndexMap<u64, u64>,
-    /// Until when a peer's word that it answers nothing is believed.
+    /// End of the time for which a peer's report of a stall is used.
     peer_stalled_until_ms: u64,
-    /// Until when it counts as gone, since another process has answered in its place.
-    gone_until_ms: u64,
-    /// Until when a peer's word of that is believed.
-    peer_gone_until_ms: u64,
+    /// End of the time for which the upstream counts as replaced, because another process has answered
+    /// at its address.
+    replaced_until_ms: u64,
+    /// End of the time for which a peer's report of that is used.
+    peer_replaced_until_ms: u64,
 }
 
-impl Place {
-    /// An upstream of which nothing is known.
+impl TrackedUpstream {
+    /// Creates the state of an upstream without measurements.
     #[must_use]
     pub fn new(upstream: &Arc<Upstream>) -> Self {
         Self {
             upstream: Arc::clone(upstream),
-            name: upstream_hash(&upstream.instance),
+            hash: upstream_hash(&upstream.instance),
             is_listed: true,
-            is_on_trial: false,
+            is_canary_only: false,
             is_limited: false,
-            rests_until_ms: 0,
+            backoff_until_ms: 0,
             running: 0,
             health: ObservedHealth::default(),
             unanswered: IndexMap::new(),
             peer_stalled_until_ms: 0,
-            gone_until_ms: 0,
-            peer_gone_until_ms: 0,
+            replaced_until_ms: 0,
+            peer_replaced_until_ms: 0,
         }
     }
 
-    /// Whether it neither breaks nor hangs.
+    /// Returns whether the upstream neither fails nor hangs.
     #[must_use]
-    pub fn works(&self, now_ms: u64) -> bool {
-        self.is_open(now_ms) && !self.health.is_paused(now_ms) && !self.is_stalled(now_ms)
+    pub fn is_working(&self, now_ms: u64) -> bool {
+        self.accepts_requests(now_ms) && !self.health.is_paused(now_ms) && !self.is_stalled(now_ms)
     }
 
-    /// Whether another process answers in its place.
+    /// Returns whether another process answers at the upstream's address.
     ///
-    /// Entries of ended upstreams come back into the list when their last write is done late.
-    /// Without this each request that goes there is declined, tried once more or refused, and
-    /// the next one goes there as well: its load is low, for it runs nothing.
+    /// The entry of an upstream that has ended returns to the list if its last write is applied
+    /// late. If such an upstream stayed in use, each request sent there would be declined and then
+    /// retried or refused, and the next one would go there as well, because an upstream without
+    /// running requests has a low load.
     #[must_use]
-    pub fn is_gone(&self, now_ms: u64) -> bool {
-        now_ms < self.gone_until_ms.max(self.peer_gone_until_ms)
+    pub fn is_replaced(&self, now_ms: u64) -> bool {
+        now_ms < self.replaced_until_ms.max(self.peer_replaced_until_ms)
     }
 
-    /// Whether it has asked this entry for rest that is not over.
+    /// Returns whether the upstream has asked this entry for a backoff that is not over.
     #[must_use]
-    pub fn is_at_rest(&self, now_ms: u64) -> bool {
-        now_ms < self.rests_until_ms
+    pub fn is_backing_off(&self, now_ms: u64) -> bool {
+        now_ms < self.backoff_until_ms
     }
 
-    /// Whether it may be sent anything. One that breaks or hangs may still be the best there is.
+    /// Returns whether the upstream may be sent requests. One that fails or hangs may still be the
+    /// best there is.
     #[must_use]
-    pub fn is_open(&self, now_ms: u64) -> bool {
-        !self.is_gone(now_ms) && !self.is_at_rest(now_ms)
+    pub fn accepts_requests(&self, now_ms: u64) -> bool {
+        !self.is_replaced(now_ms) && !self.is_backing_off(now_ms)
     }
 
-    /// What this entry itself has found wrong there; what it has from peers it does not repeat,
-    /// or they would tell each other for ever.
+    /// Returns the condition that this entry itself has observed. Conditions reported by peers are
+    /// left out, because entries would otherwise confirm each other forever.
     #[must_use]
     pub fn condition(&self, now_ms: u64) -> UpstreamCondition {
-        if now_ms < self.gone_until_ms {
+        if now_ms < self.replaced_until_ms {
             UpstreamCondition::Replaced
         } else if self.has_stalled_here(now_ms) {
             UpstreamCondition::Stalled
@@ -130,157 +136,175 @@
         }
     }
 
-    /// Whether a request has had no answer there for much longer than it should take.
+    /// Returns whether a request has had no answer for much longer than expected.
     ///
-    /// An engine that hangs takes requests like any other and breaks nothing, so without this
-    /// each entry would go on feeding it until its callers have left.
+    /// An engine that hangs accepts requests and fails none, so without this check each entry would
+    /// continue to send it requests until the callers leave.
     fn is_stalled(&self, now_ms: u64) -> bool {
         now_ms < self.peer_stalled_until_ms || self.has_stalled_here(now_ms)
     }
 
-    /// Whether that is so with a request of this entry.
+    /// Returns whether a request of this entry has stalled.
     fn has_stalled_here(&self, now_ms: u64) -> bool {
         self.unanswered.values().any(|at_ms| now_ms >= *at_ms)
     }
 
-    /// Takes a peer's word of it; the time between two events, if that was news.
-    pub fn hear(&mut self, told: &UpstreamLoad, now_ms: u64) -> Option<f64> {
-        match told.condition {
+    /// Applies a peer's report of the upstream. Returns the reported event gap if it was newer than
+    /// this entry's measurements.
+    pub fn merge_peer_report(&mut self, report: &UpstreamLoad, now_ms: u64) -> Option<f64> {
+        match report.condition {
             UpstreamCondition::Healthy => {}
-            UpstreamCondition::Stalled => self.peer_stalled_until_ms = now_ms + PEER_WORD_MS,
-            UpstreamCondition::Replaced => self.peer_gone_until_ms = now_ms + PEER_WORD_MS,
+            UpstreamCondition::Stalled => {
+                self.peer_stalled_until_ms = now_ms + PEER_CONDITION_TTL_MS;
+            }
+            UpstreamCondition::Replaced => {
+                self.peer_replaced_until_ms = now_ms + PEER_CONDITION_TTL_MS;
+            }
         }
-        if told.event_us == 0 {
+        if report.event_us == 0 {
             return None;
         }
-        let event_ms = f64::from(told.event_us) / US_PER_MS;
+        let event_gap_ms = f64::from(report.event_us) / US_PER_MS;
         self.health
-            .hear_event_ms(event_ms, now_ms)
-            .then_some(event_ms)
+            .merge_event_gap_ms(event_gap_ms, now_ms)
+            .then_some(event_gap_ms)
     }
 
-    /// Notes that a request was sent whose answer usually begins after so long.
+    /// Records that a request was sent, and the expected time to its first event.
     pub fn sent(&mut self, id: u64, first_ms: f64, now_ms: u64) {
-        let usual_ms = numbers::whole_u64(first_ms * STALL_FACTOR);
-        self.unanswered.insert(id, now_ms + STALL_MS + usual_ms);
+        let expected_ms = numbers::whole_u64(first_ms * STALL_FACTOR);
+        self.unanswered.insert(id, now_ms + STALL_MS + expected_ms);
     }
 
-    /// Notes that the first part of a request's answer has come.
+    /// Records that the first part of a request's answer has arrived.
     pub fn answered(&mut self, id: u64) {
         self.unanswered.swap_remove(&id);
         self.peer_stalled_until_ms = 0;
     }
 
-    /// Frees the room of a request; how it ended, which is badly if it had stalled.
-    pub fn finished(&mut self, id: u64, ended: AttemptOutcome, now_ms: u64) -> AttemptOutcome {
+    /// Frees the slot of a request. Returns how the attempt ended, which is a connection failure if
+    /// it had stalled.
+    pub fn finished(&mut self, id: u64, outcome: AttemptOutcome, now_ms: u64) -> AttemptOutcome {
         self.running = self.running.saturating_sub(1);
         let stalls_at_ms = self.unanswered.swap_remove(&id);
         let has_stalled = stalls_at_ms.is_some_and(|at_ms| now_ms >= at_ms);
-        let ended = if has_stalled {
+        let outcome = if has_stalled {
             AttemptOutcome::Broken
         } else {
-            ended
+            outcome
         };
-        if ended == AttemptOutcome::Misdirected {
-            self.gone_until_ms = now_ms + GONE_MS;
+        if outcome == AttemptOutcome::Misdirected {
+            self.replaced_until_ms = now_ms + MISDIRECTED_PAUSE_MS;
         }
-        self.health.ended(ended, now_ms);
-        ended
+        self.health.record_outcome(outcome, now_ms);
+        outcome
     }
 
-    /// Time between two events of a stream there, 0 if not known.
+    /// Returns the event gap of streams at the upstream, 0 if it is not known.
     #[must_use]
     pub fn event_us(&self) -> u32 {
-        let event_ms = self.health.event_ms().unwrap_or_default();
-        numbers::whole_u32(event_ms * US_PER_MS)
+        let event_gap_ms = self.health.event_gap_ms().unwrap_or_default();
+        numbers::whole_u32(event_gap_ms * US_PER_MS)
     }
 
-    /// Expected time between two events: its own, or else what is usual at its service.
-    fn event_ms(&self, baseline: &Baseline) -> f64 {
-        let event_ms = self.health.event_ms();
-        event_ms.or(baseline.event_ms()).unwrap_or_default()
+    /// Returns the expected event gap: that of the upstream, or else the typical one of its
+    /// service.
+    fn event_gap_ms(&self, baseline: &ServiceBaseline) -> f64 {
+        let event_gap_ms = self.health.event_gap_ms();
+        event_gap_ms.or(baseline.event_gap_ms()).unwrap_or_default()
     }
 
-    /// Expected time to the first event of a prompt of which so much is to be read, or to a plain
-    /// answer.
+    /// Returns the expected time to the first event of an answer, or to a plain answer, when this
+    /// many prompt tokens have to be read.
     #[must_use]
-    pub fn first_ms(&self, prompt_tokens: u32, baseline: &Baseline) -> f64 {
-        let answer_ms = self.event_ms(baseline) + self.health.answer_ms();
+    pub fn first_ms(&self, prompt_tokens: u32, baseline: &ServiceBaseline) -> f64 {
+        let answer_ms = self.event_gap_ms(baseline) + self.health.answer_ms();
         self.read_ms(prompt_tokens, baseline) + answer_ms
     }
 
-    /// Whether neither this entry nor a peer has seen it answer.
+    /// Returns whether neither this entry nor a peer has measured an answer of the upstream.
     #[must_use]
-    pub fn is_unknown(&self) -> bool {
-        self.health.event_ms().is_none() && self.health.answer_ms() <= 0.0
+    pub fn is_unmeasured(&self) -> bool {
+        self.health.event_gap_ms().is_none() && self.health.answer_ms() <= 0.0
     }
 
-    /// Its speed in relation to what is usual at its service.
+    /// Returns the upstream's speed relative to the typical speed of its service.
     #[must_use]
-    pub fn speed(&self, baseline: &Baseline) -> f64 {
-        match (self.health.event_ms(), baseline.event_ms()) {
-            (Some(event_ms), Some(usual_ms)) if event_ms > 0.0 => usual_ms / event_ms,
+    pub fn speed(&self, baseline: &ServiceBaseline) -> f64 {
+        match (self.health.event_gap_ms(), baseline.event_gap_ms()) {
+            (Some(event_gap_ms), Some(typical_ms)) if event_gap_ms > 0.0 => {
+                typical_ms / event_gap_ms
+            }
             _ => 1.0,
         }
     }
 
-    /// Expected time to read so many tokens of a prompt.
+    /// Returns the expected time to read this many prompt tokens.
     ///
-    /// An engine that is slow in writing is slow in reading. So one whose reading this entry
-    /// has not seen yet is judged by its writing, of which peers tell: otherwise each of
-    /// thirty entries sends it a long prompt to find out.
+    /// An engine that generates slowly also reads slowly. So if this entry has not measured the
+    /// prefill speed of an engine, the speed is derived from the event gap, which peers report.
+    /// Otherwise each of thirty entries would send the engine a long prompt to find out.
     #[must_use]
-    pub fn read_ms(&self, tokens: u32, baseline: &Baseline) -> f64 {
+    pub fn read_ms(&self, tokens: u32, baseline: &ServiceBaseline) -> f64 {
         let read_ms = self.health.prefill_ms_per_token();
-        let read_ms =
-            read_ms.unwrap_or_else(|| self.event_ms(baseline) * baseline.prefill_per_event());
+        let read_ms = read_ms
+            .unwrap_or_else(|| self.event_gap_ms(baseline) * baseline.prefill_per_event_gap());
         read_ms * f64::from(tokens)
     }
 
-    /// Expected time of a request there with nobody beside it.
-    fn alone_ms(&self, job: &Job, baseline: &Baseline) -> f64 {
+    /// Returns the expected time of a request at the upstream if nothing else runs there.
+    fn unloaded_ms(&self, job: &Job, baseline: &ServiceBaseline) -> f64 {
         let first_ms = self.first_ms(job.unread_tokens(&self.upstream.instance), baseline);
         let events = baseline.expected_events(job.expected_output_tokens);
-        first_ms + self.event_ms(baseline) * events
+        first_ms + self.event_gap_ms(baseline) * events
     }
 
-    /// Whether a request is likely to end there within its time.
+    /// Returns whether a request is likely to finish at the upstream before its deadline.
     #[must_use]
-    pub fn ends_in_time(&self, job: &Job, baseline: &Baseline, now_ms: u64) -> bool {
-        !is_cut(self.alone_ms(job, baseline), job, now_ms)
+    pub fn ends_in_time(&self, job: &Job, baseline: &ServiceBaseline, now_ms: u64) -> bool {
+        !is_cut(self.unloaded_ms(job, baseline), job, now_ms)
     }
 
-    /// What it costs to run a request there while so many run already: its own time, and the
-    /// time for which it keeps the last slots from others.
+    /// Returns the cost of running a request at the upstream while `running` others run there: the
+    /// time of the request itself, plus the time for which it keeps the last slots from other
+    /// requests.
     ///
-    /// The second part is the same for a long and a short request, the first is not. So when
-    /// fast upstreams fill up, short requests go to slow ones first, and long ones, which a
-    /// slow upstream would not finish in time, keep to the fast ones.
+    /// The second part is the same for long and short requests, the first is not. So when fast
+    /// upstreams fill up, short requests go to slow upstreams first, and long requests, which a
+    /// slow upstream would not finish in time, stay at the fast ones.
     #[must_use]
-    pub fn cost_ms(&self, running: u32, job: &Job, baseline: &Baseline, now_ms: u64) -> f64 {
+    pub fn cost_ms(&self, running: u32, job: &Job, baseline: &ServiceBaseline, now_ms: u64) -> f64 {
         let first_ms = self.first_ms(job.unread_tokens(&self.upstream.instance), baseline);
-        let alone_ms = self.alone_ms(job, baseline);
+        let unloaded_ms = self.unloaded_ms(job, baseline);
         let hold_ms = baseline.hold_ms();
         let fullness = f64::from(running) / f64::from(self.upstream.slots.max(1));
         let left_ms = numbers::as_f64(job.objective_at_ms.saturating_sub(now_ms));
         let is_late = first_ms > left_ms && !job.has_start_deficit;
         let late_ms = if is_late { hold_ms } else { 0.0 };
-        let is_cut = is_cut(alone_ms, job, now_ms);
-        let cut_ms = if is_cut { CUT_HOLDS * hold_ms } else { 0.0 };
+        let is_cut = is_cut(unloaded_ms, job, now_ms);
+        let cut_ms = if is_cut {
+            CUT_COST_HOLDS * hold_ms
+        } else {
+            0.0
+        };
         let is_full = fullness >= 1.0;
-        let full_ms = if is_full { FULL_HOLDS * hold_ms } else { 0.0 };
-        let crowd_ms = hold_ms * CROWD_HOLDS * fullness * fullness;
-        let bad = if self.health.is_bad() {
-            BAD_FACTOR
+        let full_ms = if is_full {
+            FULL_COST_HOLDS * hold_ms
+        } else {
+            0.0
+        };
+        let load_ms = hold_ms * LOAD_COST_HOLDS * fullness * fullness;
+        let failing_factor = if self.health.is_failing() {
+            FAILING_COST_FACTOR
         } else {
             1.0
         };
-        (alone_ms + late_ms + cut_ms + full_ms + crowd_ms + 1.0) * bad
+        (unloaded_ms + late_ms + cut_ms + full_ms + load_ms + 1.0) * failing_factor
     }
 }
 
-/// Whether an answer of so much work is likely to be cut when the request's time is up.
-fn is_cut(alone_ms: f64, job: &Job, now_ms: u64) -> bool {
+/// Returns whether an answer that takes this long is likely to be cut at its request's deadline.
+fn is_cut(unloaded_ms: f64, job: &Job, now_ms: u64) -> bool {
     let ends_in_ms = numbers::as_f64(job.deadline_at_ms.saturating_sub(now_ms));
-    alone_ms * LENGTH_DOUBT > ends_in_ms
+    unloaded_ms * LENGTH_MARGIN > ends_in_ms
 }
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -291,7 +291,7 @@
         relative_size: traffic.relative_size(&route.name, headers.size()),
         relative_hold: traffic.relative_hold(&route.name, headers.hold()),
         shared_prefix: headers.shared_prefix.map(|start| SharedPrefix {
-            share: traffic.prefix_popularity.borrow_mut().note(start.name),
+            share: traffic.prefix_popularity.borrow_mut().record(start.name),
             ..start
         }),
         last_event_id: headers.last_event_id,
--- a/lib/tests/direct_fixture.rs
+++ b/lib/tests/direct_fixture.rs
@@ -5,7 +5,7 @@
 use sardinewood::direct::placement::job::Job;
 use sardinewood::direct::store_view::directory::Upstream;
 
-/// An engine with so many slots.
+/// Returns an engine with this many slots.
 pub fn upstream(name: &str, slots: u32) -> Arc<Upstream> {
     Arc::new(Upstream {
         instance: name.into(),
@@ -21,7 +21,7 @@
     })
 }
 
-/// An engine that says when it was born.
+/// Returns an engine that gives its start time.
 pub fn born(name: &str, born_ms: u64) -> Upstream {
     Upstream {
         instance: Upstream::instance_id(name, Some(born_ms)),
@@ -30,7 +30,7 @@
     }
 }
 
-/// A request of a tier that arrives at time 0.
+/// Returns a request of a tier that arrives at time 0.
 pub fn job(id: u64, tier: u8) -> Job {
     Job {
         id,
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -1,4 +1,5 @@
-//! Who waits, who is refused and where work goes, for the load patterns of heavy days.
+//! Tests which requests wait, which are refused and which upstreams they go to, for the load
+//! patterns of heavy days.
 
 use std::sync::Arc;
 
@@ -16,24 +17,24 @@
 use crate::direct_fixture::job;
 use crate::direct_fixture::upstream;
 
-/// Starts a request where it would be sent if there seems to be room there; where that is.
+/// Starts a request at its chosen upstream if that seems to have a free slot. Returns the upstream.
 fn start(dispatcher: &mut Dispatcher, job: &Job, now_ms: u64) -> Option<String> {
     let chosen = dispatcher.choose(job, &[], now_ms, draws())?;
-    if !dispatcher.has_room(&chosen.instance, now_ms) {
+    if !dispatcher.has_free_slot(&chosen.instance, now_ms) {
         return None;
     }
     let begun = dispatcher.occupy_slot(&chosen.instance, now_ms);
     begun.map(|upstream| upstream.instance.to_string())
 }
 
-/// Starts so many requests of the first tier; where they went.
+/// Starts this many requests of the first tier. Returns their upstreams.
 fn starts(dispatcher: &mut Dispatcher, count: u64, now_ms: u64) -> Vec<String> {
     (0..count)
         .filter_map(|id| start(dispatcher, &job(id, 0), now_ms))
         .collect()
 }
 
-/// Draws that differ from call to call and are the same in each run of the test.
+/// Returns a source of pseudo-random numbers that are the same in each run of the test.
 fn draws() -> impl FnMut() -> usize {
     let mut state = 7usize;
     move || {
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn offer_without_upstream_refused_at_once() {
+fn request_without_upstream_refused_at_once() {
     let dispatcher = Dispatcher::default();
     let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 0, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn room_filled_then_waited_for() {
+fn slots_filled_then_waited_for() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 2)]);
     assert_eq!(starts(&mut dispatcher, 3, 0).len(), 2);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn peers_load_leaves_less_room() {
+fn peers_load_leaves_fewer_slots() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 2)]);
     let running = UpstreamLoad {
@@ -72,14 +73,15 @@
     };
     dispatcher.set_peer_load(1, &LoadChunk::whole(vec![running]), 0);
     assert!(starts(&mut dispatcher, 1, 0).is_empty());
-    // A peer that fell silent no longer counts.
+    // The load of a peer without recent reports no longer counts.
     assert_eq!(starts(&mut dispatcher, 1, 5_000).len(), 1);
 }
 
 #[test]
-fn less_important_gives_up_its_place_sooner() {
-    // A burst of everything at once, for seconds. What is worth a twentieth would be passed
-    // by until its caller leaves; it is told early, and comes back in calmer time.
+fn less_important_stops_waiting_sooner() {
+    // A burst of requests of all tiers lasts for seconds. Requests worth a twentieth would be
+    // passed over until their callers leave, so they are refused early and can retry at a calmer
+    // time.
     let first = job(1, 0).waits_until_ms();
     let second = job(1, 1).waits_until_ms();
     let third = job(1, 2).waits_until_ms();
@@ -96,8 +98,8 @@
 
 #[test]
 fn short_answers_first_but_bounded() {
-    // A full fleet, and requests whose answers differ fifty-fold. Several short ones are worth
-    // more in the same time; the bound keeps the long ones from starving.
+    // All upstreams are full, and answers differ fifty-fold in length. Several short requests are
+    // worth more in the same time; the bound keeps the long ones from starving.
     let short = Job {
         relative_hold: 0.1,
         ..job(1, 0)
@@ -118,8 +120,8 @@
 
 #[test]
 fn customers_tier_goes_before_the_routes() {
-    // All customers of a fleet have the same tier, and the routes' tiers decide. Where they
-    // differ, a short note of the first customer goes before the second one's report.
+    // If all customers have the same tier, the tiers of the routes decide. If they differ, a short
+    // note of the first customer goes before a report of the second.
     let of = |customer_tier, tier| {
         let job = Job {
             customer_tier,
@@ -134,8 +136,8 @@
 
 #[test]
 fn unlike_engines_long_answers_keep_to_fast_ones() {
-    // Engines differ fourfold in speed, and the fast ones fill up. A short answer goes to a
-    // slow engine then; a long one would be cut at its deadline there.
+    // Engines differ fourfold in speed, and the fast ones fill up. A short answer then goes to a
+    // slow engine, where a long one would be cut at its deadline.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("fast", 5), upstream("slow", 5)]);
     dispatcher.record_answer_length(&"pool".into(), 30, 10);
@@ -168,9 +170,10 @@
 
 #[test]
 fn long_prompt_not_sent_to_find_out_what_peers_know() {
-    // After a restart this entry has seen one engine read and write. Peers tell that another
-    // one writes four times as slowly, so it reads as slowly, and a long prompt would miss
-    // its first event there. An engine that nobody knows counts as usual, not as the best.
+    // After a restart, this entry has measured the prefill and the event gap of one engine. Peers
+    // report that another engine generates four times as slowly, so it also reads as slowly, and a
+    // long prompt would miss its objective there. An engine without any measurements counts as
+    // typical, not as the best.
     let mut dispatcher = Dispatcher::default();
     let engines = ["known", "told", "unknown"].map(|name| upstream(name, 5));
     dispatcher.set_upstreams(&engines);
@@ -178,13 +181,13 @@
         health.first_event(1_000, 20.0);
         health.next_event(12.0, 0);
     });
-    let told = UpstreamLoad {
+    let reports = UpstreamLoad {
         upstream: upstream_hash("told"),
         requests: 1,
         event_us: 48_000,
         condition: UpstreamCondition::Healthy,
     };
-    dispatcher.set_peer_load(1, &LoadChunk::whole(vec![told]), 0);
+    dispatcher.set_peer_load(1, &LoadChunk::whole(vec![reports]), 0);
     let long = Job {
         prompt_tokens: 10_000,
         ..job(1, 0)
@@ -196,10 +199,10 @@
 
 #[test]
 fn long_prompt_not_late_by_what_short_ones_took() {
-    // A caller with a long document is refused at once, as if it were late on arrival, though an
-    // engine would read it in a third of its objective. Most prompts there are short, and their first
-    // event takes as long as any other event does; taken for reading, that made the long one seem
-    // four times as slow to read.
+    // Guards against a long prompt that is refused at once as late on arrival, although an engine
+    // would read it in a third of its objective. Most prompts are short, and their first event
+    // takes as long as any other event. When that time counted as prefill time, the long prompt
+    // seemed four times as slow to read.
     const EVENT_MS: f64 = 27.0;
     const READ_MS_PER_TOKEN: f64 = 0.01;
     let mut dispatcher = Dispatcher::default();
@@ -221,9 +224,9 @@
 
 #[test]
 fn unknown_upstream_tried_although_another_is_better_than_usual() {
-    // One of two engines is known and has become faster than it used to be; the other, nobody has
-    // tried. Callers come one after the other, so neither is ever full. The unknown one counts as
-    // usual, which is slower, and would never be tried.
+    // One of two engines is known and has become faster than it used to be; the other was never
+    // tried. Requests come one after the other, so neither engine is ever full. The unknown engine
+    // counts as typical, which is slower, and would never be tried.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("known", 5), upstream("unknown", 5)]);
     for event_ms in [40.0, 30.0, 10.0, 5.0, 5.0, 5.0] {
@@ -239,7 +242,7 @@
 
 #[test]
 fn many_entries_do_not_all_ask_the_same() {
-    // Thirty entries know the same stale loads. Drawn at random, their choices spread.
+    // Thirty entries know the same outdated loads. Their random choices spread over the engines.
     let mut dispatcher = Dispatcher::default();
     let engines: Vec<Arc<Upstream>> = (0..20)
         .map(|number| upstream(&format!("i-{number}"), 5))
@@ -259,32 +262,33 @@
     dispatcher.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
     dispatcher.occupy_slot("i-1", 0);
     dispatcher.finished("i-1", 1, AttemptOutcome::Broken, 5, 100);
-    let places = starts(&mut dispatcher, 5, 150);
-    assert_eq!(places, ["i-2"; 5]);
+    let chosen = starts(&mut dispatcher, 5, 150);
+    assert_eq!(chosen, ["i-2"; 5]);
 }
 
 #[test]
 fn hung_upstream_gets_nothing_more() {
-    // Callers sent to a hung engine hear nothing until they leave. Once one request has had no
-    // answer for far too long, the next ones go elsewhere, also those of peers.
+    // Callers whose requests are sent to a hung engine receive nothing until they leave. Once one
+    // request has had no answer for far too long, the next ones go elsewhere, also those of peers.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
     dispatcher.occupy_slot("i-1", 0);
     dispatcher.sent("i-1", 1, 1_000, 0);
-    let told: Vec<UpstreamLoad> = dispatcher.running(2_000).collect();
-    assert_eq!(told[0].condition, UpstreamCondition::Stalled);
-    let places = starts(&mut dispatcher, 5, 2_000);
-    assert_eq!(places, ["i-2"; 5]);
+    let reports: Vec<UpstreamLoad> = dispatcher.running(2_000).collect();
+    assert_eq!(reports[0].condition, UpstreamCondition::Stalled);
+    let chosen = starts(&mut dispatcher, 5, 2_000);
+    assert_eq!(chosen, ["i-2"; 5]);
     let mut peer = Dispatcher::default();
     peer.set_upstreams(&[upstream("i-1", 5), upstream("i-2", 5)]);
-    peer.set_peer_load(1, &LoadChunk::whole(told), 2_000);
+    peer.set_peer_load(1, &LoadChunk::whole(reports), 2_000);
     let chosen = peer.choose(&job(1, 0), &[], 2_000, draws());
     assert_eq!(&*chosen.expect("an upstream").instance, "i-2");
 }
 
 #[test]
 fn last_upstream_used_although_it_stalls() {
-    // A service's only upstream is slow for a moment. Shutting it out would refuse everybody.
+    // A service's only upstream is slow for a moment. If it were excluded, all requests would be
+    // refused.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1", 5)]);
     dispatcher.occupy_slot("i-1", 0);
@@ -300,7 +304,7 @@
         tried_upstreams: vec!["i-1".into()],
         ..job(1, 0)
     };
-    // Nobody is left to try, so it does not wait either.
+    // No upstream is left to try, so the request does not wait either.
     assert_eq!(start(&mut dispatcher, &again, 0), None);
     let next = SlotSearch::new(again).start(&dispatcher, 0, || 1);
     assert_eq!(next, [SearchStep::Refuse]);
@@ -324,22 +328,23 @@
 
 #[test]
 fn misdirected_upstream_left_alone() {
-    // A dead upstream's entry has come back, and another process answers at its address. It runs
-    // nothing, so it looks like the best place of all: without this, each request would go there.
+    // The entry of an upstream that has ended is in the list again, and another process answers at
+    // its address. It runs nothing, so it looks like the best upstream, and each request would go
+    // there.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("dead", 4), upstream("live", 4)]);
     dispatcher.occupy_slot("dead", 0);
     dispatcher.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
     assert_eq!(starts(&mut dispatcher, 4, 10), ["live"; 4]);
     assert_eq!(dispatcher.occupy_slot("dead", 10), None);
-    // The entry may after all be one of a live upstream: it is tried again later.
+    // The entry may belong to a live upstream after all, so it is tried again later.
     assert!(dispatcher.occupy_slot("dead", 5_000).is_some());
 }
 
 #[test]
-fn peers_word_of_a_misdirected_upstream_believed_and_not_repeated() {
-    // Thirty entries need one such answer between them, not one each. Only who has had it tells
-    // of it, or they would confirm each other for ever.
+fn peers_report_of_a_misdirected_upstream_applied_and_not_repeated() {
+    // One such answer is enough for thirty entries. Only the entry that received it reports it,
+    // because otherwise they would confirm each other forever.
     let mut first = Dispatcher::default();
     let mut second = Dispatcher::default();
     for dispatcher in [&mut first, &mut second] {
@@ -347,14 +352,14 @@
     }
     first.occupy_slot("dead", 0);
     first.finished("dead", 1, AttemptOutcome::Misdirected, 2, 10);
-    let told: Vec<UpstreamLoad> = first.running(20).collect();
-    assert_eq!(told[0].condition, UpstreamCondition::Replaced);
-    second.set_peer_load(1, &LoadChunk::whole(told), 20);
+    let reports: Vec<UpstreamLoad> = first.running(20).collect();
+    assert_eq!(reports[0].condition, UpstreamCondition::Replaced);
+    second.set_peer_load(1, &LoadChunk::whole(reports), 20);
     assert!(!second.is_available("dead", 30));
     assert_eq!(second.running(30).count(), 0);
     assert!(
         second.is_available("dead", 1_000),
-        "the peer has stopped saying so"
+        "the peer has stopped reporting it"
     );
 }
 
@@ -369,9 +374,9 @@
 }
 
 #[test]
-fn restarted_upstream_begins_with_empty_room() {
-    // The former self had all its slots taken, as this entry and a peer believe. What they
-    // believe is of that incarnation; the new one is given its full room at once.
+fn restarted_upstream_starts_with_all_slots_free() {
+    // All slots of the previous incarnation are taken, as this entry and a peer know. This does not
+    // apply to the new incarnation, which has all of its slots free at once.
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(&[upstream("i-1@1", 2)]);
     let running = UpstreamLoad {
--- a/lib/tests/test_direct_shared_prefix.rs
+++ b/lib/tests/test_direct_shared_prefix.rs
@@ -1,4 +1,4 @@
-//! Where requests go whose prompts begin with the same parts.
+//! Tests which engines requests with shared prompt prefixes go to.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::direct_fixture::upstream;
 
 const ENGINES: usize = 20;
-/// Tokens of a start that takes 160 ms to read, of a usual holding of 300 ms.
+/// Tokens of a prefix that takes 160 ms to read, of a typical hold time of 300 ms.
 const LONG: u32 = 8_000;
 
 fn engines(count: usize) -> Vec<Arc<Upstream>> {
@@ -23,7 +23,8 @@
         .collect()
 }
 
-/// An entry that has seen every engine read 50 tokens in a millisecond.
+/// Returns the dispatcher of an entry that has measured a prefill speed of 50 tokens per
+/// millisecond at every engine.
 fn entry(engines: &[Arc<Upstream>]) -> Dispatcher {
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_upstreams(engines);
@@ -38,12 +39,12 @@
     dispatcher
 }
 
-fn request(start: u64, tokens: u32) -> Job {
+fn request(prefix: u64, tokens: u32) -> Job {
     Job {
         prompt_tokens: tokens + 1_000,
         objective_at_ms: 800,
         shared_prefix: Some(SharedPrefix {
-            name: start,
+            name: prefix,
             tokens,
             share: 0.0,
         }),
@@ -58,10 +59,11 @@
     }
 }
 
-/// The engines that a request asks at once, in order.
-fn asked(next: &[SearchStep]) -> Vec<String> {
-    next.iter()
-        .filter_map(|next| match next {
+/// Returns the engines whose admission queues are asked, in order.
+fn asked(steps: &[SearchStep]) -> Vec<String> {
+    steps
+        .iter()
+        .filter_map(|steps| match steps {
             SearchStep::RequestSlot { instance, .. } => Some(instance.to_string()),
             _ => None,
         })
@@ -69,31 +71,34 @@
 }
 
 fn first_asked(dispatcher: &Dispatcher, request: Job, seed: u64) -> String {
-    let next = SlotSearch::new(request).start(dispatcher, 0, draws(seed));
-    asked(&next).remove(0)
+    let steps = SlotSearch::new(request).start(dispatcher, 0, draws(seed));
+    asked(&steps).remove(0)
 }
 
 #[test]
-fn entries_agree_on_homes_without_a_word() {
-    // Callers with the same document come to different entries, which have told each other
-    // nothing of it and know the engines in another order. All of them ask the same engine.
+fn entries_agree_on_preferred_engines_without_messages() {
+    // Requests with the same document arrive at different entries, which have exchanged no messages
+    // about it and list the engines in another order. All of them ask the same engine.
     let one = entry(&engines(ENGINES));
     let mut reversed = engines(ENGINES);
     reversed.reverse();
     let other = entry(&reversed);
-    for start in 0..50 {
-        let home = first_asked(&one, request(start, LONG), start);
-        assert_eq!(first_asked(&other, request(start, LONG), start + 99), home);
+    for prefix in 0..50 {
+        let engine = first_asked(&one, request(prefix, LONG), prefix);
+        assert_eq!(
+            first_asked(&other, request(prefix, LONG), prefix + 99),
+            engine
+        );
     }
 }
 
 #[test]
-fn starts_spread_over_engines() {
+fn prefixes_spread_over_engines() {
     let entry = entry(&engines(ENGINES));
     let mut counts = indexmap::IndexMap::<String, u32>::new();
-    for start in 0..400 {
+    for prefix in 0..400 {
         *counts
-            .entry(first_asked(&entry, request(start, LONG), start))
+            .entry(first_asked(&entry, request(prefix, LONG), prefix))
             .or_default() += 1;
     }
     assert_eq!(counts.len(), ENGINES);
@@ -101,44 +106,46 @@
 }
 
 #[test]
-fn lost_home_moves_its_starts_only() {
-    // One engine of twenty starts again under its name, and keeps nothing. Callers whose documents
-    // it kept go to others; those of all other engines find what they had.
+fn lost_engine_moves_only_its_prefixes() {
+    // One engine of twenty restarts under its name with an empty cache. Requests whose documents it
+    // had cached go to other engines; those of all other engines still go where their prefix is
+    // cached.
     let all = engines(ENGINES);
     let before = entry(&all);
     let mut after = all;
     after[7] = upstream("i-7 anew", 5);
     let after = entry(&after);
-    for start in 0..200 {
-        let home = first_asked(&before, request(start, LONG), 1);
-        let now = first_asked(&after, request(start, LONG), 1);
+    for prefix in 0..200 {
+        let engine = first_asked(&before, request(prefix, LONG), 1);
+        let now = first_asked(&after, request(prefix, LONG), 1);
         assert!(
-            now == home || home == "i-7" || now == "i-7 anew",
-            "{home} {now}"
+            now == engine || engine == "i-7" || now == "i-7 anew",
+            "{engine} {now}"
         );
     }
 }
 
 #[test]
-fn busy_home_waited_for_while_that_is_sooner() {
-    // The home's door expects a wait. To read the start elsewhere takes 160 ms of an engine, so the
-    // request waits for some times as long and asks nobody else; for longer it does not.
+fn busy_preferred_engine_waited_for_while_sooner() {
+    // The preferred engine's admission queue expects a wait. Reading the prefix elsewhere takes 160
+    // ms, so the request waits for a few times as long and asks no other queue; for a longer wait
+    // it does.
     let entry = entry(&engines(ENGINES));
     for (wait_ms, others) in [(100, 0), (2_000, 1)] {
-        let mut asking = SlotSearch::new(request(7, LONG));
-        let next = asking.start(&entry, 0, draws(1));
-        let Some(SearchStep::RequestSlot { id, .. }) = next.first() else {
-            panic!("nobody is asked");
+        let mut search = SlotSearch::new(request(7, LONG));
+        let steps = search.start(&entry, 0, draws(1));
+        let Some(SearchStep::RequestSlot { id, .. }) = steps.first() else {
+            panic!("no queue is asked");
         };
-        let next = asking.handle_queued(*id, wait_ms, &entry, 2, draws(2));
-        assert_eq!(asked(&next).len(), others, "{wait_ms}");
+        let steps = search.handle_queued(*id, wait_ms, &entry, 2, draws(2));
+        assert_eq!(asked(&steps).len(), others, "{wait_ms}");
     }
 }
 
 #[test]
-fn short_start_binds_nothing() {
-    // All prompts begin with the same 60 tokens. Reading them takes a millisecond; if their home
-    // were preferred, one engine would be asked by everybody.
+fn short_prefix_has_no_preferred_engine() {
+    // All prompts start with the same 60 tokens, which take a millisecond to read. If engines that
+    // have them cached were preferred, all requests would go to one engine.
     let entry = entry(&engines(ENGINES));
     let asked: std::collections::BTreeSet<String> = (0..100)
         .map(|seed| first_asked(&entry, request(7, 60), seed))
@@ -147,27 +154,28 @@
 }
 
 #[test]
-fn hot_start_has_more_homes() {
-    // A tenth of all requests begin with one document. One engine of twenty would have twice the
-    // load of the others; its requests spread over as many engines as they keep busy.
+fn popular_prefix_has_more_preferred_engines() {
+    // A tenth of all requests start with one document. With one preferred engine of twenty, that
+    // engine would have twice the load of the others; the requests spread over as many engines as
+    // they keep busy.
     let mut entry = entry(&engines(ENGINES));
-    let mut hot = request(7, LONG);
-    hot.shared_prefix.as_mut().expect("a start").share = 0.1;
-    let mut homes = std::collections::BTreeSet::new();
+    let mut popular = request(7, LONG);
+    popular.shared_prefix.as_mut().expect("a prefix").share = 0.1;
+    let mut chosen = std::collections::BTreeSet::new();
     for seed in 0..20 {
-        let home = first_asked(&entry, hot.clone(), seed);
-        entry.occupy_slot(&home, 0);
-        homes.insert(home);
+        let engine = first_asked(&entry, popular.clone(), seed);
+        entry.occupy_slot(&engine, 0);
+        chosen.insert(engine);
     }
-    assert!((3..=6).contains(&homes.len()), "{homes:?}");
+    assert!((3..=6).contains(&chosen.len()), "{chosen:?}");
 }
 
 #[test]
-fn start_that_everybody_has_binds_nothing() {
-    // Half of all requests begin with the same long instructions, so every engine keeps them.
+fn common_prefix_has_no_preferred_engine() {
+    // Half of all requests start with the same long instructions, so every engine has them cached.
     let entry = entry(&engines(ENGINES));
     let mut common = request(7, LONG);
-    common.shared_prefix.as_mut().expect("a start").share = 0.5;
+    common.shared_prefix.as_mut().expect("a prefix").share = 0.5;
     let asked: std::collections::BTreeSet<String> = (0..100)
         .map(|seed| first_asked(&entry, common.clone(), seed))
         .collect();
@@ -175,19 +183,20 @@
 }
 
 #[test]
-fn broken_home_passed_over() {
-    // The home's connections break. Its callers are served at once by others, which read the start.
+fn broken_preferred_engine_skipped() {
+    // Connections to the preferred engine fail. Its requests go at once to other engines, which
+    // read the prefix.
     let mut entry = entry(&engines(ENGINES));
-    let home = first_asked(&entry, request(7, LONG), 1);
-    entry.occupy_slot(&home, 0);
-    entry.finished(&home, 9, AttemptOutcome::Broken, 5, 0);
-    assert_ne!(first_asked(&entry, request(7, LONG), 1), home);
+    let engine = first_asked(&entry, request(7, LONG), 1);
+    entry.occupy_slot(&engine, 0);
+    entry.finished(&engine, 9, AttemptOutcome::Broken, 5, 0);
+    assert_ne!(first_asked(&entry, request(7, LONG), 1), engine);
 }
 
 #[test]
-fn slow_engine_is_no_home() {
-    // A quarter of the engines are five times slower than the others. To read a long start for the
-    // first time would take one of them longer than callers wait.
+fn slow_engine_is_not_preferred() {
+    // A quarter of the engines are five times slower than the others. One of them would take longer
+    // than callers wait to read a long prefix for the first time.
     let mut entry = entry(&engines(ENGINES));
     for _ in 0..50 {
         for number in 0..ENGINES {
@@ -198,9 +207,9 @@
             });
         }
     }
-    for start in 0..200 {
-        let home = first_asked(&entry, request(start, LONG), 1);
-        let number: u32 = home[2..].parse().expect("a number");
-        assert!(number >= 5, "{home}");
+    for prefix in 0..200 {
+        let engine = first_asked(&entry, request(prefix, LONG), 1);
+        let number: u32 = engine[2..].parse().expect("a number");
+        assert!(number >= 5, "{engine}");
     }
 }
--- a/lib/tests/test_direct_slot_search.rs
+++ b/lib/tests/test_direct_slot_search.rs
@@ -1,4 +1,4 @@
-//! Which doors a waiting request asks, without a network.
+//! Tests which admission queues a waiting request asks, without a network.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     dispatcher
 }
 
-/// Numbers that differ, from 1 on.
+/// Returns a source of different numbers, from 1 on.
 fn numbers() -> impl FnMut() -> u64 {
     let mut number = 0;
     move || {
@@ -35,9 +35,10 @@
     }
 }
 
-fn asked(next: &[SearchStep]) -> Vec<(PeerRequestId, Arc<str>)> {
-    next.iter()
-        .filter_map(|next| match next {
+fn slot_requests(steps: &[SearchStep]) -> Vec<(PeerRequestId, Arc<str>)> {
+    steps
+        .iter()
+        .filter_map(|steps| match steps {
             SearchStep::RequestSlot { id, instance } => Some((*id, Arc::clone(instance))),
             _ => None,
         })
@@ -45,14 +46,14 @@
 }
 
 #[test]
-fn full_doors_make_it_ask_three() {
+fn full_queues_make_it_ask_three() {
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
-    let mut asking = SlotSearch::new(job(1, 0));
-    let mut asks = asked(&asking.start(&dispatcher, 0, &mut numbers));
+    let mut search = SlotSearch::new(job(1, 0));
+    let mut requests = slot_requests(&search.start(&dispatcher, 0, &mut numbers));
     for _ in 0..4 {
-        let (last, _) = asks[asks.len() - 1];
-        asks.extend(asked(&asking.handle_queued(
+        let (last, _) = requests[requests.len() - 1];
+        requests.extend(slot_requests(&search.handle_queued(
             last,
             5,
             &dispatcher,
@@ -60,49 +61,50 @@
             &mut numbers,
         )));
     }
-    assert_eq!(asks.len(), 3);
-    let engines: std::collections::BTreeSet<_> = asks.iter().map(|(_, engine)| engine).collect();
+    assert_eq!(requests.len(), 3);
+    let engines: std::collections::BTreeSet<_> =
+        requests.iter().map(|(_, engine)| engine).collect();
     assert_eq!(engines.len(), 3, "each asked once");
-    assert_eq!(asking.cancel_all().len(), 3, "all are taken back");
-    assert!(asking.cancel_all().is_empty());
+    assert_eq!(search.cancel_all().len(), 3, "all are cancelled");
+    assert!(search.cancel_all().is_empty());
 }
 
 #[test]
 fn too_long_everywhere_refused_at_once() {
-    // All three doors expect the request to wait for longer than it may. Its caller is told
-    // so now, while it can still come back, and not when its time is over.
+    // All three admission queues expect a longer wait than the request allows. The request has to
+    // be refused now, while its caller can still retry, and not when its time is over.
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
-    let mut asking = SlotSearch::new(job(1, 0));
-    let mut next = asking.start(&dispatcher, 0, &mut numbers);
-    let mut words = 0;
-    while let Some((id, _)) = asked(&next).first().cloned() {
-        next = asking.handle_queued(id, 60_000, &dispatcher, 1, &mut numbers);
-        words += 1;
+    let mut search = SlotSearch::new(job(1, 0));
+    let mut steps = search.start(&dispatcher, 0, &mut numbers);
+    let mut replies = 0;
+    while let Some((id, _)) = slot_requests(&steps).first().cloned() {
+        steps = search.handle_queued(id, 60_000, &dispatcher, 1, &mut numbers);
+        replies += 1;
     }
-    assert_eq!(words, 3);
-    assert_eq!(next, [SearchStep::Refuse]);
+    assert_eq!(replies, 3);
+    assert_eq!(steps, [SearchStep::Refuse]);
 }
 
 #[test]
-fn silent_doors_passed_over_and_then_the_engine_called() {
-    // The entries that keep the doors are gone, and nobody has noticed yet.
+fn silent_queues_skipped_then_engine_called() {
+    // The entries that own the admission queues have ended, and no entry has noticed yet.
     let dispatcher = dispatcher(8);
     let mut numbers = numbers();
-    let mut asking = SlotSearch::new(job(1, 0));
-    let mut asks = asked(&asking.start(&dispatcher, 0, &mut numbers)).len();
+    let mut search = SlotSearch::new(job(1, 0));
+    let mut requests = slot_requests(&search.start(&dispatcher, 0, &mut numbers)).len();
     let mut now_ms = 0;
-    let unasked = loop {
+    let without_grant = loop {
         now_ms += REPLY_TIMEOUT_MS;
-        assert!(now_ms < 1_000, "it waits for ever");
-        let next = asking.handle_timeout(&dispatcher, now_ms, &mut numbers);
-        asks += asked(&next).len();
-        if let Some(SearchStep::StartWithoutGrant { instance }) = next.last() {
+        assert!(now_ms < 1_000, "it waits forever");
+        let steps = search.handle_timeout(&dispatcher, now_ms, &mut numbers);
+        requests += slot_requests(&steps).len();
+        if let Some(SearchStep::StartWithoutGrant { instance }) = steps.last() {
             break Arc::clone(instance);
         }
     };
-    assert_eq!(asks, 3);
-    assert!(dispatcher.has_room(&unasked, now_ms));
+    assert_eq!(requests, 3);
+    assert!(dispatcher.has_free_slot(&without_grant, now_ms));
     assert_eq!(now_ms, 3 * REPLY_TIMEOUT_MS);
 }
 
@@ -110,63 +112,65 @@
 fn engine_that_leaves_is_asked_no_more() {
     let mut dispatcher = dispatcher(2);
     let mut numbers = numbers();
-    let mut asking = SlotSearch::new(job(1, 0));
-    let first = asked(&asking.start(&dispatcher, 0, &mut numbers));
+    let mut search = SlotSearch::new(job(1, 0));
+    let first = slot_requests(&search.start(&dispatcher, 0, &mut numbers));
     let (_, engine) = first[0].clone();
-    let left: Vec<Arc<Upstream>> = engines(2)
+    let remaining: Vec<Arc<Upstream>> = engines(2)
         .into_iter()
         .filter(|upstream| upstream.instance != engine)
         .collect();
-    dispatcher.set_upstreams(&left);
-    let next = asking.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, &mut numbers);
+    dispatcher.set_upstreams(&remaining);
+    let steps = search.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, &mut numbers);
     assert!(
-        matches!(&next[0], SearchStep::CancelSlotRequest { instance, .. } if *instance == engine)
+        matches!(&steps[0], SearchStep::CancelSlotRequest { instance, .. } if *instance == engine)
     );
-    assert_eq!(asked(&next)[0].1, left[0].instance);
+    assert_eq!(slot_requests(&steps)[0].1, remaining[0].instance);
 }
 
 #[test]
-fn waiting_question_repeated_under_its_name() {
-    // Its door may have passed to another entry meanwhile, which knows nothing of it.
+fn queued_slot_request_resent_with_its_id() {
+    // The admission queue may have moved to another entry, which does not know the slot request.
     let dispatcher = dispatcher(1);
     let mut numbers = numbers();
-    let mut asking = SlotSearch::new(job(1, 0));
-    let first = asked(&asking.start(&dispatcher, 0, &mut numbers));
-    asking.handle_queued(first[0].0, 5, &dispatcher, 1, &mut numbers);
+    let mut search = SlotSearch::new(job(1, 0));
+    let first = slot_requests(&search.start(&dispatcher, 0, &mut numbers));
+    search.handle_queued(first[0].0, 5, &dispatcher, 1, &mut numbers);
     let again: Vec<_> = (1..8)
-        .flat_map(|beat| {
-            let now_ms = beat * REPLY_TIMEOUT_MS;
-            asked(&asking.handle_timeout(&dispatcher, now_ms, &mut numbers))
+        .flat_map(|tick| {
+            let now_ms = tick * REPLY_TIMEOUT_MS;
+            slot_requests(&search.handle_timeout(&dispatcher, now_ms, &mut numbers))
         })
         .collect();
     assert_eq!(again, first);
 }
 
 #[test]
-fn all_at_rest_refused_at_once() {
-    // Guards against callers that wait into their deadlines for upstreams that want nothing.
+fn all_backed_off_refused_at_once() {
+    // Guards against callers that wait until their deadlines for upstreams that are all backing
+    // off.
     let mut dispatcher = dispatcher(2);
-    dispatcher.set_backoffs(&at_rest(&[("i-0", 4_000), ("i-1", 3_000)]));
-    let mut asking = SlotSearch::new(job(1, 0));
-    let next = asking.start(&dispatcher, 100, numbers());
-    assert_eq!(next, [SearchStep::Refuse]);
-    let rest_ms = dispatcher.all_backed_off_for_ms(&asking.job, 100);
-    assert_eq!(rest_ms, Some(2_900), "the first that is over");
-    assert_eq!(dispatcher.all_backed_off_for_ms(&asking.job, 3_000), None);
+    dispatcher.set_backoffs(&backoffs(&[("i-0", 4_000), ("i-1", 3_000)]));
+    let mut search = SlotSearch::new(job(1, 0));
+    let steps = search.start(&dispatcher, 100, numbers());
+    assert_eq!(steps, [SearchStep::Refuse]);
+    let backoff_ms = dispatcher.all_backed_off_for_ms(&search.job, 100);
+    assert_eq!(backoff_ms, Some(2_900), "the first that ends");
+    assert_eq!(dispatcher.all_backed_off_for_ms(&search.job, 3_000), None);
 }
 
 #[test]
-fn rest_begun_while_it_waits() {
-    // Guards against a question that is granted, or waits, at an upstream that has asked for rest.
+fn backoff_begun_while_it_waits() {
+    // Guards against a slot request that is granted, or waits, at an upstream that has asked for a
+    // backoff.
     let mut dispatcher = dispatcher(1);
     let mut numbers = numbers();
-    let mut asking = SlotSearch::new(job(1, 0));
-    let (id, instance) = asked(&asking.start(&dispatcher, 0, &mut numbers))[0].clone();
-    dispatcher.set_backoffs(&at_rest(&[("i-0", 3_000)]));
+    let mut search = SlotSearch::new(job(1, 0));
+    let (id, instance) = slot_requests(&search.start(&dispatcher, 0, &mut numbers))[0].clone();
+    dispatcher.set_backoffs(&backoffs(&[("i-0", 3_000)]));
     assert!(dispatcher.occupy_slot(&instance, 40).is_none(), "a grant");
-    let next = asking.handle_timeout(&dispatcher, 40, &mut numbers);
+    let steps = search.handle_timeout(&dispatcher, 40, &mut numbers);
     assert_eq!(
-        next,
+        steps,
         [
             SearchStep::CancelSlotRequest { id, instance },
             SearchStep::Refuse
@@ -175,34 +179,35 @@
 }
 
 #[test]
-fn rest_of_one_upstream_the_others_are_asked() {
+fn backoff_of_one_upstream_others_asked() {
     let mut dispatcher = dispatcher(4);
-    dispatcher.set_backoffs(&at_rest(&[("i-1", 3_000)]));
+    dispatcher.set_backoffs(&backoffs(&[("i-1", 3_000)]));
     for first in 1..200 {
         let mut number = first;
-        let next = SlotSearch::new(job(1, 0)).start(&dispatcher, 0, || {
+        let steps = SlotSearch::new(job(1, 0)).start(&dispatcher, 0, || {
             number += 1;
             number
         });
-        let (_, instance) = &asked(&next)[0];
+        let (_, instance) = &slot_requests(&steps)[0];
         assert_ne!(&**instance, "i-1");
     }
 }
 
 #[test]
-fn limited_upstream_not_called_unasked() {
-    // Guards against entries that pass a silent door by, each with a whole limit.
+fn limited_upstream_not_called_without_grant() {
+    // Guards against entries that bypass an admission queue without replies and each use the whole
+    // rate limit.
     let mut dispatcher = dispatcher(1);
     dispatcher.set_limited(&[upstream_hash("i-0")].into());
-    let mut asking = SlotSearch::new(job(1, 0));
-    asking.start(&dispatcher, 0, numbers());
-    let next = asking.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, numbers());
-    assert!(next.is_empty(), "{next:?}");
+    let mut search = SlotSearch::new(job(1, 0));
+    search.start(&dispatcher, 0, numbers());
+    let steps = search.handle_timeout(&dispatcher, REPLY_TIMEOUT_MS, numbers());
+    assert!(steps.is_empty(), "{steps:?}");
 }
 
-fn at_rest(upstreams: &[(&str, u64)]) -> IndexMap<u32, u64> {
-    let rests = upstreams.iter();
-    rests
+fn backoffs(upstreams: &[(&str, u64)]) -> IndexMap<u32, u64> {
+    let backoffs = upstreams.iter();
+    backoffs
         .map(|(instance, until_ms)| (upstream_hash(instance), *until_ms))
         .collect()
 }
