--- a/bench/src/faults/fleet_store.rs
+++ b/bench/src/faults/fleet_store.rs
@@ -7,7 +7,7 @@
 use sardinewood::claims::object::StoreAnswer;
 use sardinewood::claims::object::StoreCall;
 use sardinewood::claims::object::StoredClaim;
-use sardinewood::claims::request_names::RequestName;
+use sardinewood::claims::idempotency::RequestName;
 use sardinewood::ids::RequestId;
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
--- a/lib/src/caller/submission.rs
+++ b/lib/src/caller/submission.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::claims::request_names::CallDigest;
-use crate::claims::request_names::RequestName;
+use crate::claims::idempotency::CallDigest;
+use crate::claims::idempotency::RequestName;
 use crate::config::objects::Customer;
 use crate::config::objects::Profile;
 use crate::config::objects::Target;
@@ -16,7 +16,7 @@
 /// A named request: its name and what was asked under it.
 ///
 /// ```
-/// use sardinewood::claims::request_names::{CallDigest, RequestName};
+/// use sardinewood::claims::idempotency::{CallDigest, RequestName};
 /// use sardinewood::caller::submission::Named;
 ///
 /// let named = Named {
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -12,7 +12,7 @@
 
 pub mod object;
 mod progress;
-pub mod request_names;
+pub mod idempotency;
 pub mod sweep;
 
 use indexmap::IndexMap;
@@ -29,8 +29,8 @@
 use crate::claims::progress::Relation;
 use crate::claims::progress::due_ms;
 use crate::claims::progress::relation;
-use crate::claims::request_names::CallDigest;
-use crate::claims::request_names::RequestName;
+use crate::claims::idempotency::CallDigest;
+use crate::claims::idempotency::RequestName;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 use crate::verdict::FailureReason;
@@ -139,7 +139,7 @@
 /// use sardinewood::claims::{ClaimDecision, ClaimRequest, ClaimRules, ClaimStep, Claims};
 /// use sardinewood::claims::object::{Holder, StoreAnswer};
 /// use sardinewood::ids::{AttemptId, GrantId, Incarnation, RequestId};
-/// use sardinewood::claims::request_names::{CallDigest, RequestName};
+/// use sardinewood::claims::idempotency::{CallDigest, RequestName};
 ///
 /// let request = RequestId(1);
 /// let asked = ClaimRequest {
@@ -158,7 +158,7 @@
 /// assert!(matches!(steps[..], [ClaimStep::Call { .. }]));
 /// let steps = claims.answered(3, request, StoreAnswer::Written { version: 9 });
 /// assert_eq!(steps, [ClaimStep::Decided { request, decision: ClaimDecision::Won }]);
-/// # Ok::<(), sardinewood::claims::request_names::KeyError>(())
+/// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
 pub struct Claims {
--- a/lib/src/claims/request_names.rs
+++ b/lib/src/claims/idempotency.rs
@@ -38,14 +38,14 @@
 /// hold what the store does not accept in a name, or what others should not read.
 ///
 /// ```
-/// use sardinewood::claims::request_names::RequestName;
+/// use sardinewood::claims::idempotency::RequestName;
 ///
 /// let rundu = RequestName::new("rundu", "refund-7")?;
 /// let keetmanshoop = RequestName::new("keetmanshoop", "refund-7")?;
 /// assert_ne!(rundu, keetmanshoop);
 /// assert_eq!(rundu.to_string().len(), 64);
 /// assert!(RequestName::new("rundu", "").is_err());
-/// # Ok::<(), sardinewood::claims::request_names::KeyError>(())
+/// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestName([u8; 32]);
@@ -74,7 +74,7 @@
 /// Tells whether two requests ask for the same.
 ///
 /// ```
-/// use sardinewood::claims::request_names::CallDigest;
+/// use sardinewood::claims::idempotency::CallDigest;
 ///
 /// let first = CallDigest::new("POST", "/v1/refunds", b"{\"cents\": 100}");
 /// let second = CallDigest::new("POST", "/v1/refunds", b"{\"cents\": 900}");
@@ -138,7 +138,7 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::claims::request_names::{Admission, CallDigest, KnownNames, RequestName};
+/// use sardinewood::claims::idempotency::{Admission, CallDigest, KnownNames, RequestName};
 ///
 /// let name = RequestName::new("rundu", "refund-7")?;
 /// let digest = CallDigest::new("POST", "/v1/refunds", b"100");
@@ -148,7 +148,7 @@
 /// assert_eq!(names.admission(name, digest), Admission::Join(RequestId(1)));
 /// let other = CallDigest::new("POST", "/v1/refunds", b"900");
 /// assert_eq!(names.admission(name, other), Admission::OtherCall);
-/// # Ok::<(), sardinewood::claims::request_names::KeyError>(())
+/// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
 pub struct KnownNames {
--- a/lib/src/claims/object.rs
+++ b/lib/src/claims/object.rs
@@ -16,11 +16,11 @@
 ///
 /// ```
 /// use sardinewood::claims::object::claim_kind;
-/// use sardinewood::claims::request_names::RequestName;
+/// use sardinewood::claims::idempotency::RequestName;
 ///
 /// let name = RequestName::new("rundu", "refund-7")?;
 /// assert!(claim_kind(&name.to_string()).starts_with("claims-"));
-/// # Ok::<(), sardinewood::claims::request_names::KeyError>(())
+/// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[must_use]
 pub fn claim_kind(name: &str) -> String {
@@ -56,7 +56,7 @@
 /// The object in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The [`crate::claims::request_names::CallDigest`] of the call, as text; absent in a bar.
+    /// The [`crate::claims::idempotency::CallDigest`] of the call, as text; absent in a bar.
     pub digest: Option<Arc<str>>,
     /// Who may run it.
     pub state: ClaimState,
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -7,7 +7,7 @@
 use crate::claims::ClaimDecision;
 use crate::claims::ClaimRequest;
 use crate::claims::object::Holder;
-use crate::claims::request_names::RequestName;
+use crate::claims::idempotency::RequestName;
 use crate::config::catalog::Catalog;
 use crate::ids::AttemptId;
 use crate::ids::Incarnation;
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -18,7 +18,7 @@
 use super::RequestId;
 use super::RequestName;
 use super::Run;
-use crate::claims::request_names::Admission;
+use crate::claims::idempotency::Admission;
 use crate::entry::run::Attempt;
 use crate::ids::GrantId;
 
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -19,7 +19,7 @@
 use crate::claims::object::StoreCall;
 use crate::claims::object::StoredClaim;
 use crate::claims::object::claim_kind;
-use crate::claims::request_names::RequestName;
+use crate::claims::idempotency::RequestName;
 use crate::claims::sweep::ClaimSweep;
 use crate::claims::sweep::SweepStep;
 use crate::entry::state::EntryEvent;
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -123,7 +123,7 @@
 /// orders.answered(2, order, OrderAnswer::Current(Default::default()));
 /// let steps = orders.answered(4, order, OrderAnswer::Written { version: Some(7) });
 /// assert_eq!(steps, [OrderStep::Turn { request: RequestId(1) }]);
-/// # Ok::<(), sardinewood::claims::request_names::KeyError>(())
+/// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
 pub struct Orders {
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use crate::claims::object::Holder;
-use crate::claims::request_names::KeyError;
-use crate::claims::request_names::RequestName;
+use crate::claims::idempotency::KeyError;
+use crate::claims::idempotency::RequestName;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 
@@ -21,7 +21,7 @@
 ///
 /// let one = OrderName::new("kowalczyk", "counsellor-4")?;
 /// assert_ne!(one, OrderName::new("rundu", "counsellor-4")?);
-/// # Ok::<(), sardinewood::claims::request_names::KeyError>(())
+/// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderName(RequestName);
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -48,7 +48,7 @@
 mod test_operator_page;
 mod test_ordering;
 mod test_prefix_hints;
-mod test_request_names;
+mod test_idempotency;
 mod test_secrets;
 mod test_settings;
 mod test_speeds;
--- a/lib/tests/test_request_names.rs
+++ b/lib/tests/test_idempotency.rs
@@ -1,10 +1,10 @@
 //! Names of requests: whose they are, and what is refused.
 
-use sardinewood::claims::request_names::Admission;
-use sardinewood::claims::request_names::CallDigest;
-use sardinewood::claims::request_names::KeyError;
-use sardinewood::claims::request_names::KnownNames;
-use sardinewood::claims::request_names::RequestName;
+use sardinewood::claims::idempotency::Admission;
+use sardinewood::claims::idempotency::CallDigest;
+use sardinewood::claims::idempotency::KeyError;
+use sardinewood::claims::idempotency::KnownNames;
+use sardinewood::claims::idempotency::RequestName;
 use sardinewood::ids::RequestId;
 
 fn name(customer: &str, key: &str) -> RequestName {
