--- a/bench/src/faults/fleet_store.rs
+++ b/bench/src/faults/fleet_store.rs
@@ -7,7 +7,7 @@
 use sardinewood::claims::object::StoreAnswer;
 use sardinewood::claims::object::StoreCall;
 use sardinewood::claims::object::StoredClaim;
-use sardinewood::claims::idempotency::RequestName;
+use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::RequestId;
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
@@ -53,7 +53,7 @@
     /// About a claim.
     Claim {
         request: RequestId,
-        name: RequestName,
+        name: IdempotencyKey,
         call: StoreCall,
     },
     /// About a queue.
--- a/bench/src/faults/work.rs
+++ b/bench/src/faults/work.rs
@@ -7,7 +7,7 @@
 use sardinewood::caller::submission::Submission;
 use sardinewood::caller::submission::WorkEstimate;
 use sardinewood::claims::idempotency::CallDigest;
-use sardinewood::claims::idempotency::RequestName;
+use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::config::objects::Customer;
 use sardinewood::config::objects::Profile;
 use sardinewood::config::objects::Target;
@@ -106,7 +106,7 @@
             return None;
         }
         let key = format!("work-{}", self.id.0);
-        let name = RequestName::new("rundu", &key).ok()?;
+        let name = IdempotencyKey::new("rundu", &key).ok()?;
         let digest = CallDigest::new("POST", "/", &self.id.0.to_be_bytes());
         Some(Named { name, digest })
     }
--- a/lib/src/caller/submission.rs
+++ b/lib/src/caller/submission.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::claims::idempotency::CallDigest;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::config::objects::Customer;
 use crate::config::objects::Profile;
 use crate::config::objects::Target;
@@ -16,11 +16,11 @@
 /// A named request: its name and what was asked under it.
 ///
 /// ```
-/// use sardinewood::claims::idempotency::{CallDigest, RequestName};
+/// use sardinewood::claims::idempotency::{CallDigest, IdempotencyKey};
 /// use sardinewood::caller::submission::Named;
 ///
 /// let named = Named {
-///     name: RequestName::new("rundu", "refund-17").unwrap(),
+///     name: IdempotencyKey::new("rundu", "refund-17").unwrap(),
 ///     digest: CallDigest::new("POST", "/v1/refunds", b"100"),
 /// };
 /// assert_eq!(named, named.clone());
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Named {
     /// The name.
-    pub name: RequestName,
+    pub name: IdempotencyKey,
     /// Tells a repetition from a misused key.
     pub digest: CallDigest,
 }
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -30,7 +30,7 @@
 use crate::claims::progress::due_ms;
 use crate::claims::progress::relation;
 use crate::claims::idempotency::CallDigest;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 use crate::verdict::FailureReason;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The name.
-    pub name: RequestName,
+    pub name: IdempotencyKey,
     /// What was asked under it.
     pub digest: CallDigest,
     /// The attempt that would be dispatched.
@@ -60,7 +60,7 @@
         /// For which request.
         request: RequestId,
         /// Which object.
-        name: RequestName,
+        name: IdempotencyKey,
         /// What to do with it.
         call: StoreCall,
     },
@@ -127,7 +127,7 @@
 /// A "not run" that waits for a look at the store.
 #[derive(Clone, Copy, Debug)]
 struct Vouch {
-    name: RequestName,
+    name: IdempotencyKey,
     failure: Failure,
     /// Whether the answer to an earlier call comes first; it may show an earlier state.
     skips_one: bool,
@@ -139,11 +139,11 @@
 /// use sardinewood::claims::{ClaimDecision, ClaimRequest, ClaimRules, ClaimStep, Claims};
 /// use sardinewood::claims::object::{Holder, StoreAnswer};
 /// use sardinewood::ids::{AttemptId, GrantId, Incarnation, RequestId};
-/// use sardinewood::claims::idempotency::{CallDigest, RequestName};
+/// use sardinewood::claims::idempotency::{CallDigest, IdempotencyKey};
 ///
 /// let request = RequestId(1);
 /// let asked = ClaimRequest {
-///     name: RequestName::new("rundu", "refund-7")?,
+///     name: IdempotencyKey::new("rundu", "refund-7")?,
 ///     digest: CallDigest::new("POST", "/v1/refunds", b"100"),
 ///     holder: Holder {
 ///         attempt: AttemptId { request, number: 1 },
@@ -240,7 +240,7 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        name: RequestName,
+        name: IdempotencyKey,
         failure: Failure,
     ) -> Vec<ClaimStep> {
         if !self.has_budget(now_ms) {
--- a/lib/src/claims/idempotency.rs
+++ b/lib/src/claims/idempotency.rs
@@ -38,19 +38,19 @@
 /// hold what the store does not accept in a name, or what others should not read.
 ///
 /// ```
-/// use sardinewood::claims::idempotency::RequestName;
+/// use sardinewood::claims::idempotency::IdempotencyKey;
 ///
-/// let rundu = RequestName::new("rundu", "refund-7")?;
-/// let keetmanshoop = RequestName::new("keetmanshoop", "refund-7")?;
+/// let rundu = IdempotencyKey::new("rundu", "refund-7")?;
+/// let keetmanshoop = IdempotencyKey::new("keetmanshoop", "refund-7")?;
 /// assert_ne!(rundu, keetmanshoop);
 /// assert_eq!(rundu.to_string().len(), 64);
-/// assert!(RequestName::new("rundu", "").is_err());
+/// assert!(IdempotencyKey::new("rundu", "").is_err());
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct RequestName([u8; 32]);
+pub struct IdempotencyKey([u8; 32]);
 
-impl RequestName {
+impl IdempotencyKey {
     /// Names a request of a customer.
     ///
     /// # Errors
@@ -62,7 +62,7 @@
     }
 }
 
-impl std::fmt::Display for RequestName {
+impl std::fmt::Display for IdempotencyKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for byte in self.0 {
             write!(f, "{byte:02x}")?;
@@ -138,9 +138,9 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::claims::idempotency::{Admission, CallDigest, KnownNames, RequestName};
+/// use sardinewood::claims::idempotency::{Admission, CallDigest, KnownNames, IdempotencyKey};
 ///
-/// let name = RequestName::new("rundu", "refund-7")?;
+/// let name = IdempotencyKey::new("rundu", "refund-7")?;
 /// let digest = CallDigest::new("POST", "/v1/refunds", b"100");
 /// let mut names = KnownNames::new(10, 60_000);
 /// assert_eq!(names.admission(name, digest), Admission::New);
@@ -154,7 +154,7 @@
 pub struct KnownNames {
     capacity: usize,
     retain_ms: u64,
-    names: IndexMap<RequestName, KnownName>,
+    names: IndexMap<IdempotencyKey, KnownName>,
 }
 
 impl KnownNames {
@@ -170,7 +170,7 @@
 
     /// What to do with a request of this name.
     #[must_use]
-    pub fn admission(&self, name: RequestName, digest: CallDigest) -> Admission {
+    pub fn admission(&self, name: IdempotencyKey, digest: CallDigest) -> Admission {
         match self.names.get(&name) {
             Some(known) if known.digest == digest => Admission::Join(known.request),
             Some(_) => Admission::OtherCall,
@@ -180,7 +180,7 @@
     }
 
     /// Takes a name into use.
-    pub fn insert(&mut self, name: RequestName, digest: CallDigest, request: RequestId) {
+    pub fn insert(&mut self, name: IdempotencyKey, digest: CallDigest, request: RequestId) {
         let known = KnownName {
             request,
             digest,
@@ -191,7 +191,7 @@
     }
 
     /// Notes the attempt that was dispatched under this name.
-    pub fn hold(&mut self, name: RequestName, digest: CallDigest, holder: Holder) {
+    pub fn hold(&mut self, name: IdempotencyKey, digest: CallDigest, holder: Holder) {
         if !self.names.contains_key(&name) {
             self.insert(name, digest, holder.attempt.request);
         }
@@ -204,19 +204,19 @@
 
     /// The attempt that was dispatched last under this name.
     #[must_use]
-    pub fn holder(&self, name: RequestName) -> Option<&Holder> {
+    pub fn holder(&self, name: IdempotencyKey) -> Option<&Holder> {
         self.names.get(&name)?.holder.as_ref()
     }
 
     /// Notes that the request of this name has its final answer.
-    pub fn finish(&mut self, name: RequestName, now_ms: u64) {
+    pub fn finish(&mut self, name: IdempotencyKey, now_ms: u64) {
         if let Some(known) = self.names.get_mut(&name) {
             known.finished_ms = Some(now_ms);
         }
     }
 
     /// Gives up a name whose request was not run, so that a repeat runs it.
-    pub fn remove(&mut self, name: RequestName) {
+    pub fn remove(&mut self, name: IdempotencyKey) {
         self.names.swap_remove(&name);
     }
 
@@ -244,14 +244,14 @@
 
     /// The request that goes by a name.
     #[must_use]
-    pub fn request(&self, name: RequestName) -> Option<RequestId> {
+    pub fn request(&self, name: IdempotencyKey) -> Option<RequestId> {
         self.names.get(&name).map(|known| known.request)
     }
 }
 
 /// The text of a name, for objects that hold it.
-impl From<RequestName> for Arc<str> {
-    fn from(name: RequestName) -> Self {
+impl From<IdempotencyKey> for Arc<str> {
+    fn from(name: IdempotencyKey) -> Self {
         name.to_string().into()
     }
 }
--- a/lib/src/claims/object.rs
+++ b/lib/src/claims/object.rs
@@ -16,9 +16,9 @@
 ///
 /// ```
 /// use sardinewood::claims::object::claim_kind;
-/// use sardinewood::claims::idempotency::RequestName;
+/// use sardinewood::claims::idempotency::IdempotencyKey;
 ///
-/// let name = RequestName::new("rundu", "refund-7")?;
+/// let name = IdempotencyKey::new("rundu", "refund-7")?;
 /// assert!(claim_kind(&name.to_string()).starts_with("claims-"));
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
--- a/lib/src/entry/caller_api.rs
+++ b/lib/src/entry/caller_api.rs
@@ -35,7 +35,7 @@
 use crate::caller::submission::WorkEstimate;
 use crate::claims::idempotency::CallDigest;
 use crate::claims::idempotency::KeyError;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::config::objects::Customer;
 use crate::config::objects::Profile;
 use crate::config::objects::Target;
@@ -363,7 +363,7 @@
         (None, Some(_)) => id.to_string(),
         (None, None) => return Ok(None),
     };
-    let name = RequestName::new(&customer.name, &key).map_err(|error| invalid_key(&error))?;
+    let name = IdempotencyKey::new(&customer.name, &key).map_err(|error| invalid_key(&error))?;
     let digest = CallDigest::new(&call.method, &call.path, &call.body);
     Ok(Some(Named { name, digest }))
 }
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -7,7 +7,7 @@
 use crate::claims::ClaimDecision;
 use crate::claims::ClaimRequest;
 use crate::claims::object::Holder;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::config::catalog::Catalog;
 use crate::ids::AttemptId;
 use crate::ids::Incarnation;
@@ -111,7 +111,7 @@
     /// that it did not.
     Vouch {
         request: RequestId,
-        name: RequestName,
+        name: IdempotencyKey,
         failure: Failure,
     },
     /// Find out when the request's turn under its order key has come.
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -15,7 +15,7 @@
 use crate::claims::ClaimRequest;
 use crate::claims::object::Holder;
 use crate::claims::idempotency::KnownNames;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::config::catalog::Catalog;
 use crate::config::objects::TIER_COUNT;
 use crate::entry::admission::Admission;
@@ -339,7 +339,7 @@
         self.tell_vouched(run.submission.request, failure, name);
     }
 
-    fn tell_vouched(&mut self, request: RequestId, failure: Failure, name: Option<RequestName>) {
+    fn tell_vouched(&mut self, request: RequestId, failure: Failure, name: Option<IdempotencyKey>) {
         let Some(name) = name else {
             self.record(request, Decided::Failed(failure));
             self.steps.push(EntryStep::Fail { request, failure });
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -16,7 +16,7 @@
 use super::Phase;
 use super::Place;
 use super::RequestId;
-use super::RequestName;
+use super::IdempotencyKey;
 use super::Run;
 use crate::claims::idempotency::Admission;
 use crate::entry::run::Attempt;
@@ -159,7 +159,7 @@
     }
 
     /// The name, if "not run" must not be said of it without a look at the store.
-    pub(super) fn name_to_vouch_for(&self, run: &Run, failure: Failure) -> Option<RequestName> {
+    pub(super) fn name_to_vouch_for(&self, run: &Run, failure: Failure) -> Option<IdempotencyKey> {
         let is_not_run = failure.outcome == Outcome::NotRun;
         // With another body it is another request, which has not run.
         let is_same_call = failure.reason != FailureReason::KeyReused;
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -19,7 +19,7 @@
 use crate::claims::object::StoreCall;
 use crate::claims::object::StoredClaim;
 use crate::claims::object::claim_kind;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::claims::sweep::ClaimSweep;
 use crate::claims::sweep::SweepStep;
 use crate::entry::state::EntryEvent;
@@ -120,7 +120,7 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        name: RequestName,
+        name: IdempotencyKey,
         failure: Failure,
     ) -> Vec<EntryEvent> {
         let steps = self.claims.vouch(now_ms, request, name, failure);
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -7,7 +7,7 @@
 
 use crate::claims::object::Holder;
 use crate::claims::idempotency::KeyError;
-use crate::claims::idempotency::RequestName;
+use crate::claims::idempotency::IdempotencyKey;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 
@@ -24,7 +24,7 @@
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct OrderName(RequestName);
+pub struct OrderName(IdempotencyKey);
 
 impl OrderName {
     /// Names the queue of an order key.
@@ -33,7 +33,7 @@
     ///
     /// The key is empty, too long, or not visible ASCII.
     pub fn new(customer: &str, order_key: &str) -> Result<Self, KeyError> {
-        RequestName::new(customer, order_key).map(Self)
+        IdempotencyKey::new(customer, order_key).map(Self)
     }
 }
 
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -12,7 +12,7 @@
 use sardinewood::claims::object::StoreCall;
 use sardinewood::claims::object::StoredClaim;
 use sardinewood::claims::idempotency::CallDigest;
-use sardinewood::claims::idempotency::RequestName;
+use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::AttemptId;
 use sardinewood::ids::GrantId;
 use sardinewood::ids::Incarnation;
@@ -36,7 +36,7 @@
 
 fn asked(holder: Holder) -> ClaimRequest {
     ClaimRequest {
-        name: RequestName::new("rundu", "refund-7").expect("a valid key"),
+        name: IdempotencyKey::new("rundu", "refund-7").expect("a valid key"),
         digest: CallDigest::new("POST", "/v1/refunds", b"100"),
         holder,
         settled: None,
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -9,7 +9,7 @@
 use sardinewood::claims::ClaimDecision;
 use sardinewood::claims::object::Holder;
 use sardinewood::claims::idempotency::CallDigest;
-use sardinewood::claims::idempotency::RequestName;
+use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::config::catalog::Catalog;
 use sardinewood::config::objects::Activity;
 use sardinewood::config::objects::Customer;
@@ -198,7 +198,7 @@
 }
 
 fn named(request: u128) -> Submission {
-    let name = RequestName::new("rundu", "refund-17").expect("a key");
+    let name = IdempotencyKey::new("rundu", "refund-17").expect("a key");
     let digest = CallDigest::new("POST", "/v1/refunds", b"100");
     Submission {
         named: Some(Named { name, digest }),
--- a/lib/tests/test_idempotency.rs
+++ b/lib/tests/test_idempotency.rs
@@ -4,11 +4,11 @@
 use sardinewood::claims::idempotency::CallDigest;
 use sardinewood::claims::idempotency::KeyError;
 use sardinewood::claims::idempotency::KnownNames;
-use sardinewood::claims::idempotency::RequestName;
+use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::RequestId;
 
-fn name(customer: &str, key: &str) -> RequestName {
-    RequestName::new(customer, key).expect("a valid key")
+fn name(customer: &str, key: &str) -> IdempotencyKey {
+    IdempotencyKey::new(customer, key).expect("a valid key")
 }
 
 #[test]
@@ -22,13 +22,13 @@
 
 #[test]
 fn request_name_new_refuses_bad_keys() {
-    assert_eq!(RequestName::new("rundu", ""), Err(KeyError::Empty));
+    assert_eq!(IdempotencyKey::new("rundu", ""), Err(KeyError::Empty));
     assert_eq!(
-        RequestName::new("rundu", &"k".repeat(256)),
+        IdempotencyKey::new("rundu", &"k".repeat(256)),
         Err(KeyError::TooLong { length: 256 })
     );
     assert_eq!(
-        RequestName::new("rundu", "a b"),
+        IdempotencyKey::new("rundu", "a b"),
         Err(KeyError::NotVisibleAscii)
     );
 }
