--- a/bench/src/faults/work.rs
+++ b/bench/src/faults/work.rs
@@ -6,7 +6,7 @@
 use sardinewood::caller::submission::Named;
 use sardinewood::caller::submission::Submission;
 use sardinewood::caller::submission::WorkEstimate;
-use sardinewood::claims::idempotency::CallDigest;
+use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::config::objects::Customer;
 use sardinewood::config::objects::Profile;
@@ -107,7 +107,7 @@
         }
         let key = format!("work-{}", self.id.0);
         let name = IdempotencyKey::new("rundu", &key).ok()?;
-        let digest = CallDigest::new("POST", "/", &self.id.0.to_be_bytes());
+        let digest = RequestDigest::new("POST", "/", &self.id.0.to_be_bytes());
         Some(Named { name, digest })
     }
 
--- a/lib/src/caller/submission.rs
+++ b/lib/src/caller/submission.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::claims::idempotency::CallDigest;
+use crate::claims::idempotency::RequestDigest;
 use crate::claims::idempotency::IdempotencyKey;
 use crate::config::objects::Customer;
 use crate::config::objects::Profile;
@@ -16,12 +16,12 @@
 /// A named request: its name and what was asked under it.
 ///
 /// ```
-/// use sardinewood::claims::idempotency::{CallDigest, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{RequestDigest, IdempotencyKey};
 /// use sardinewood::caller::submission::Named;
 ///
 /// let named = Named {
 ///     name: IdempotencyKey::new("rundu", "refund-17").unwrap(),
-///     digest: CallDigest::new("POST", "/v1/refunds", b"100"),
+///     digest: RequestDigest::new("POST", "/v1/refunds", b"100"),
 /// };
 /// assert_eq!(named, named.clone());
 /// ```
@@ -30,7 +30,7 @@
     /// The name.
     pub name: IdempotencyKey,
     /// Tells a repetition from a misused key.
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
 }
 
 /// What a request is expected to cost.
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -29,7 +29,7 @@
 use crate::claims::progress::Relation;
 use crate::claims::progress::due_ms;
 use crate::claims::progress::relation;
-use crate::claims::idempotency::CallDigest;
+use crate::claims::idempotency::RequestDigest;
 use crate::claims::idempotency::IdempotencyKey;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
@@ -42,7 +42,7 @@
     /// The name.
     pub name: IdempotencyKey,
     /// What was asked under it.
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
     /// The attempt that would be dispatched.
     pub holder: Holder,
     /// What another request held, if that is known not to run, now or later. Compared as a
@@ -139,12 +139,12 @@
 /// use sardinewood::claims::{ClaimDecision, ClaimRequest, ClaimRules, ClaimStep, Claims};
 /// use sardinewood::claims::object::{Holder, StoreAnswer};
 /// use sardinewood::ids::{AttemptId, GrantId, Incarnation, RequestId};
-/// use sardinewood::claims::idempotency::{CallDigest, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{RequestDigest, IdempotencyKey};
 ///
 /// let request = RequestId(1);
 /// let asked = ClaimRequest {
 ///     name: IdempotencyKey::new("rundu", "refund-7")?,
-///     digest: CallDigest::new("POST", "/v1/refunds", b"100"),
+///     digest: RequestDigest::new("POST", "/v1/refunds", b"100"),
 ///     holder: Holder {
 ///         attempt: AttemptId { request, number: 1 },
 ///         agent: "refunds-1".into(),
--- a/lib/src/claims/idempotency.rs
+++ b/lib/src/claims/idempotency.rs
@@ -74,16 +74,16 @@
 /// Tells whether two requests ask for the same.
 ///
 /// ```
-/// use sardinewood::claims::idempotency::CallDigest;
+/// use sardinewood::claims::idempotency::RequestDigest;
 ///
-/// let first = CallDigest::new("POST", "/v1/refunds", b"{\"cents\": 100}");
-/// let second = CallDigest::new("POST", "/v1/refunds", b"{\"cents\": 900}");
+/// let first = RequestDigest::new("POST", "/v1/refunds", b"{\"cents\": 100}");
+/// let second = RequestDigest::new("POST", "/v1/refunds", b"{\"cents\": 900}");
 /// assert_ne!(first, second);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct CallDigest([u8; 32]);
+pub struct RequestDigest([u8; 32]);
 
-impl CallDigest {
+impl RequestDigest {
     /// Digests what a repeated request must have in common with the first.
     #[must_use]
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
@@ -91,7 +91,7 @@
     }
 }
 
-impl std::fmt::Display for CallDigest {
+impl std::fmt::Display for RequestDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for byte in self.0 {
             write!(f, "{byte:02x}")?;
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug)]
 struct KnownName {
     request: RequestId,
-    digest: CallDigest,
+    digest: RequestDigest,
     holder: Option<Holder>,
     finished_ms: Option<u64>,
 }
@@ -138,15 +138,15 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::claims::idempotency::{Admission, CallDigest, KnownNames, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{Admission, RequestDigest, KnownNames, IdempotencyKey};
 ///
 /// let name = IdempotencyKey::new("rundu", "refund-7")?;
-/// let digest = CallDigest::new("POST", "/v1/refunds", b"100");
+/// let digest = RequestDigest::new("POST", "/v1/refunds", b"100");
 /// let mut names = KnownNames::new(10, 60_000);
 /// assert_eq!(names.admission(name, digest), Admission::New);
 /// names.insert(name, digest, RequestId(1));
 /// assert_eq!(names.admission(name, digest), Admission::Join(RequestId(1)));
-/// let other = CallDigest::new("POST", "/v1/refunds", b"900");
+/// let other = RequestDigest::new("POST", "/v1/refunds", b"900");
 /// assert_eq!(names.admission(name, other), Admission::OtherCall);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
@@ -170,7 +170,7 @@
 
     /// What to do with a request of this name.
     #[must_use]
-    pub fn admission(&self, name: IdempotencyKey, digest: CallDigest) -> Admission {
+    pub fn admission(&self, name: IdempotencyKey, digest: RequestDigest) -> Admission {
         match self.names.get(&name) {
             Some(known) if known.digest == digest => Admission::Join(known.request),
             Some(_) => Admission::OtherCall,
@@ -180,7 +180,7 @@
     }
 
     /// Takes a name into use.
-    pub fn insert(&mut self, name: IdempotencyKey, digest: CallDigest, request: RequestId) {
+    pub fn insert(&mut self, name: IdempotencyKey, digest: RequestDigest, request: RequestId) {
         let known = KnownName {
             request,
             digest,
@@ -191,7 +191,7 @@
     }
 
     /// Notes the attempt that was dispatched under this name.
-    pub fn hold(&mut self, name: IdempotencyKey, digest: CallDigest, holder: Holder) {
+    pub fn hold(&mut self, name: IdempotencyKey, digest: RequestDigest, holder: Holder) {
         if !self.names.contains_key(&name) {
             self.insert(name, digest, holder.attempt.request);
         }
--- a/lib/src/claims/object.rs
+++ b/lib/src/claims/object.rs
@@ -56,7 +56,7 @@
 /// The object in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The [`crate::claims::idempotency::CallDigest`] of the call, as text; absent in a bar.
+    /// The [`crate::claims::idempotency::RequestDigest`] of the call, as text; absent in a bar.
     pub digest: Option<Arc<str>>,
     /// Who may run it.
     pub state: ClaimState,
--- a/lib/src/entry/caller_api.rs
+++ b/lib/src/entry/caller_api.rs
@@ -33,7 +33,7 @@
 use crate::caller::submission::Named;
 use crate::caller::submission::Submission;
 use crate::caller::submission::WorkEstimate;
-use crate::claims::idempotency::CallDigest;
+use crate::claims::idempotency::RequestDigest;
 use crate::claims::idempotency::KeyError;
 use crate::claims::idempotency::IdempotencyKey;
 use crate::config::objects::Customer;
@@ -364,7 +364,7 @@
         (None, None) => return Ok(None),
     };
     let name = IdempotencyKey::new(&customer.name, &key).map_err(|error| invalid_key(&error))?;
-    let digest = CallDigest::new(&call.method, &call.path, &call.body);
+    let digest = RequestDigest::new(&call.method, &call.path, &call.body);
     Ok(Some(Named { name, digest }))
 }
 
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -11,7 +11,7 @@
 use sardinewood::claims::object::StoreAnswer;
 use sardinewood::claims::object::StoreCall;
 use sardinewood::claims::object::StoredClaim;
-use sardinewood::claims::idempotency::CallDigest;
+use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::AttemptId;
 use sardinewood::ids::GrantId;
@@ -37,7 +37,7 @@
 fn asked(holder: Holder) -> ClaimRequest {
     ClaimRequest {
         name: IdempotencyKey::new("rundu", "refund-7").expect("a valid key"),
-        digest: CallDigest::new("POST", "/v1/refunds", b"100"),
+        digest: RequestDigest::new("POST", "/v1/refunds", b"100"),
         holder,
         settled: None,
         required: true,
@@ -176,7 +176,7 @@
 fn claim_other_call_is_refused() {
     let mut claims = Claims::new(ClaimRules::default());
     let mut request = asked(holder(OURS, 1, 7));
-    request.digest = CallDigest::new("POST", "/v1/refunds", b"900");
+    request.digest = RequestDigest::new("POST", "/v1/refunds", b"900");
     claims.claim(0, request);
     let steps = claims.answered(5, OURS, stored(9, holder(THEIRS, 1, 8)));
     let refused = ClaimDecision::Fail(Failure::not_run(FailureReason::KeyReused));
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -8,7 +8,7 @@
 use sardinewood::caller::submission::WorkEstimate;
 use sardinewood::claims::ClaimDecision;
 use sardinewood::claims::object::Holder;
-use sardinewood::claims::idempotency::CallDigest;
+use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::config::catalog::Catalog;
 use sardinewood::config::objects::Activity;
@@ -199,7 +199,7 @@
 
 fn named(request: u128) -> Submission {
     let name = IdempotencyKey::new("rundu", "refund-17").expect("a key");
-    let digest = CallDigest::new("POST", "/v1/refunds", b"100");
+    let digest = RequestDigest::new("POST", "/v1/refunds", b"100");
     Submission {
         named: Some(Named { name, digest }),
         ..submission(request, 0)
@@ -949,7 +949,7 @@
 fn submit_name_with_other_body_refused() {
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(named(1));
-    let digest = CallDigest::new("POST", "/v1/refunds", b"900");
+    let digest = RequestDigest::new("POST", "/v1/refunds", b"900");
     let named = named(2).named.map(|known| Named { digest, ..known });
     let steps = scene.submit(Submission {
         named,
--- a/lib/tests/test_idempotency.rs
+++ b/lib/tests/test_idempotency.rs
@@ -1,7 +1,7 @@
 //! Names of requests: whose they are, and what is refused.
 
 use sardinewood::claims::idempotency::Admission;
-use sardinewood::claims::idempotency::CallDigest;
+use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::idempotency::KeyError;
 use sardinewood::claims::idempotency::KnownNames;
 use sardinewood::claims::idempotency::IdempotencyKey;
@@ -35,8 +35,8 @@
 
 #[test]
 fn known_names_admission_tells_repetition_from_misuse() {
-    let first = CallDigest::new("POST", "/v1/refunds", b"100");
-    let second = CallDigest::new("POST", "/v1/refunds", b"900");
+    let first = RequestDigest::new("POST", "/v1/refunds", b"100");
+    let second = RequestDigest::new("POST", "/v1/refunds", b"900");
     let mut names = KnownNames::new(1, 1_000);
     names.insert(name("rundu", "a"), first, RequestId(1));
     assert_eq!(
@@ -52,7 +52,7 @@
 
 #[test]
 fn known_names_expire_keeps_unfinished() {
-    let digest = CallDigest::new("POST", "/", b"");
+    let digest = RequestDigest::new("POST", "/", b"");
     let mut names = KnownNames::new(10, 1_000);
     names.insert(name("rundu", "done"), digest, RequestId(1));
     names.insert(name("rundu", "open"), digest, RequestId(2));
