--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -416,7 +416,7 @@
                 self.next_call(now_ms, request, NextCall::Write { expected });
             }
             Relation::Other(holder) => self.end(request, ClaimDecision::Follow(holder)),
-            Relation::OtherCall => self.fail(request, Failure::not_run(FailureReason::KeyReused)),
+            Relation::KeyReused => self.fail(request, Failure::not_run(FailureReason::KeyReused)),
             Relation::LostPlace => {
                 self.fail(request, Failure::not_run(FailureReason::PredecessorUnknown));
             }
--- a/lib/src/claims/idempotency.rs
+++ b/lib/src/claims/idempotency.rs
@@ -115,13 +115,13 @@
 
 /// What an entry does with a request that has a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum KeyLookup {
     /// The name is new here.
     New,
     /// The same request is known here: wait for, or repeat, its answer.
     Join(RequestId),
     /// The name stands for another call: 422.
-    OtherCall,
+    KeyReused,
     /// Too many names are in use: 503, not run.
     Full,
 }
@@ -138,16 +138,16 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::claims::idempotency::{Admission, RequestDigest, KnownNames, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{KeyLookup, RequestDigest, KnownNames, IdempotencyKey};
 ///
 /// let name = IdempotencyKey::new("rundu", "refund-7")?;
 /// let digest = RequestDigest::new("POST", "/v1/refunds", b"100");
 /// let mut names = KnownNames::new(10, 60_000);
-/// assert_eq!(names.admission(name, digest), Admission::New);
+/// assert_eq!(names.admission(name, digest), KeyLookup::New);
 /// names.insert(name, digest, RequestId(1));
-/// assert_eq!(names.admission(name, digest), Admission::Join(RequestId(1)));
+/// assert_eq!(names.admission(name, digest), KeyLookup::Join(RequestId(1)));
 /// let other = RequestDigest::new("POST", "/v1/refunds", b"900");
-/// assert_eq!(names.admission(name, other), Admission::OtherCall);
+/// assert_eq!(names.admission(name, other), KeyLookup::KeyReused);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
@@ -170,12 +170,12 @@
 
     /// What to do with a request of this name.
     #[must_use]
-    pub fn admission(&self, name: IdempotencyKey, digest: RequestDigest) -> Admission {
+    pub fn admission(&self, name: IdempotencyKey, digest: RequestDigest) -> KeyLookup {
         match self.names.get(&name) {
-            Some(known) if known.digest == digest => Admission::Join(known.request),
-            Some(_) => Admission::OtherCall,
-            None if self.names.len() >= self.capacity => Admission::Full,
-            None => Admission::New,
+            Some(known) if known.digest == digest => KeyLookup::Join(known.request),
+            Some(_) => KeyLookup::KeyReused,
+            None if self.names.len() >= self.capacity => KeyLookup::Full,
+            None => KeyLookup::New,
         }
     }
 
--- a/lib/src/claims/progress.rs
+++ b/lib/src/claims/progress.rs
@@ -58,7 +58,7 @@
     /// Another attempt may run.
     Other(Holder),
     /// The name stands for another call.
-    OtherCall,
+    KeyReused,
     /// A successor in the order has barred this request.
     LostPlace,
     /// Somebody wrote what this version cannot read.
@@ -71,7 +71,7 @@
     };
     let digest = asked.digest.to_string();
     if claim.digest.as_deref().is_some_and(|other| other != digest) {
-        return Relation::OtherCall;
+        return Relation::KeyReused;
     }
     let ours = asked.holder.attempt;
     match &claim.state {
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -18,7 +18,7 @@
 use super::RequestId;
 use super::IdempotencyKey;
 use super::Run;
-use crate::claims::idempotency::Admission;
+use crate::claims::idempotency::KeyLookup;
 use crate::entry::run::Attempt;
 use crate::ids::GrantId;
 
@@ -43,9 +43,9 @@
     pub(super) fn name_refusal(&self, run: &Run) -> Option<Failure> {
         let named = run.submission.named?;
         match self.names.admission(named.name, named.digest) {
-            Admission::New | Admission::Join(_) => None,
-            Admission::OtherCall => Some(Failure::not_run(FailureReason::KeyReused)),
-            Admission::Full => {
+            KeyLookup::New | KeyLookup::Join(_) => None,
+            KeyLookup::KeyReused => Some(Failure::not_run(FailureReason::KeyReused)),
+            KeyLookup::Full => {
                 let failure = Failure::not_run(FailureReason::QueueFull);
                 Some(failure.retry_after(self.rules.retry_after_ms))
             }
--- a/lib/tests/test_idempotency.rs
+++ b/lib/tests/test_idempotency.rs
@@ -1,6 +1,6 @@
 //! Names of requests: whose they are, and what is refused.
 
-use sardinewood::claims::idempotency::Admission;
+use sardinewood::claims::idempotency::KeyLookup;
 use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::idempotency::KeyError;
 use sardinewood::claims::idempotency::KnownNames;
@@ -41,13 +41,13 @@
     names.insert(name("rundu", "a"), first, RequestId(1));
     assert_eq!(
         names.admission(name("rundu", "a"), first),
-        Admission::Join(RequestId(1))
+        KeyLookup::Join(RequestId(1))
     );
     assert_eq!(
         names.admission(name("rundu", "a"), second),
-        Admission::OtherCall
+        KeyLookup::KeyReused
     );
-    assert_eq!(names.admission(name("rundu", "b"), first), Admission::Full);
+    assert_eq!(names.admission(name("rundu", "b"), first), KeyLookup::Full);
 }
 
 #[test]
