--- a/lib/src/claims/idempotency.rs
+++ b/lib/src/claims/idempotency.rs
@@ -138,26 +138,26 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::claims::idempotency::{KeyLookup, RequestDigest, KnownNames, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{KeyLookup, RequestDigest, IdempotencyTable, IdempotencyKey};
 ///
 /// let name = IdempotencyKey::new("rundu", "refund-7")?;
 /// let digest = RequestDigest::new("POST", "/v1/refunds", b"100");
-/// let mut names = KnownNames::new(10, 60_000);
-/// assert_eq!(names.admission(name, digest), KeyLookup::New);
+/// let mut names = IdempotencyTable::new(10, 60_000);
+/// assert_eq!(names.lookup(name, digest), KeyLookup::New);
 /// names.insert(name, digest, RequestId(1));
-/// assert_eq!(names.admission(name, digest), KeyLookup::Join(RequestId(1)));
+/// assert_eq!(names.lookup(name, digest), KeyLookup::Join(RequestId(1)));
 /// let other = RequestDigest::new("POST", "/v1/refunds", b"900");
-/// assert_eq!(names.admission(name, other), KeyLookup::KeyReused);
+/// assert_eq!(names.lookup(name, other), KeyLookup::KeyReused);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
-pub struct KnownNames {
+pub struct IdempotencyTable {
     capacity: usize,
     retain_ms: u64,
     names: IndexMap<IdempotencyKey, KnownName>,
 }
 
-impl KnownNames {
+impl IdempotencyTable {
     /// Keeps at most `capacity` names, each for `retain_ms` after its request finished.
     #[must_use]
     pub fn new(capacity: usize, retain_ms: u64) -> Self {
@@ -170,7 +170,7 @@
 
     /// What to do with a request of this name.
     #[must_use]
-    pub fn admission(&self, name: IdempotencyKey, digest: RequestDigest) -> KeyLookup {
+    pub fn lookup(&self, name: IdempotencyKey, digest: RequestDigest) -> KeyLookup {
         match self.names.get(&name) {
             Some(known) if known.digest == digest => KeyLookup::Join(known.request),
             Some(_) => KeyLookup::KeyReused,
@@ -191,7 +191,7 @@
     }
 
     /// Notes the attempt that was dispatched under this name.
-    pub fn hold(&mut self, name: IdempotencyKey, digest: RequestDigest, holder: Holder) {
+    pub fn record_dispatch(&mut self, name: IdempotencyKey, digest: RequestDigest, holder: Holder) {
         if !self.names.contains_key(&name) {
             self.insert(name, digest, holder.attempt.request);
         }
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -14,7 +14,7 @@
 use crate::claims::ClaimDecision;
 use crate::claims::ClaimRequest;
 use crate::claims::object::Holder;
-use crate::claims::idempotency::KnownNames;
+use crate::claims::idempotency::IdempotencyTable;
 use crate::claims::idempotency::IdempotencyKey;
 use crate::config::catalog::Catalog;
 use crate::config::objects::TIER_COUNT;
@@ -174,7 +174,7 @@
     dialled: IndexMap<Arc<str>, SocketAddr>,
     runs: IndexMap<RequestId, Run>,
     queue: WaitingQueue,
-    names: KnownNames,
+    names: IdempotencyTable,
     expire_names_at_ms: u64,
     unplaced: IndexSet<RequestId>,
     /// Requests whose "not run" is being looked into.
@@ -205,7 +205,7 @@
             agents: AgentTable::new(rules.links.clone()),
             queue: WaitingQueue::new(rules.queue),
             expire_names_at_ms: 0,
-            names: KnownNames::new(rules.max_names, rules.retain_names_ms),
+            names: IdempotencyTable::new(rules.max_names, rules.retain_names_ms),
             dialled: IndexMap::new(),
             runs: IndexMap::new(),
             unplaced: IndexSet::new(),
--- a/lib/src/entry/state/attempts.rs
+++ b/lib/src/entry/state/attempts.rs
@@ -170,7 +170,7 @@
             grant,
         };
         if let Some(named) = run.submission.named {
-            self.names.hold(named.name, named.digest, holder);
+            self.names.record_dispatch(named.name, named.digest, holder);
         }
         let message = EntryMessage::Dispatch {
             grant,
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -42,7 +42,7 @@
     /// Refuses a misused name, or a new one when too many are remembered.
     pub(super) fn name_refusal(&self, run: &Run) -> Option<Failure> {
         let named = run.submission.named?;
-        match self.names.admission(named.name, named.digest) {
+        match self.names.lookup(named.name, named.digest) {
             KeyLookup::New | KeyLookup::Join(_) => None,
             KeyLookup::KeyReused => Some(Failure::not_run(FailureReason::KeyReused)),
             KeyLookup::Full => {
--- a/lib/tests/test_idempotency.rs
+++ b/lib/tests/test_idempotency.rs
@@ -3,7 +3,7 @@
 use sardinewood::claims::idempotency::KeyLookup;
 use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::idempotency::KeyError;
-use sardinewood::claims::idempotency::KnownNames;
+use sardinewood::claims::idempotency::IdempotencyTable;
 use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::RequestId;
 
@@ -37,23 +37,23 @@
 fn known_names_admission_tells_repetition_from_misuse() {
     let first = RequestDigest::new("POST", "/v1/refunds", b"100");
     let second = RequestDigest::new("POST", "/v1/refunds", b"900");
-    let mut names = KnownNames::new(1, 1_000);
+    let mut names = IdempotencyTable::new(1, 1_000);
     names.insert(name("rundu", "a"), first, RequestId(1));
     assert_eq!(
-        names.admission(name("rundu", "a"), first),
+        names.lookup(name("rundu", "a"), first),
         KeyLookup::Join(RequestId(1))
     );
     assert_eq!(
-        names.admission(name("rundu", "a"), second),
+        names.lookup(name("rundu", "a"), second),
         KeyLookup::KeyReused
     );
-    assert_eq!(names.admission(name("rundu", "b"), first), KeyLookup::Full);
+    assert_eq!(names.lookup(name("rundu", "b"), first), KeyLookup::Full);
 }
 
 #[test]
 fn known_names_expire_keeps_unfinished() {
     let digest = RequestDigest::new("POST", "/", b"");
-    let mut names = KnownNames::new(10, 1_000);
+    let mut names = IdempotencyTable::new(10, 1_000);
     names.insert(name("rundu", "done"), digest, RequestId(1));
     names.insert(name("rundu", "open"), digest, RequestId(2));
     names.finish(name("rundu", "done"), 500);
