--- a/bench/src/faults/fleet_entry.rs
+++ b/bench/src/faults/fleet_entry.rs
@@ -18,7 +18,7 @@
 use sardinewood::ordering::Orders;
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
-use sardinewood::ordering::queue::OrderName;
+use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::OrderRules;
 
 use super::process::Process;
@@ -50,11 +50,11 @@
     },
     /// The store answered a call about an order.
     OrderAnswer {
-        order: OrderName,
+        order: OrderKey,
         answer: OrderAnswer,
     },
     /// The store answered a bar.
-    BarAnswer { order: OrderName, answer: BarAnswer },
+    BarAnswer { order: OrderKey, answer: BarAnswer },
     /// Claims and orders may have something to do.
     RecordTick,
     /// Something else.
--- a/bench/src/faults/fleet_store.rs
+++ b/bench/src/faults/fleet_store.rs
@@ -12,7 +12,7 @@
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
 use sardinewood::ordering::queue::OrderCall;
-use sardinewood::ordering::queue::OrderName;
+use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::Place;
 use sardinewood::ordering::queue::StoredQueue;
 
@@ -57,10 +57,10 @@
         call: StoreCall,
     },
     /// About a queue.
-    Order { order: OrderName, call: OrderCall },
+    Order { order: OrderKey, call: OrderCall },
     /// A bar in place of a claim.
     Bar {
-        order: OrderName,
+        order: OrderKey,
         place: Place,
         replace: Option<u64>,
     },
@@ -73,7 +73,7 @@
     pub trouble: Trouble,
     version: u64,
     claims: IndexMap<String, Vec<Option<StoredClaim>>>,
-    orders: IndexMap<OrderName, Vec<StoredQueue>>,
+    orders: IndexMap<OrderKey, Vec<StoredQueue>>,
 }
 
 impl FleetStore {
@@ -116,7 +116,7 @@
     /// Carries a call about a queue out.
     pub fn order_call(
         &mut self,
-        order: OrderName,
+        order: OrderKey,
         call: &OrderCall,
         is_stale: bool,
     ) -> OrderAnswer {
--- a/bench/src/faults/work.rs
+++ b/bench/src/faults/work.rs
@@ -14,7 +14,7 @@
 use sardinewood::config::objects::Tier;
 use sardinewood::ids::RequestId;
 use sardinewood::link::wire::Call;
-use sardinewood::ordering::queue::OrderName;
+use sardinewood::ordering::queue::OrderKey;
 
 /// One thing that a caller wants done, through one or more requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -111,8 +111,8 @@
         Some(Named { name, digest })
     }
 
-    fn order_name(&self) -> Option<OrderName> {
-        OrderName::new("rundu", &format!("counsellor-{}", self.order?)).ok()
+    fn order_name(&self) -> Option<OrderKey> {
+        OrderKey::new("rundu", &format!("counsellor-{}", self.order?)).ok()
     }
 
     fn profile(&self) -> Profile {
--- a/bench/src/faults/world_records.rs
+++ b/bench/src/faults/world_records.rs
@@ -8,7 +8,7 @@
 use sardinewood::ids::RequestId;
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
-use sardinewood::ordering::queue::OrderName;
+use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::OrderStep;
 
 use super::fleet_entry::EntryInput;
@@ -89,7 +89,7 @@
         &mut self,
         entry: usize,
         request: RequestId,
-        order: Option<OrderName>,
+        order: Option<OrderKey>,
         outcome: FinishedAs,
     ) {
         let may_have_run = outcome != FinishedAs::NotRun;
--- a/lib/src/caller/submission.rs
+++ b/lib/src/caller/submission.rs
@@ -11,7 +11,7 @@
 use crate::ids::RequestId;
 use crate::link::wire::Call;
 use crate::link::wire::Reservation;
-use crate::ordering::queue::OrderName;
+use crate::ordering::queue::OrderKey;
 
 /// A named request: its name and what was asked under it.
 ///
@@ -70,7 +70,7 @@
     /// Its name, if the caller gave one.
     pub named: Option<Named>,
     /// Requests under the same order key of a customer run one after another.
-    pub order: Option<OrderName>,
+    pub order: Option<OrderKey>,
     /// The appointment that it belongs to.
     pub appointment: Option<Arc<str>>,
     /// What it is expected to cost.
--- a/lib/src/entry/caller_api.rs
+++ b/lib/src/entry/caller_api.rs
@@ -50,7 +50,7 @@
 use crate::entry::state::EntryEvent;
 use crate::ids::RequestId;
 use crate::link::wire::Call;
-use crate::ordering::queue::OrderName;
+use crate::ordering::queue::OrderKey;
 
 /// What a caller may send.
 ///
@@ -368,11 +368,11 @@
     Ok(Some(Named { name, digest }))
 }
 
-fn order(customer: &Customer, headers: &CallerHeaders) -> Result<Option<OrderName>, ApiError> {
+fn order(customer: &Customer, headers: &CallerHeaders) -> Result<Option<OrderKey>, ApiError> {
     let Some(key) = &headers.order_key else {
         return Ok(None);
     };
-    OrderName::new(&customer.name, key)
+    OrderKey::new(&customer.name, key)
         .map(Some)
         .map_err(|error| invalid_key(&error))
 }
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -15,7 +15,7 @@
 use crate::link::wire::AgentMessage;
 use crate::link::wire::AnswerEnd;
 use crate::link::wire::EntryMessage;
-use crate::ordering::queue::OrderName;
+use crate::ordering::queue::OrderKey;
 use crate::ordering::queue::Place;
 use crate::verdict::Failure;
 use crate::verdict::Outcome;
@@ -115,11 +115,11 @@
         failure: Failure,
     },
     /// Find out when the request's turn under its order key has come.
-    AwaitTurn { order: OrderName, place: Place },
+    AwaitTurn { order: OrderKey, place: Place },
     /// The request is over here; what was kept for it elsewhere can go.
     Finished {
         request: RequestId,
-        order: Option<OrderName>,
+        order: Option<OrderKey>,
         outcome: FinishedAs,
     },
     /// Keep a link to this agent.
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -32,7 +32,7 @@
 use crate::ordering::queue::ORDER_KIND;
 use crate::ordering::queue::OrderAnswer;
 use crate::ordering::queue::OrderCall;
-use crate::ordering::queue::OrderName;
+use crate::ordering::queue::OrderKey;
 use crate::ordering::queue::OrderRules;
 use crate::ordering::queue::OrderStep;
 use crate::ordering::queue::Place;
@@ -66,14 +66,14 @@
     /// About the queue of an order key.
     Order {
         /// Which queue.
-        order: OrderName,
+        order: OrderKey,
         /// What is known.
         answer: OrderAnswer,
     },
     /// About a bar before a request that is overdue.
     Bar {
         /// In which queue.
-        order: OrderName,
+        order: OrderKey,
         /// What is known.
         answer: BarAnswer,
     },
@@ -128,7 +128,7 @@
     }
 
     /// Takes a place in an order.
-    pub fn join(&mut self, now_ms: u64, order: OrderName, place: Place) -> Vec<EntryEvent> {
+    pub fn join(&mut self, now_ms: u64, order: OrderKey, place: Place) -> Vec<EntryEvent> {
         let steps = self.orders.join(now_ms, order, place);
         self.follow_orders(steps)
     }
@@ -138,7 +138,7 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        order: Option<OrderName>,
+        order: Option<OrderKey>,
         outcome: FinishedAs,
     ) -> Vec<EntryEvent> {
         let may_have_run = outcome != FinishedAs::NotRun;
@@ -299,7 +299,7 @@
         });
     }
 
-    fn call_order(&self, order: OrderName, call: OrderCall) {
+    fn call_order(&self, order: OrderKey, call: OrderCall) {
         let store = self.store.clone();
         let answers = self.answers.clone();
         self.traffic.spawn(async move {
@@ -323,7 +323,7 @@
         });
     }
 
-    fn call_bar(&self, order: OrderName, place: Place, replace: Option<u64>) {
+    fn call_bar(&self, order: OrderKey, place: Place, replace: Option<u64>) {
         let store = self.store.clone();
         let answers = self.answers.clone();
         self.traffic.spawn(async move {
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -21,7 +21,7 @@
 use crate::ordering::queue::BarAnswer;
 use crate::ordering::queue::OrderAnswer;
 use crate::ordering::queue::OrderCall;
-use crate::ordering::queue::OrderName;
+use crate::ordering::queue::OrderKey;
 use crate::ordering::queue::OrderQueue;
 use crate::ordering::queue::OrderRules;
 use crate::ordering::queue::OrderStep;
@@ -113,10 +113,10 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::ordering::queue::{OrderAnswer, OrderName, OrderRules, OrderStep, Place};
+/// use sardinewood::ordering::queue::{OrderAnswer, OrderKey, OrderRules, OrderStep, Place};
 /// use sardinewood::ordering::Orders;
 ///
-/// let order = OrderName::new("kowalczyk", "counsellor-4")?;
+/// let order = OrderKey::new("kowalczyk", "counsellor-4")?;
 /// let place = Place { request: RequestId(1), claim: "c1".into(), deadline_in_ms: 8_000 };
 /// let mut orders = Orders::new(OrderRules::default());
 /// orders.join(0, order, place);
@@ -128,7 +128,7 @@
 #[derive(Debug)]
 pub struct Orders {
     rules: OrderRules,
-    keys: IndexMap<OrderName, OrderState>,
+    keys: IndexMap<OrderKey, OrderState>,
     steps: Vec<OrderStep>,
 }
 
@@ -144,7 +144,7 @@
     }
 
     /// A request waits for its turn.
-    pub fn join(&mut self, now_ms: u64, order: OrderName, place: Place) -> Vec<OrderStep> {
+    pub fn join(&mut self, now_ms: u64, order: OrderKey, place: Place) -> Vec<OrderStep> {
         let refuse_at_ms = now_ms + self.rules.patience_ms;
         let state = self.keys.entry(order).or_insert_with(OrderState::new);
         let local = LocalPlace {
@@ -162,7 +162,7 @@
     pub fn finish(
         &mut self,
         now_ms: u64,
-        order: OrderName,
+        order: OrderKey,
         request: RequestId,
         may_still_run: bool,
     ) -> Vec<OrderStep> {
@@ -184,7 +184,7 @@
     pub fn answered(
         &mut self,
         now_ms: u64,
-        order: OrderName,
+        order: OrderKey,
         answer: OrderAnswer,
     ) -> Vec<OrderStep> {
         let Some(state) = self.keys.get_mut(&order) else {
@@ -212,7 +212,7 @@
     }
 
     /// Takes the answer to [`OrderStep::Bar`].
-    pub fn barred(&mut self, now_ms: u64, order: OrderName, answer: BarAnswer) -> Vec<OrderStep> {
+    pub fn barred(&mut self, now_ms: u64, order: OrderKey, answer: BarAnswer) -> Vec<OrderStep> {
         let Some(state) = self.keys.get_mut(&order) else {
             return Vec::new();
         };
@@ -243,7 +243,7 @@
         attempt: AttemptId,
         settlement: Settlement,
     ) -> Vec<OrderStep> {
-        let concerned: Vec<OrderName> = self
+        let concerned: Vec<OrderKey> = self
             .keys
             .iter()
             .filter(|(_, state)| state.settles(attempt))
@@ -277,7 +277,7 @@
 
     /// Makes the calls that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<OrderStep> {
-        let names: Vec<OrderName> = self.keys.keys().copied().collect();
+        let names: Vec<OrderKey> = self.keys.keys().copied().collect();
         let mut steps = Vec::new();
         for order in names {
             steps.extend(self.proceed(now_ms, order));
@@ -307,7 +307,7 @@
     }
 
     /// Takes over what the store has, and tells the request at the head.
-    fn learn(&mut self, now_ms: u64, order: OrderName, stored: StoredQueue) {
+    fn learn(&mut self, now_ms: u64, order: OrderKey, stored: StoredQueue) {
         let Some(state) = self.keys.get_mut(&order) else {
             return;
         };
@@ -344,7 +344,7 @@
     }
 
     /// Does what is due for one key.
-    fn proceed(&mut self, now_ms: u64, order: OrderName) -> Vec<OrderStep> {
+    fn proceed(&mut self, now_ms: u64, order: OrderKey) -> Vec<OrderStep> {
         self.refuse_impatient(now_ms, order);
         if let Some(head) = self.overdue_head(now_ms, order) {
             self.examine(order, head, None);
@@ -359,7 +359,7 @@
 
     /// Refuses those whose place could not be written in time. The place is taken away
     /// later, in case that the write took effect.
-    fn refuse_impatient(&mut self, now_ms: u64, order: OrderName) {
+    fn refuse_impatient(&mut self, now_ms: u64, order: OrderKey) {
         let Some(state) = self.keys.get_mut(&order) else {
             return;
         };
@@ -379,7 +379,7 @@
     }
 
     /// Refuses those that wait behind a head whose outcome is unknown.
-    fn refuse_waiting(&mut self, order: OrderName) {
+    fn refuse_waiting(&mut self, order: OrderKey) {
         let Some(state) = self.keys.get_mut(&order) else {
             return;
         };
@@ -399,7 +399,7 @@
     }
 
     /// The head, if it is another's, past its deadline, and in the way of one of ours.
-    fn overdue_head(&self, now_ms: u64, order: OrderName) -> Option<Place> {
+    fn overdue_head(&self, now_ms: u64, order: OrderKey) -> Option<Place> {
         let state = self.keys.get(&order)?;
         let head = state.head()?;
         let (_, seen_ms) = state.head_seen?;
@@ -411,7 +411,7 @@
         (may_start && !state.leaving.contains(&head.request)).then(|| head.clone())
     }
 
-    fn examine(&mut self, order: OrderName, place: Place, replace: Option<u64>) {
+    fn examine(&mut self, order: OrderKey, place: Place, replace: Option<u64>) {
         if let Some(state) = self.keys.get_mut(&order) {
             state.examination = Examination::Barring;
             self.steps.push(OrderStep::Bar {
@@ -422,7 +422,7 @@
         }
     }
 
-    fn bar_settled(&mut self, order: OrderName) {
+    fn bar_settled(&mut self, order: OrderKey) {
         let Some(state) = self.keys.get_mut(&order) else {
             return;
         };
@@ -436,7 +436,7 @@
     }
 
     /// An agent that did not answer, or said that the attempt runs, is asked again.
-    fn settle_again(&mut self, now_ms: u64, order: OrderName) {
+    fn settle_again(&mut self, now_ms: u64, order: OrderKey) {
         let overdue_ms = self.rules.overdue_ms;
         let Some(state) = self.keys.get_mut(&order) else {
             return;
@@ -452,7 +452,7 @@
         }
     }
 
-    fn next_call(&mut self, now_ms: u64, order: OrderName) {
+    fn next_call(&mut self, now_ms: u64, order: OrderKey) {
         let Some(state) = self.keys.get_mut(&order) else {
             return;
         };
@@ -477,7 +477,7 @@
         }
     }
 
-    fn call(&mut self, order: OrderName, call: OrderCall) {
+    fn call(&mut self, order: OrderKey, call: OrderCall) {
         if let Some(state) = self.keys.get_mut(&order) {
             state.calling = Some(call.clone());
             self.steps.push(OrderStep::Call { order, call });
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -17,16 +17,16 @@
 /// The name of one order key of one customer.
 ///
 /// ```
-/// use sardinewood::ordering::queue::OrderName;
+/// use sardinewood::ordering::queue::OrderKey;
 ///
-/// let one = OrderName::new("kowalczyk", "counsellor-4")?;
-/// assert_ne!(one, OrderName::new("rundu", "counsellor-4")?);
+/// let one = OrderKey::new("kowalczyk", "counsellor-4")?;
+/// assert_ne!(one, OrderKey::new("rundu", "counsellor-4")?);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct OrderName(IdempotencyKey);
+pub struct OrderKey(IdempotencyKey);
 
-impl OrderName {
+impl OrderKey {
     /// Names the queue of an order key.
     ///
     /// # Errors
@@ -37,7 +37,7 @@
     }
 }
 
-impl std::fmt::Display for OrderName {
+impl std::fmt::Display for OrderKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.fmt(f)
     }
@@ -126,14 +126,14 @@
     /// Call the store and hand the answer to [`crate::ordering::Orders::answered`].
     Call {
         /// Which queue.
-        order: OrderName,
+        order: OrderKey,
         /// What to do with it.
         call: OrderCall,
     },
     /// Create a bar where the claim would be, and hand the answer to [`crate::ordering::Orders::barred`].
     Bar {
         /// Which queue.
-        order: OrderName,
+        order: OrderKey,
         /// The head that is overdue.
         place: Place,
         /// The version of the claim to replace, once its attempt is settled as never
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -34,7 +34,7 @@
 use sardinewood::link::wire::Load;
 use sardinewood::link::wire::RefusalReason;
 use sardinewood::link::wire::Settlement;
-use sardinewood::ordering::queue::OrderName;
+use sardinewood::ordering::queue::OrderKey;
 use sardinewood::verdict::Failure;
 use sardinewood::verdict::FailureReason;
 use sardinewood::verdict::Outcome;
@@ -994,7 +994,7 @@
 #[test]
 fn turn_awaited_before_reservation() {
     let mut scene = Scene::new(&["a"], |rules| rules.turns = true);
-    let order = OrderName::new("kowalczyk", "counsellor-4").expect("a key");
+    let order = OrderKey::new("kowalczyk", "counsellor-4").expect("a key");
     let ordered = Submission {
         order: Some(order),
         ..named(1)
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -10,7 +10,7 @@
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
 use sardinewood::ordering::queue::OrderCall;
-use sardinewood::ordering::queue::OrderName;
+use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::OrderRules;
 use sardinewood::ordering::queue::OrderStep;
 use sardinewood::ordering::queue::Place;
@@ -21,8 +21,8 @@
 const FIRST: RequestId = RequestId(1);
 const SECOND: RequestId = RequestId(2);
 
-fn order() -> OrderName {
-    OrderName::new("kowalczyk", "counsellor-4").expect("a valid key")
+fn order() -> OrderKey {
+    OrderKey::new("kowalczyk", "counsellor-4").expect("a valid key")
 }
 
 fn place(request: RequestId) -> Place {
