--- a/bench/src/faults/fleet_entry.rs
+++ b/bench/src/faults/fleet_entry.rs
@@ -15,7 +15,7 @@
 use sardinewood::ids::Incarnation;
 use sardinewood::ids::RequestId;
 use sardinewood::link::wire::AgentMessage;
-use sardinewood::ordering::Orders;
+use sardinewood::ordering::OrderQueues;
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
 use sardinewood::ordering::queue::OrderKey;
@@ -86,7 +86,7 @@
     /// Its claims.
     pub claims: Claims,
     /// Its orders.
-    pub orders: Orders,
+    pub orders: OrderQueues,
     /// When claims and orders were to be looked at again.
     pub record_tick_at_ms: Option<u64>,
     /// The links that it has, by agent.
@@ -110,7 +110,7 @@
             state: entry_state(number, seed, claims),
             has_claims: claims,
             claims: Claims::new(ClaimRules::default()),
-            orders: Orders::new(OrderRules::default()),
+            orders: OrderQueues::new(OrderRules::default()),
             record_tick_at_ms: None,
             links: IndexMap::new(),
             dialled: vec![false; agents],
@@ -124,7 +124,7 @@
     pub fn restart(&mut self, number: usize, seed: u64) {
         self.state = entry_state(number, seed, self.has_claims);
         self.claims = Claims::new(ClaimRules::default());
-        self.orders = Orders::new(OrderRules::default());
+        self.orders = OrderQueues::new(OrderRules::default());
         self.record_tick_at_ms = None;
         self.links.clear();
         self.dialled.fill(false);
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -27,7 +27,7 @@
 use crate::ids::AttemptId;
 use crate::ids::RequestId;
 use crate::link::wire::Settlement;
-use crate::ordering::Orders;
+use crate::ordering::OrderQueues;
 use crate::ordering::queue::BarAnswer;
 use crate::ordering::queue::ORDER_KIND;
 use crate::ordering::queue::OrderAnswer;
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct StoreRecords {
     claims: Claims,
-    orders: Orders,
+    orders: OrderQueues,
     sweep: ClaimSweep,
     store: StoreClient,
     traffic: Handle,
@@ -101,7 +101,7 @@
     ) -> Self {
         Self {
             claims: Claims::new(ClaimRules::default()),
-            orders: Orders::new(OrderRules::default()),
+            orders: OrderQueues::new(OrderRules::default()),
             sweep: ClaimSweep::new(rand::random(), SWEEP_AFTER_MS),
             store,
             traffic,
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -114,11 +114,11 @@
 /// ```
 /// use sardinewood::ids::RequestId;
 /// use sardinewood::ordering::queue::{OrderAnswer, OrderKey, OrderRules, OrderStep, Place};
-/// use sardinewood::ordering::Orders;
+/// use sardinewood::ordering::OrderQueues;
 ///
 /// let order = OrderKey::new("kowalczyk", "counsellor-4")?;
 /// let place = Place { request: RequestId(1), claim: "c1".into(), deadline_in_ms: 8_000 };
-/// let mut orders = Orders::new(OrderRules::default());
+/// let mut orders = OrderQueues::new(OrderRules::default());
 /// orders.join(0, order, place);
 /// orders.answered(2, order, OrderAnswer::Current(Default::default()));
 /// let steps = orders.answered(4, order, OrderAnswer::Written { version: Some(7) });
@@ -126,13 +126,13 @@
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
-pub struct Orders {
+pub struct OrderQueues {
     rules: OrderRules,
     keys: IndexMap<OrderKey, OrderState>,
     steps: Vec<OrderStep>,
 }
 
-impl Orders {
+impl OrderQueues {
     /// No orders yet.
     #[must_use]
     pub fn new(rules: OrderRules) -> Self {
@@ -269,7 +269,7 @@
         steps
     }
 
-    /// Whether [`Orders::settled`] waits for a word about this attempt.
+    /// Whether [`OrderQueues::settled`] waits for a word about this attempt.
     #[must_use]
     pub fn awaits(&self, attempt: AttemptId) -> bool {
         self.keys.values().any(|state| state.settles(attempt))
@@ -285,7 +285,7 @@
         steps
     }
 
-    /// When [`Orders::tick`] is due next.
+    /// When [`OrderQueues::tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> Option<u64> {
         self.keys
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -123,14 +123,14 @@
 /// What the orders do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// Call the store and hand the answer to [`crate::ordering::Orders::answered`].
+    /// Call the store and hand the answer to [`crate::ordering::OrderQueues::answered`].
     Call {
         /// Which queue.
         order: OrderKey,
         /// What to do with it.
         call: OrderCall,
     },
-    /// Create a bar where the claim would be, and hand the answer to [`crate::ordering::Orders::barred`].
+    /// Create a bar where the claim would be, and hand the answer to [`crate::ordering::OrderQueues::barred`].
     Bar {
         /// Which queue.
         order: OrderKey,
@@ -140,7 +140,7 @@
         /// sent; without one, the bar is written only where there is no claim.
         replace: Option<u64>,
     },
-    /// Have the agent settle an attempt, and hand its word to [`crate::ordering::Orders::settled`].
+    /// Have the agent settle an attempt, and hand its word to [`crate::ordering::OrderQueues::settled`].
     Settle {
         /// The attempt and its agent.
         holder: Holder,
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -6,7 +6,7 @@
 use sardinewood::ids::Incarnation;
 use sardinewood::ids::RequestId;
 use sardinewood::link::wire::Settlement;
-use sardinewood::ordering::Orders;
+use sardinewood::ordering::OrderQueues;
 use sardinewood::ordering::queue::BarAnswer;
 use sardinewood::ordering::queue::OrderAnswer;
 use sardinewood::ordering::queue::OrderCall;
@@ -64,7 +64,7 @@
     }
 
     /// Answers each call at once; returns the other steps.
-    fn serve(&mut self, now_ms: u64, orders: &mut Orders, steps: Vec<OrderStep>) -> Vec<OrderStep> {
+    fn serve(&mut self, now_ms: u64, orders: &mut OrderQueues, steps: Vec<OrderStep>) -> Vec<OrderStep> {
         let mut left = Vec::new();
         let mut todo = steps;
         while !todo.is_empty() {
@@ -83,21 +83,21 @@
         left
     }
 
-    fn tick(&mut self, now_ms: u64, orders: &mut Orders) -> Vec<OrderStep> {
+    fn tick(&mut self, now_ms: u64, orders: &mut OrderQueues) -> Vec<OrderStep> {
         let steps = orders.tick(now_ms);
         self.serve(now_ms, orders, steps)
     }
 
-    fn join(&mut self, now_ms: u64, orders: &mut Orders, request: RequestId) -> Vec<OrderStep> {
+    fn join(&mut self, now_ms: u64, orders: &mut OrderQueues, request: RequestId) -> Vec<OrderStep> {
         let steps = orders.join(now_ms, order(), place(request));
         self.serve(now_ms, orders, steps)
     }
 }
 
-fn two_entries() -> (Shared, Orders, Orders) {
+fn two_entries() -> (Shared, OrderQueues, OrderQueues) {
     let mut shared = Shared::default();
-    let mut one = Orders::new(OrderRules::default());
-    let mut other = Orders::new(OrderRules::default());
+    let mut one = OrderQueues::new(OrderRules::default());
+    let mut other = OrderQueues::new(OrderRules::default());
     let steps = shared.join(0, &mut one, FIRST);
     assert_eq!(steps, [OrderStep::Turn { request: FIRST }]);
     assert_eq!(shared.join(10, &mut other, SECOND), []);
@@ -125,7 +125,7 @@
 
 #[test]
 fn join_store_down_is_refused_not_run() {
-    let mut orders = Orders::new(OrderRules::default());
+    let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
     orders.answered(1_000, order(), OrderAnswer::Lost);
     orders.tick(1_100);
@@ -173,7 +173,7 @@
     }
 }
 
-fn examined() -> (Shared, Orders) {
+fn examined() -> (Shared, OrderQueues) {
     let (mut shared, _dead, mut other) = two_entries();
     shared.tick(2_060, &mut other);
     let answer = BarAnswer::Held {
@@ -243,7 +243,7 @@
     // The place is written, but the answer is lost until the caller was told "not run".
     // When the store is back, the entry takes the place away; nothing waits behind it.
     let mut shared = Shared::default();
-    let mut orders = Orders::new(OrderRules::default());
+    let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
     let steps = orders.answered(5, order(), OrderAnswer::Current(StoredQueue::default()));
     let [OrderStep::Call { call, .. }] = &steps[..] else {
