--- a/bench/src/faults/fleet_entry.rs
+++ b/bench/src/faults/fleet_entry.rs
@@ -7,7 +7,7 @@
 use sardinewood::answer::reader::AnswerReader;
 use sardinewood::claims::ClaimRules;
 use sardinewood::claims::Claims;
-use sardinewood::claims::object::StoreAnswer;
+use sardinewood::claims::object::StoreResponse;
 use sardinewood::config::catalog::Catalog;
 use sardinewood::entry::state::EntryEvent;
 use sardinewood::entry::state::EntryRules;
@@ -16,8 +16,8 @@
 use sardinewood::ids::RequestId;
 use sardinewood::link::wire::AgentMessage;
 use sardinewood::ordering::OrderQueues;
-use sardinewood::ordering::queue::BarAnswer;
-use sardinewood::ordering::queue::OrderAnswer;
+use sardinewood::ordering::queue::BarResponse;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::OrderRules;
 
@@ -46,15 +46,15 @@
     /// The store answered a call about a claim.
     ClaimAnswer {
         request: RequestId,
-        answer: StoreAnswer,
+        answer: StoreResponse,
     },
     /// The store answered a call about an order.
-    OrderAnswer {
+    OrderResponse {
         order: OrderKey,
-        answer: OrderAnswer,
+        answer: OrderResponse,
     },
     /// The store answered a bar.
-    BarAnswer { order: OrderKey, answer: BarAnswer },
+    BarResponse { order: OrderKey, answer: BarResponse },
     /// Claims and orders may have something to do.
     RecordTick,
     /// Something else.
--- a/bench/src/faults/fleet_store.rs
+++ b/bench/src/faults/fleet_store.rs
@@ -4,13 +4,13 @@
 use indexmap::IndexMap;
 use sardinewood::claims::object::Claim;
 use sardinewood::claims::object::ClaimState;
-use sardinewood::claims::object::StoreAnswer;
+use sardinewood::claims::object::StoreResponse;
 use sardinewood::claims::object::StoreCall;
 use sardinewood::claims::object::StoredClaim;
 use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::RequestId;
-use sardinewood::ordering::queue::BarAnswer;
-use sardinewood::ordering::queue::OrderAnswer;
+use sardinewood::ordering::queue::BarResponse;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderCall;
 use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::Place;
@@ -99,18 +99,18 @@
     }
 
     /// Carries a call about a claim out.
-    pub fn claim_call(&mut self, name: &str, call: &StoreCall, is_stale: bool) -> StoreAnswer {
+    pub fn claim_call(&mut self, name: &str, call: &StoreCall, is_stale: bool) -> StoreResponse {
         let (expected, claim) = match call {
-            StoreCall::Read => return StoreAnswer::Current(self.claim(name, is_stale)),
+            StoreCall::Read => return StoreResponse::Current(self.claim(name, is_stale)),
             StoreCall::Write { expected, claim } => (*expected, Some(claim.clone())),
             StoreCall::Delete { version } => (Some(*version), None),
         };
         let current = self.claim(name, false);
         if current.as_ref().map(|current| current.version) != expected {
-            return StoreAnswer::Current(current);
+            return StoreResponse::Current(current);
         }
         let version = self.put_claim(name, claim);
-        StoreAnswer::Written { version }
+        StoreResponse::Written { version }
     }
 
     /// Carries a call about a queue out.
@@ -119,20 +119,20 @@
         order: OrderKey,
         call: &OrderCall,
         is_stale: bool,
-    ) -> OrderAnswer {
+    ) -> OrderResponse {
         let states = self.orders.entry(order).or_default();
         let current = states.last().cloned().unwrap_or_default();
         let (expected, queue) = match call {
             OrderCall::Read if is_stale => {
                 let earlier = states.iter().rev().nth(1).cloned().unwrap_or_default();
-                return OrderAnswer::Current(earlier);
+                return OrderResponse::Current(earlier);
             }
-            OrderCall::Read => return OrderAnswer::Current(current),
+            OrderCall::Read => return OrderResponse::Current(current),
             OrderCall::Write { expected, queue } => (*expected, Some(queue)),
             OrderCall::Delete { version } => (Some(*version), None),
         };
         if expected != current.version {
-            return OrderAnswer::Current(current);
+            return OrderResponse::Current(current);
         }
         self.version += 1;
         let stored = match queue {
@@ -144,11 +144,11 @@
         };
         let version = stored.version;
         states.push(stored);
-        OrderAnswer::Written { version }
+        OrderResponse::Written { version }
     }
 
     /// Bars a place's claim.
-    pub fn bar_call(&mut self, place: &Place, replace: Option<u64>) -> BarAnswer {
+    pub fn bar_call(&mut self, place: &Place, replace: Option<u64>) -> BarResponse {
         let current = self.claim(&place.claim, false);
         if current.as_ref().map(|current| current.version) == replace {
             let claim = Claim {
@@ -158,18 +158,18 @@
                 },
             };
             self.put_claim(&place.claim, Some(claim));
-            return BarAnswer::Barred;
+            return BarResponse::Barred;
         }
         let Some(StoredClaim {
             version,
             claim: Some(claim),
         }) = current
         else {
-            return BarAnswer::Lost;
+            return BarResponse::Lost;
         };
         match claim.state {
-            ClaimState::Held(holder) => BarAnswer::Held { holder, version },
-            ClaimState::Barred { .. } => BarAnswer::Barred,
+            ClaimState::Held(holder) => BarResponse::Held { holder, version },
+            ClaimState::Barred { .. } => BarResponse::Barred,
         }
     }
 }
--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -52,13 +52,13 @@
                     .answered(self.now_ms, request, answer);
                 self.follow_claims(entry, steps);
             }
-            EntryInput::OrderAnswer { order, answer } => {
+            EntryInput::OrderResponse { order, answer } => {
                 let steps = self.entries[entry]
                     .orders
                     .answered(self.now_ms, order, answer);
                 self.follow_orders(entry, steps);
             }
-            EntryInput::BarAnswer { order, answer } => {
+            EntryInput::BarResponse { order, answer } => {
                 let steps = self.entries[entry]
                     .orders
                     .barred(self.now_ms, order, answer);
--- a/bench/src/faults/world_records.rs
+++ b/bench/src/faults/world_records.rs
@@ -2,12 +2,12 @@
 
 use rand::Rng;
 use sardinewood::claims::ClaimStep;
-use sardinewood::claims::object::StoreAnswer;
+use sardinewood::claims::object::StoreResponse;
 use sardinewood::entry::state::EntryEvent;
 use sardinewood::entry::state::FinishedAs;
 use sardinewood::ids::RequestId;
-use sardinewood::ordering::queue::BarAnswer;
-use sardinewood::ordering::queue::OrderAnswer;
+use sardinewood::ordering::queue::BarResponse;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::OrderStep;
 
@@ -182,7 +182,7 @@
             }
             FleetCall::Order { order, call } => {
                 let answer = self.store.order_call(order, &call, request.is_stale);
-                EntryInput::OrderAnswer { order, answer }
+                EntryInput::OrderResponse { order, answer }
             }
             FleetCall::Bar {
                 order,
@@ -190,7 +190,7 @@
                 replace,
             } => {
                 let answer = self.store.bar_call(&place, replace);
-                EntryInput::BarAnswer { order, answer }
+                EntryInput::BarResponse { order, answer }
             }
         };
         if request.is_lost {
@@ -210,15 +210,15 @@
     match call {
         FleetCall::Claim { request, .. } => EntryInput::ClaimAnswer {
             request: *request,
-            answer: StoreAnswer::Lost,
+            answer: StoreResponse::Lost,
         },
-        FleetCall::Order { order, .. } => EntryInput::OrderAnswer {
+        FleetCall::Order { order, .. } => EntryInput::OrderResponse {
             order: *order,
-            answer: OrderAnswer::Lost,
+            answer: OrderResponse::Lost,
         },
-        FleetCall::Bar { order, .. } => EntryInput::BarAnswer {
+        FleetCall::Bar { order, .. } => EntryInput::BarResponse {
             order: *order,
-            answer: BarAnswer::Lost,
+            answer: BarResponse::Lost,
         },
     }
 }
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -20,7 +20,7 @@
 use crate::claims::object::Claim;
 use crate::claims::object::ClaimState;
 use crate::claims::object::Holder;
-use crate::claims::object::StoreAnswer;
+use crate::claims::object::StoreResponse;
 use crate::claims::object::StoreCall;
 use crate::claims::object::StoredClaim;
 use crate::claims::progress::ClaimRun;
@@ -137,7 +137,7 @@
 ///
 /// ```
 /// use sardinewood::claims::{ClaimDecision, ClaimRequest, ClaimRules, ClaimStep, Claims};
-/// use sardinewood::claims::object::{Holder, StoreAnswer};
+/// use sardinewood::claims::object::{Holder, StoreResponse};
 /// use sardinewood::ids::{AttemptId, GrantId, Incarnation, RequestId};
 /// use sardinewood::claims::idempotency::{RequestDigest, IdempotencyKey};
 ///
@@ -156,7 +156,7 @@
 /// let mut claims = Claims::new(ClaimRules::default());
 /// let steps = claims.claim(0, asked);
 /// assert!(matches!(steps[..], [ClaimStep::Call { .. }]));
-/// let steps = claims.answered(3, request, StoreAnswer::Written { version: 9 });
+/// let steps = claims.answered(3, request, StoreResponse::Written { version: 9 });
 /// assert_eq!(steps, [ClaimStep::Decided { request, decision: ClaimDecision::Won }]);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
@@ -271,8 +271,8 @@
         }]
     }
 
-    fn vouched(&mut self, request: RequestId, vouch: &Vouch, answer: &StoreAnswer) {
-        if let StoreAnswer::Written { version } = answer {
+    fn vouched(&mut self, request: RequestId, vouch: &Vouch, answer: &StoreResponse) {
+        if let StoreResponse::Written { version } = answer {
             self.calls_in_window += 1;
             self.steps.push(ClaimStep::Call {
                 request,
@@ -293,7 +293,7 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        answer: StoreAnswer,
+        answer: StoreResponse,
     ) -> Vec<ClaimStep> {
         if let Some(vouch) = self.vouches.get_mut(&request) {
             let skips = std::mem::take(&mut vouch.skips_one);
@@ -380,20 +380,20 @@
         self.runs.is_empty()
     }
 
-    fn decide(&mut self, now_ms: u64, request: RequestId, answer: StoreAnswer) {
+    fn decide(&mut self, now_ms: u64, request: RequestId, answer: StoreResponse) {
         let is_outdated = self
             .runs
             .get_mut(&request)
             .is_some_and(|run| std::mem::take(&mut run.is_outdated));
         match answer {
-            StoreAnswer::Written { version } if is_outdated => {
+            StoreResponse::Written { version } if is_outdated => {
                 let expected = Some(version);
                 self.next_call(now_ms, request, NextCall::Write { expected });
             }
-            StoreAnswer::Written { version } => self.win(request, version),
-            StoreAnswer::Current(current) => self.decide_current(now_ms, request, current),
-            StoreAnswer::Lost => self.pause(now_ms, request, self.rules.again_ms, NextCall::Read),
-            StoreAnswer::Limited { retry_after_ms } => {
+            StoreResponse::Written { version } => self.win(request, version),
+            StoreResponse::Current(current) => self.decide_current(now_ms, request, current),
+            StoreResponse::Lost => self.pause(now_ms, request, self.rules.again_ms, NextCall::Read),
+            StoreResponse::Limited { retry_after_ms } => {
                 self.pause(now_ms, request, retry_after_ms, NextCall::Read);
             }
         }
@@ -540,13 +540,13 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        answer: &StoreAnswer,
+        answer: &StoreResponse,
         version: u64,
         tries_left: u8,
     ) {
         let is_done = matches!(
             answer,
-            StoreAnswer::Written { .. } | StoreAnswer::Current(_)
+            StoreResponse::Written { .. } | StoreResponse::Current(_)
         );
         if is_done || tries_left == 0 {
             self.runs.swap_remove(&request);
@@ -571,15 +571,15 @@
 }
 
 /// Whether the store shows that no other request of the name may have run.
-fn is_free_of_others(request: RequestId, answer: &StoreAnswer) -> bool {
+fn is_free_of_others(request: RequestId, answer: &StoreResponse) -> bool {
     match answer {
-        StoreAnswer::Written { .. } | StoreAnswer::Current(None) => true,
-        StoreAnswer::Current(Some(stored)) => match stored.claim.as_ref().map(|one| &one.state) {
+        StoreResponse::Written { .. } | StoreResponse::Current(None) => true,
+        StoreResponse::Current(Some(stored)) => match stored.claim.as_ref().map(|one| &one.state) {
             Some(ClaimState::Held(holder)) => holder.attempt.request == request,
             Some(ClaimState::Barred { .. }) => true,
             None => false,
         },
-        StoreAnswer::Lost | StoreAnswer::Limited { .. } => false,
+        StoreResponse::Lost | StoreResponse::Limited { .. } => false,
     }
 }
 
--- a/lib/src/claims/object.rs
+++ b/lib/src/claims/object.rs
@@ -107,7 +107,7 @@
 
 /// What is known after a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// The write took effect.
     Written {
         /// The object's version from now on.
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -15,7 +15,7 @@
 use crate::claims::Claims;
 use crate::claims::object::Claim;
 use crate::claims::object::ClaimState;
-use crate::claims::object::StoreAnswer;
+use crate::claims::object::StoreResponse;
 use crate::claims::object::StoreCall;
 use crate::claims::object::StoredClaim;
 use crate::claims::object::claim_kind;
@@ -28,9 +28,9 @@
 use crate::ids::RequestId;
 use crate::link::wire::Settlement;
 use crate::ordering::OrderQueues;
-use crate::ordering::queue::BarAnswer;
+use crate::ordering::queue::BarResponse;
 use crate::ordering::queue::ORDER_KIND;
-use crate::ordering::queue::OrderAnswer;
+use crate::ordering::queue::OrderResponse;
 use crate::ordering::queue::OrderCall;
 use crate::ordering::queue::OrderKey;
 use crate::ordering::queue::OrderRules;
@@ -61,21 +61,21 @@
         /// The request that claims.
         request: RequestId,
         /// What is known.
-        answer: StoreAnswer,
+        answer: StoreResponse,
     },
     /// About the queue of an order key.
     Order {
         /// Which queue.
         order: OrderKey,
         /// What is known.
-        answer: OrderAnswer,
+        answer: OrderResponse,
     },
     /// About a bar before a request that is overdue.
     Bar {
         /// In which queue.
         order: OrderKey,
         /// What is known.
-        answer: BarAnswer,
+        answer: BarResponse,
     },
 }
 
@@ -307,7 +307,7 @@
             let answer = match call {
                 OrderCall::Read => match store.get(ORDER_KIND, &name).await {
                     Ok(current) => order_current(current),
-                    Err(_) => OrderAnswer::Lost,
+                    Err(_) => OrderResponse::Lost,
                 },
                 OrderCall::Write { expected, queue } => {
                     let value = to_value(&queue);
@@ -356,74 +356,74 @@
     serde_json::from_value(object.value.clone()).ok()
 }
 
-fn stored_claim(current: Option<StoredObject>) -> StoreAnswer {
-    StoreAnswer::Current(current.map(|object| StoredClaim {
+fn stored_claim(current: Option<StoredObject>) -> StoreResponse {
+    StoreResponse::Current(current.map(|object| StoredClaim {
         version: object.version,
         claim: from_object(&object),
     }))
 }
 
-fn claim_read(read: Result<Option<StoredObject>, ReadError>) -> StoreAnswer {
+fn claim_read(read: Result<Option<StoredObject>, ReadError>) -> StoreResponse {
     match read {
         Ok(current) => stored_claim(current),
-        Err(ReadError::Limited { retry_after_ms }) => StoreAnswer::Limited { retry_after_ms },
-        Err(_) => StoreAnswer::Lost,
+        Err(ReadError::Limited { retry_after_ms }) => StoreResponse::Limited { retry_after_ms },
+        Err(_) => StoreResponse::Lost,
     }
 }
 
-fn claim_written(written: WriteAnswer) -> StoreAnswer {
+fn claim_written(written: WriteAnswer) -> StoreResponse {
     match written {
-        WriteAnswer::Written { version } => StoreAnswer::Written { version },
+        WriteAnswer::Written { version } => StoreResponse::Written { version },
         WriteAnswer::Conflict { current } => stored_claim(current),
-        WriteAnswer::Limited { retry_after_ms } => StoreAnswer::Limited { retry_after_ms },
+        WriteAnswer::Limited { retry_after_ms } => StoreResponse::Limited { retry_after_ms },
         WriteAnswer::NotKnown { .. }
         | WriteAnswer::Unavailable { .. }
-        | WriteAnswer::Rejected { .. } => StoreAnswer::Lost,
+        | WriteAnswer::Rejected { .. } => StoreResponse::Lost,
     }
 }
 
 /// A queue that can't be read is no queue to write over: the order waits until somebody
 /// has repaired it.
-fn order_current(current: Option<StoredObject>) -> OrderAnswer {
+fn order_current(current: Option<StoredObject>) -> OrderResponse {
     let Some(object) = current else {
-        return OrderAnswer::Current(StoredQueue::default());
+        return OrderResponse::Current(StoredQueue::default());
     };
     match from_object(&object) {
-        Some(queue) => OrderAnswer::Current(StoredQueue {
+        Some(queue) => OrderResponse::Current(StoredQueue {
             version: Some(object.version),
             queue,
         }),
-        None => OrderAnswer::Lost,
+        None => OrderResponse::Lost,
     }
 }
 
-fn order_written(written: WriteAnswer, is_removal: bool) -> OrderAnswer {
+fn order_written(written: WriteAnswer, is_removal: bool) -> OrderResponse {
     match written {
-        WriteAnswer::Written { version } => OrderAnswer::Written {
+        WriteAnswer::Written { version } => OrderResponse::Written {
             version: (!is_removal).then_some(version),
         },
         WriteAnswer::Conflict { current } => order_current(current),
         WriteAnswer::Limited { .. }
         | WriteAnswer::NotKnown { .. }
         | WriteAnswer::Unavailable { .. }
-        | WriteAnswer::Rejected { .. } => OrderAnswer::Lost,
+        | WriteAnswer::Rejected { .. } => OrderResponse::Lost,
     }
 }
 
-fn bar_written(written: WriteAnswer) -> BarAnswer {
+fn bar_written(written: WriteAnswer) -> BarResponse {
     let current = match written {
-        WriteAnswer::Written { .. } => return BarAnswer::Barred,
+        WriteAnswer::Written { .. } => return BarResponse::Barred,
         WriteAnswer::Conflict {
             current: Some(current),
         } => current,
-        _ => return BarAnswer::Lost,
+        _ => return BarResponse::Lost,
     };
     match from_object::<Claim>(&current).map(|claim| claim.state) {
-        Some(ClaimState::Held(holder)) => BarAnswer::Held {
+        Some(ClaimState::Held(holder)) => BarResponse::Held {
             holder,
             version: current.version,
         },
-        Some(ClaimState::Barred { .. }) => BarAnswer::Barred,
-        None => BarAnswer::Lost,
+        Some(ClaimState::Barred { .. }) => BarResponse::Barred,
+        None => BarResponse::Lost,
     }
 }
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -18,8 +18,8 @@
 use crate::ids::AttemptId;
 use crate::ids::RequestId;
 use crate::link::wire::Settlement;
-use crate::ordering::queue::BarAnswer;
-use crate::ordering::queue::OrderAnswer;
+use crate::ordering::queue::BarResponse;
+use crate::ordering::queue::OrderResponse;
 use crate::ordering::queue::OrderCall;
 use crate::ordering::queue::OrderKey;
 use crate::ordering::queue::OrderQueue;
@@ -113,15 +113,15 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::ordering::queue::{OrderAnswer, OrderKey, OrderRules, OrderStep, Place};
+/// use sardinewood::ordering::queue::{OrderResponse, OrderKey, OrderRules, OrderStep, Place};
 /// use sardinewood::ordering::OrderQueues;
 ///
 /// let order = OrderKey::new("kowalczyk", "counsellor-4")?;
 /// let place = Place { request: RequestId(1), claim: "c1".into(), deadline_in_ms: 8_000 };
 /// let mut orders = OrderQueues::new(OrderRules::default());
 /// orders.join(0, order, place);
-/// orders.answered(2, order, OrderAnswer::Current(Default::default()));
-/// let steps = orders.answered(4, order, OrderAnswer::Written { version: Some(7) });
+/// orders.answered(2, order, OrderResponse::Current(Default::default()));
+/// let steps = orders.answered(4, order, OrderResponse::Written { version: Some(7) });
 /// assert_eq!(steps, [OrderStep::Turn { request: RequestId(1) }]);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
@@ -185,7 +185,7 @@
         &mut self,
         now_ms: u64,
         order: OrderKey,
-        answer: OrderAnswer,
+        answer: OrderResponse,
     ) -> Vec<OrderStep> {
         let Some(state) = self.keys.get_mut(&order) else {
             return Vec::new();
@@ -195,15 +195,15 @@
         };
         state.next_call_ms = now_ms;
         match answer {
-            OrderAnswer::Written { version } => {
+            OrderResponse::Written { version } => {
                 let queue = match call {
                     OrderCall::Write { queue, .. } => queue,
                     OrderCall::Read | OrderCall::Delete { .. } => OrderQueue::default(),
                 };
                 self.learn(now_ms, order, StoredQueue { version, queue });
             }
-            OrderAnswer::Current(stored) => self.learn(now_ms, order, stored),
-            OrderAnswer::Lost => {
+            OrderResponse::Current(stored) => self.learn(now_ms, order, stored),
+            OrderResponse::Lost => {
                 state.known = None;
                 state.next_call_ms = now_ms + self.rules.again_ms;
             }
@@ -212,7 +212,7 @@
     }
 
     /// Takes the answer to [`OrderStep::Bar`].
-    pub fn barred(&mut self, now_ms: u64, order: OrderKey, answer: BarAnswer) -> Vec<OrderStep> {
+    pub fn barred(&mut self, now_ms: u64, order: OrderKey, answer: BarResponse) -> Vec<OrderStep> {
         let Some(state) = self.keys.get_mut(&order) else {
             return Vec::new();
         };
@@ -221,8 +221,8 @@
         }
         state.examination = Examination::None;
         match answer {
-            BarAnswer::Barred => state.leave_head(),
-            BarAnswer::Held { holder, version } => {
+            BarResponse::Barred => state.leave_head(),
+            BarResponse::Held { holder, version } => {
                 state.examination = Examination::Settling {
                     holder: holder.clone(),
                     version,
@@ -230,7 +230,7 @@
                 };
                 self.steps.push(OrderStep::Settle { holder });
             }
-            BarAnswer::Lost => state.next_call_ms = now_ms + self.rules.again_ms,
+            BarResponse::Lost => state.next_call_ms = now_ms + self.rules.again_ms,
         }
         self.proceed(now_ms, order)
     }
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -92,7 +92,7 @@
 
 /// What is known after a call to the store about a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The write took effect; the version is absent after a removal.
     Written {
         /// The version from now on.
@@ -106,7 +106,7 @@
 
 /// What came of barring the head.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BarAnswer {
+pub enum BarResponse {
     /// The bar stands: the head can't be dispatched any more.
     Barred,
     /// The head was claimed before.
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -7,8 +7,8 @@
 use sardinewood::ids::RequestId;
 use sardinewood::link::wire::Settlement;
 use sardinewood::ordering::OrderQueues;
-use sardinewood::ordering::queue::BarAnswer;
-use sardinewood::ordering::queue::OrderAnswer;
+use sardinewood::ordering::queue::BarResponse;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderCall;
 use sardinewood::ordering::queue::OrderKey;
 use sardinewood::ordering::queue::OrderRules;
@@ -41,14 +41,14 @@
 }
 
 impl Shared {
-    fn apply(&mut self, call: &OrderCall) -> OrderAnswer {
+    fn apply(&mut self, call: &OrderCall) -> OrderResponse {
         let (expected, queue) = match call {
-            OrderCall::Read => return OrderAnswer::Current(self.stored.clone()),
+            OrderCall::Read => return OrderResponse::Current(self.stored.clone()),
             OrderCall::Write { expected, queue } => (*expected, Some(queue)),
             OrderCall::Delete { version } => (Some(*version), None),
         };
         if expected != self.stored.version {
-            return OrderAnswer::Current(self.stored.clone());
+            return OrderResponse::Current(self.stored.clone());
         }
         self.newest += 1;
         self.stored = match queue {
@@ -58,7 +58,7 @@
             },
             None => StoredQueue::default(),
         };
-        OrderAnswer::Written {
+        OrderResponse::Written {
             version: self.stored.version,
         }
     }
@@ -127,9 +127,9 @@
 fn join_store_down_is_refused_not_run() {
     let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
-    orders.answered(1_000, order(), OrderAnswer::Lost);
+    orders.answered(1_000, order(), OrderResponse::Lost);
     orders.tick(1_100);
-    let steps = orders.answered(2_100, order(), OrderAnswer::Lost);
+    let steps = orders.answered(2_100, order(), OrderResponse::Lost);
     let failure = Failure::not_run(FailureReason::StoreDown).retry_after(2_000);
     assert_eq!(
         steps,
@@ -153,7 +153,7 @@
         replace: None,
     };
     assert_eq!(steps, [bar]);
-    let steps = other.barred(2_070, order(), BarAnswer::Barred);
+    let steps = other.barred(2_070, order(), BarResponse::Barred);
     let mut steps = shared.serve(2_070, &mut other, steps);
     steps.extend(shared.tick(2_200, &mut other));
     assert_eq!(steps, [OrderStep::Turn { request: SECOND }]);
@@ -176,7 +176,7 @@
 fn examined() -> (Shared, OrderQueues) {
     let (mut shared, _dead, mut other) = two_entries();
     shared.tick(2_060, &mut other);
-    let answer = BarAnswer::Held {
+    let answer = BarResponse::Held {
         holder: held(),
         version: 40,
     };
@@ -245,12 +245,12 @@
     let mut shared = Shared::default();
     let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
-    let steps = orders.answered(5, order(), OrderAnswer::Current(StoredQueue::default()));
+    let steps = orders.answered(5, order(), OrderResponse::Current(StoredQueue::default()));
     let [OrderStep::Call { call, .. }] = &steps[..] else {
         panic!("{steps:?}");
     };
     shared.apply(call);
-    orders.answered(2_005, order(), OrderAnswer::Lost);
+    orders.answered(2_005, order(), OrderResponse::Lost);
     assert_eq!(shared.stored.queue.places.len(), 1);
     shared.tick(2_200, &mut orders);
     shared.tick(2_300, &mut orders);
