--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -49,13 +49,13 @@
             EntryInput::ClaimAnswer { request, answer } => {
                 let steps = self.entries[entry]
                     .claims
-                    .answered(self.now_ms, request, answer);
+                    .handle_response(self.now_ms, request, answer);
                 self.follow_claims(entry, steps);
             }
             EntryInput::OrderResponse { order, answer } => {
                 let steps = self.entries[entry]
                     .orders
-                    .answered(self.now_ms, order, answer);
+                    .handle_response(self.now_ms, order, answer);
                 self.follow_orders(entry, steps);
             }
             EntryInput::BarResponse { order, answer } => {
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -55,7 +55,7 @@
 /// What the claims do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Call the store and hand the answer to [`Claims::answered`].
+    /// Call the store and hand the answer to [`Claims::handle_response`].
     Call {
         /// For which request.
         request: RequestId,
@@ -156,7 +156,7 @@
 /// let mut claims = Claims::new(ClaimRules::default());
 /// let steps = claims.claim(0, asked);
 /// assert!(matches!(steps[..], [ClaimStep::Call { .. }]));
-/// let steps = claims.answered(3, request, StoreResponse::Written { version: 9 });
+/// let steps = claims.handle_response(3, request, StoreResponse::Written { version: 9 });
 /// assert_eq!(steps, [ClaimStep::Decided { request, decision: ClaimDecision::Won }]);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
@@ -289,7 +289,7 @@
     }
 
     /// Takes the store's answer to the call under way for a request.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         now_ms: u64,
         request: RequestId,
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -160,11 +160,11 @@
                 Vec::new()
             }
             RecordAnswer::Claim { request, answer } => {
-                let steps = self.claims.answered(now_ms, request, answer);
+                let steps = self.claims.handle_response(now_ms, request, answer);
                 self.follow_claims(steps)
             }
             RecordAnswer::Order { order, answer } => {
-                let steps = self.orders.answered(now_ms, order, answer);
+                let steps = self.orders.handle_response(now_ms, order, answer);
                 self.follow_orders(steps)
             }
             RecordAnswer::Bar { order, answer } => {
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -120,8 +120,8 @@
 /// let place = Place { request: RequestId(1), claim: "c1".into(), deadline_in_ms: 8_000 };
 /// let mut orders = OrderQueues::new(OrderRules::default());
 /// orders.join(0, order, place);
-/// orders.answered(2, order, OrderResponse::Current(Default::default()));
-/// let steps = orders.answered(4, order, OrderResponse::Written { version: Some(7) });
+/// orders.handle_response(2, order, OrderResponse::Current(Default::default()));
+/// let steps = orders.handle_response(4, order, OrderResponse::Written { version: Some(7) });
 /// assert_eq!(steps, [OrderStep::Turn { request: RequestId(1) }]);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
@@ -181,7 +181,7 @@
     }
 
     /// Takes the store's answer to the call under way about a queue.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         now_ms: u64,
         order: OrderKey,
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -123,7 +123,7 @@
 /// What the orders do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// Call the store and hand the answer to [`crate::ordering::OrderQueues::answered`].
+    /// Call the store and hand the answer to [`crate::ordering::OrderQueues::handle_response`].
     Call {
         /// Which queue.
         order: OrderKey,
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -82,9 +82,9 @@
     // entry reads back its own claim: it may dispatch, and need not refuse.
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    assert_eq!(claims.answered(50, OURS, StoreResponse::Lost), []);
+    assert_eq!(claims.handle_response(50, OURS, StoreResponse::Lost), []);
     assert!(is_read(&claims.tick(150)));
-    let steps = claims.answered(160, OURS, stored(9, holder(OURS, 1, 7)));
+    let steps = claims.handle_response(160, OURS, stored(9, holder(OURS, 1, 7)));
     assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
 }
 
@@ -93,9 +93,9 @@
     // Two entries claim one name; ours hears nothing, and reads back that the other won.
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    claims.answered(50, OURS, StoreResponse::Lost);
+    claims.handle_response(50, OURS, StoreResponse::Lost);
     claims.tick(150);
-    let steps = claims.answered(160, OURS, stored(9, holder(THEIRS, 1, 8)));
+    let steps = claims.handle_response(160, OURS, stored(9, holder(THEIRS, 1, 8)));
     let follow = ClaimDecision::Follow(holder(THEIRS, 1, 8));
     assert_eq!(decision(&steps), Some(&follow));
     assert!(claims.is_empty());
@@ -107,11 +107,11 @@
     // so it fails and shows the claim that the read did not.
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    claims.answered(50, OURS, StoreResponse::Lost);
+    claims.handle_response(50, OURS, StoreResponse::Lost);
     claims.tick(150);
-    let steps = claims.answered(160, OURS, StoreResponse::Current(None));
+    let steps = claims.handle_response(160, OURS, StoreResponse::Current(None));
     assert!(is_write(&steps, None), "{steps:?}");
-    let steps = claims.answered(170, OURS, stored(9, holder(THEIRS, 1, 8)));
+    let steps = claims.handle_response(170, OURS, stored(9, holder(THEIRS, 1, 8)));
     let follow = ClaimDecision::Follow(holder(THEIRS, 1, 8));
     assert_eq!(decision(&steps), Some(&follow));
 }
@@ -124,7 +124,7 @@
     let mut now_ms = 0;
     let failure = loop {
         now_ms += 100;
-        let steps = claims.answered(now_ms, OURS, StoreResponse::Lost);
+        let steps = claims.handle_response(now_ms, OURS, StoreResponse::Lost);
         if let Some(ClaimDecision::Fail(failure)) = decision(&steps) {
             break *failure;
         }
@@ -145,7 +145,7 @@
     let mut request = asked(holder(OURS, 1, 7));
     request.required = false;
     claims.claim(0, request);
-    let steps = claims.answered(50, OURS, StoreResponse::Lost);
+    let steps = claims.handle_response(50, OURS, StoreResponse::Lost);
     assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
 }
 
@@ -178,7 +178,7 @@
     let mut request = asked(holder(OURS, 1, 7));
     request.digest = RequestDigest::new("POST", "/v1/refunds", b"900");
     claims.claim(0, request);
-    let steps = claims.answered(5, OURS, stored(9, holder(THEIRS, 1, 8)));
+    let steps = claims.handle_response(5, OURS, stored(9, holder(THEIRS, 1, 8)));
     let refused = ClaimDecision::Fail(Failure::not_run(FailureReason::KeyReused));
     assert_eq!(decision(&steps), Some(&refused));
 }
@@ -189,7 +189,7 @@
     let mut request = asked(holder(OURS, 1, 7));
     request.settled = Some(holder(THEIRS, 1, 8));
     claims.claim(0, request);
-    let steps = claims.answered(5, OURS, stored(9, holder(THEIRS, 1, 8)));
+    let steps = claims.handle_response(5, OURS, stored(9, holder(THEIRS, 1, 8)));
     assert!(is_write(&steps, Some(9)), "{steps:?}");
 }
 
@@ -202,7 +202,7 @@
     let mut request = asked(holder(OURS, 1, 7));
     request.settled = Some(holder(THEIRS, 1, 8));
     claims.claim(0, request);
-    let steps = claims.answered(5, OURS, stored(10, holder(THEIRS, 1, 9)));
+    let steps = claims.handle_response(5, OURS, stored(10, holder(THEIRS, 1, 9)));
     let follow = ClaimDecision::Follow(holder(THEIRS, 1, 9));
     assert_eq!(decision(&steps), Some(&follow));
 }
@@ -220,11 +220,11 @@
     };
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    let steps = claims.answered(5, OURS, bar(OURS));
+    let steps = claims.handle_response(5, OURS, bar(OURS));
     let refused = ClaimDecision::Fail(Failure::not_run(FailureReason::PredecessorUnknown));
     assert_eq!(decision(&steps), Some(&refused));
     claims.claim(10, asked(holder(THEIRS, 1, 7)));
-    let steps = claims.answered(15, THEIRS, bar(OURS));
+    let steps = claims.handle_response(15, THEIRS, bar(OURS));
     assert!(is_write(&steps, Some(9)), "{steps:?}");
 }
 
@@ -237,9 +237,9 @@
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
     assert_eq!(claims.claim(2, asked(holder(OURS, 1, 8))), []);
-    let steps = claims.answered(5, OURS, StoreResponse::Written { version: 9 });
+    let steps = claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     assert!(is_write(&steps, Some(9)), "{steps:?}");
-    let steps = claims.answered(8, OURS, StoreResponse::Written { version: 10 });
+    let steps = claims.handle_response(8, OURS, StoreResponse::Written { version: 10 });
     assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
 }
 
@@ -248,7 +248,7 @@
     let failure = Failure::not_run(FailureReason::TooLate);
     let steps = claims.vouch(0, OURS, asked(holder(OURS, 1, 7)).name, failure);
     assert!(is_write(&steps, None), "a read may be stale: {steps:?}");
-    claims.answered(5, OURS, answer)
+    claims.handle_response(5, OURS, answer)
 }
 
 #[test]
@@ -291,12 +291,12 @@
     // A read that was under way shows a state from before another entry's claim.
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    claims.answered(5, OURS, StoreResponse::Lost);
+    claims.handle_response(5, OURS, StoreResponse::Lost);
     assert!(is_read(&claims.tick(105)));
     let failure = Failure::not_run(FailureReason::TooLate);
     claims.vouch(106, OURS, asked(holder(OURS, 1, 7)).name, failure);
-    assert_eq!(claims.answered(107, OURS, StoreResponse::Current(None)), []);
-    let steps = claims.answered(108, OURS, stored(9, holder(THEIRS, 1, 8)));
+    assert_eq!(claims.handle_response(107, OURS, StoreResponse::Current(None)), []);
+    let steps = claims.handle_response(108, OURS, stored(9, holder(THEIRS, 1, 8)));
     let unknown = ClaimDecision::Fail(Failure::unknown(FailureReason::TooLate));
     assert_eq!(decision(&steps), Some(&unknown));
 }
@@ -317,7 +317,7 @@
 fn finish_keeps_the_name_for_its_retention() {
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    claims.answered(5, OURS, StoreResponse::Written { version: 9 });
+    claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     assert_eq!(claims.finish(1_000, OURS, true), []);
     assert_eq!(claims.tick(600_999), []);
     let steps = claims.tick(601_000);
@@ -331,7 +331,7 @@
         ),
         "{steps:?}"
     );
-    claims.answered(601_005, OURS, StoreResponse::Written { version: 10 });
+    claims.handle_response(601_005, OURS, StoreResponse::Written { version: 10 });
     assert!(claims.is_empty());
 }
 
@@ -339,7 +339,7 @@
 fn finish_not_run_frees_the_name_at_once() {
     let mut claims = Claims::new(ClaimRules::default());
     claims.claim(0, asked(holder(OURS, 1, 7)));
-    claims.answered(5, OURS, StoreResponse::Written { version: 9 });
+    claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     let steps = claims.finish(1_000, OURS, false);
     assert!(matches!(
         steps[..],
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -73,7 +73,7 @@
                 match step {
                     OrderStep::Call { order, call } => {
                         let answer = self.apply(&call);
-                        next.extend(orders.answered(now_ms, order, answer));
+                        next.extend(orders.handle_response(now_ms, order, answer));
                     }
                     other => left.push(other),
                 }
@@ -127,9 +127,9 @@
 fn join_store_down_is_refused_not_run() {
     let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
-    orders.answered(1_000, order(), OrderResponse::Lost);
+    orders.handle_response(1_000, order(), OrderResponse::Lost);
     orders.tick(1_100);
-    let steps = orders.answered(2_100, order(), OrderResponse::Lost);
+    let steps = orders.handle_response(2_100, order(), OrderResponse::Lost);
     let failure = Failure::not_run(FailureReason::StoreDown).retry_after(2_000);
     assert_eq!(
         steps,
@@ -245,12 +245,12 @@
     let mut shared = Shared::default();
     let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
-    let steps = orders.answered(5, order(), OrderResponse::Current(StoredQueue::default()));
+    let steps = orders.handle_response(5, order(), OrderResponse::Current(StoredQueue::default()));
     let [OrderStep::Call { call, .. }] = &steps[..] else {
         panic!("{steps:?}");
     };
     shared.apply(call);
-    orders.answered(2_005, order(), OrderResponse::Lost);
+    orders.handle_response(2_005, order(), OrderResponse::Lost);
     assert_eq!(shared.stored.queue.places.len(), 1);
     shared.tick(2_200, &mut orders);
     shared.tick(2_300, &mut orders);
