--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -61,7 +61,7 @@
             EntryInput::BarResponse { order, answer } => {
                 let steps = self.entries[entry]
                     .orders
-                    .barred(self.now_ms, order, answer);
+                    .handle_bar_response(self.now_ms, order, answer);
                 self.follow_orders(entry, steps);
             }
             EntryInput::RecordTick => self.tick_records(entry),
@@ -114,7 +114,7 @@
         } = &event
         {
             let orders = &mut self.entries[entry].orders;
-            let steps = orders.settled(self.now_ms, *attempt, *settlement);
+            let steps = orders.handle_settlement(self.now_ms, *attempt, *settlement);
             self.follow_orders(entry, steps);
         }
         let steps = self.entries[entry].state.handle(self.now_ms, event);
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -168,7 +168,7 @@
                 self.follow_orders(steps)
             }
             RecordAnswer::Bar { order, answer } => {
-                let steps = self.orders.barred(now_ms, order, answer);
+                let steps = self.orders.handle_bar_response(now_ms, order, answer);
                 self.follow_orders(steps)
             }
         }
@@ -181,10 +181,10 @@
         attempt: AttemptId,
         settlement: Settlement,
     ) -> Vec<EntryEvent> {
-        if !self.orders.awaits(attempt) {
+        if !self.orders.awaits_settlement(attempt) {
             return Vec::new();
         }
-        let steps = self.orders.settled(now_ms, attempt, settlement);
+        let steps = self.orders.handle_settlement(now_ms, attempt, settlement);
         self.follow_orders(steps)
     }
 
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -212,7 +212,7 @@
     }
 
     /// Takes the answer to [`OrderStep::Bar`].
-    pub fn barred(&mut self, now_ms: u64, order: OrderKey, answer: BarResponse) -> Vec<OrderStep> {
+    pub fn handle_bar_response(&mut self, now_ms: u64, order: OrderKey, answer: BarResponse) -> Vec<OrderStep> {
         let Some(state) = self.keys.get_mut(&order) else {
             return Vec::new();
         };
@@ -237,7 +237,7 @@
 
     /// Takes an agent's word about an attempt; a host that is gone for good counts as
     /// [`Settlement::Ended`].
-    pub fn settled(
+    pub fn handle_settlement(
         &mut self,
         now_ms: u64,
         attempt: AttemptId,
@@ -269,9 +269,9 @@
         steps
     }
 
-    /// Whether [`OrderQueues::settled`] waits for a word about this attempt.
+    /// Whether [`OrderQueues::handle_settlement`] waits for a word about this attempt.
     #[must_use]
-    pub fn awaits(&self, attempt: AttemptId) -> bool {
+    pub fn awaits_settlement(&self, attempt: AttemptId) -> bool {
         self.keys.values().any(|state| state.settles(attempt))
     }
 
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -130,7 +130,7 @@
         /// What to do with it.
         call: OrderCall,
     },
-    /// Create a bar where the claim would be, and hand the answer to [`crate::ordering::OrderQueues::barred`].
+    /// Create a bar where the claim would be, and hand the answer to [`crate::ordering::OrderQueues::handle_bar_response`].
     Bar {
         /// Which queue.
         order: OrderKey,
@@ -140,7 +140,7 @@
         /// sent; without one, the bar is written only where there is no claim.
         replace: Option<u64>,
     },
-    /// Have the agent settle an attempt, and hand its word to [`crate::ordering::OrderQueues::settled`].
+    /// Have the agent settle an attempt, and hand its word to [`crate::ordering::OrderQueues::handle_settlement`].
     Settle {
         /// The attempt and its agent.
         holder: Holder,
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -153,7 +153,7 @@
         replace: None,
     };
     assert_eq!(steps, [bar]);
-    let steps = other.barred(2_070, order(), BarResponse::Barred);
+    let steps = other.handle_bar_response(2_070, order(), BarResponse::Barred);
     let mut steps = shared.serve(2_070, &mut other, steps);
     steps.extend(shared.tick(2_200, &mut other));
     assert_eq!(steps, [OrderStep::Turn { request: SECOND }]);
@@ -180,7 +180,7 @@
         holder: held(),
         version: 40,
     };
-    let steps = other.barred(2_070, order(), answer);
+    let steps = other.handle_bar_response(2_070, order(), answer);
     let steps = shared.serve(2_070, &mut other, steps);
     assert_eq!(steps, [OrderStep::Settle { holder: held() }]);
     (shared, other)
@@ -189,7 +189,7 @@
 #[test]
 fn overdue_head_finished_gives_way() {
     let (mut shared, mut other) = examined();
-    let steps = other.settled(2_100, held().attempt, Settlement::Finished);
+    let steps = other.handle_settlement(2_100, held().attempt, Settlement::Finished);
     let mut steps = shared.serve(2_100, &mut other, steps);
     steps.extend(shared.tick(2_200, &mut other));
     assert_eq!(steps, [OrderStep::Turn { request: SECOND }]);
@@ -198,7 +198,7 @@
 #[test]
 fn overdue_head_running_is_waited_for() {
     let (mut shared, mut other) = examined();
-    let steps = other.settled(2_100, held().attempt, Settlement::Running);
+    let steps = other.handle_settlement(2_100, held().attempt, Settlement::Running);
     assert_eq!(shared.serve(2_100, &mut other, steps), []);
     let steps = shared.tick(3_200, &mut other);
     assert_eq!(steps, [OrderStep::Settle { holder: held() }]);
@@ -209,7 +209,7 @@
     // The agent has barred the attempt, but the head's entry may wake up and claim its next
     // one; only a bar in place of the claim keeps it from running after its successor.
     let (mut shared, mut other) = examined();
-    let steps = other.settled(2_100, held().attempt, Settlement::NeverSent);
+    let steps = other.handle_settlement(2_100, held().attempt, Settlement::NeverSent);
     let steps = shared.serve(2_100, &mut other, steps);
     let bar = OrderStep::Bar {
         order: order(),
@@ -224,7 +224,7 @@
     // Nobody can tell whether the first letter may still go out. The second is not run, and
     // its caller hears so at once; the key stays closed until the doubt is settled.
     let (mut shared, mut other) = examined();
-    let steps = other.settled(2_100, held().attempt, Settlement::InDoubt);
+    let steps = other.handle_settlement(2_100, held().attempt, Settlement::InDoubt);
     let steps = shared.serve(2_100, &mut other, steps);
     let failure = Failure::not_run(FailureReason::PredecessorUnknown).retry_after(1_000);
     assert_eq!(
@@ -235,7 +235,7 @@
         }]
     );
     assert_eq!(shared.join(2_200, &mut other, RequestId(3)), []);
-    assert!(other.awaits(held().attempt));
+    assert!(other.awaits_settlement(held().attempt));
 }
 
 #[test]
