--- a/lib/src/claims/sweep.rs
+++ b/lib/src/claims/sweep.rs
@@ -21,7 +21,7 @@
 /// What the sweep does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SweepStep {
-    /// List the claims of a kind and hand them to [`ClaimSweep::listed`].
+    /// List the claims of a kind and hand them to [`ClaimSweep::apply_list`].
     List {
         /// Which kind.
         kind: String,
@@ -106,7 +106,7 @@
     }
 
     /// Takes the names and versions of the claims of the present kind.
-    pub fn listed(&mut self, now_ms: u64, claims: Vec<(Arc<str>, u64)>) {
+    pub fn apply_list(&mut self, now_ms: u64, claims: Vec<(Arc<str>, u64)>) {
         let is_second_look = !self.seen.is_empty();
         if is_second_look {
             let mut old = claims;
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -156,7 +156,7 @@
     pub fn answered(&mut self, now_ms: u64, answer: RecordAnswer) -> Vec<EntryEvent> {
         match answer {
             RecordAnswer::Listed { claims } => {
-                self.sweep.listed(now_ms, claims);
+                self.sweep.apply_list(now_ms, claims);
                 Vec::new()
             }
             RecordAnswer::Claim { request, answer } => {
--- a/lib/tests/test_claim_sweep.rs
+++ b/lib/tests/test_claim_sweep.rs
@@ -32,7 +32,7 @@
         kind: "claims-0".into(),
     };
     assert_eq!(steps, [list]);
-    sweep.listed(60_000, claims(&[("0a", 5), ("0b", 7)]));
+    sweep.apply_list(60_000, claims(&[("0a", 5), ("0b", 7)]));
     sweep
 }
 
@@ -44,7 +44,7 @@
     assert_eq!(sweep.next_tick_ms(), 660_000);
     assert_eq!(sweep.tick(659_999), []);
     sweep.tick(660_000);
-    sweep.listed(660_000, claims(&[("0a", 5), ("0b", 9), ("0c", 11)]));
+    sweep.apply_list(660_000, claims(&[("0a", 5), ("0b", 9), ("0c", 11)]));
     assert_eq!(removed(&sweep.tick(660_001)), [("0a", 5)]);
     assert_eq!(removed(&sweep.tick(700_000)), []);
 }
@@ -53,7 +53,7 @@
 fn listed_goes_on_to_the_next_kind() {
     let mut sweep = looked_once();
     sweep.tick(660_000);
-    sweep.listed(660_000, claims(&[]));
+    sweep.apply_list(660_000, claims(&[]));
     let list = SweepStep::List {
         kind: "claims-1".into(),
     };
@@ -72,7 +72,7 @@
 fn tick_removals_leave_the_store_room() {
     let mut sweep = looked_once();
     sweep.tick(660_000);
-    sweep.listed(660_000, claims(&[("0a", 5), ("0b", 7)]));
+    sweep.apply_list(660_000, claims(&[("0a", 5), ("0b", 7)]));
     assert_eq!(removed(&sweep.tick(660_001)).len(), 1);
     assert_eq!(sweep.next_tick_ms(), 660_201);
     assert_eq!(removed(&sweep.tick(660_200)).len(), 0);
