--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -179,7 +179,7 @@
                 failure,
             } => {
                 let claims = &mut self.entries[entry].claims;
-                let steps = claims.vouch(self.now_ms, request, name, failure);
+                let steps = claims.confirm_not_run(self.now_ms, request, name, failure);
                 self.follow_claims(entry, steps);
             }
             EntryStep::AwaitTurn { order, place } => {
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -236,7 +236,7 @@
     ///
     /// The look is a conditional write of a bar, which is removed again: a read may show a
     /// state from before the claim.
-    pub fn vouch(
+    pub fn confirm_not_run(
         &mut self,
         now_ms: u64,
         request: RequestId,
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -123,7 +123,7 @@
         name: IdempotencyKey,
         failure: Failure,
     ) -> Vec<EntryEvent> {
-        let steps = self.claims.vouch(now_ms, request, name, failure);
+        let steps = self.claims.confirm_not_run(now_ms, request, name, failure);
         self.follow_claims(steps)
     }
 
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -246,7 +246,7 @@
 fn vouched(answer: StoreResponse) -> Vec<ClaimStep> {
     let mut claims = Claims::new(ClaimRules::default());
     let failure = Failure::not_run(FailureReason::TooLate);
-    let steps = claims.vouch(0, OURS, asked(holder(OURS, 1, 7)).name, failure);
+    let steps = claims.confirm_not_run(0, OURS, asked(holder(OURS, 1, 7)).name, failure);
     assert!(is_write(&steps, None), "a read may be stale: {steps:?}");
     claims.handle_response(5, OURS, answer)
 }
@@ -294,7 +294,7 @@
     claims.handle_response(5, OURS, StoreResponse::Lost);
     assert!(is_read(&claims.tick(105)));
     let failure = Failure::not_run(FailureReason::TooLate);
-    claims.vouch(106, OURS, asked(holder(OURS, 1, 7)).name, failure);
+    claims.confirm_not_run(106, OURS, asked(holder(OURS, 1, 7)).name, failure);
     assert_eq!(claims.handle_response(107, OURS, StoreResponse::Current(None)), []);
     let steps = claims.handle_response(108, OURS, stored(9, holder(THEIRS, 1, 8)));
     let unknown = ClaimDecision::Fail(Failure::unknown(FailureReason::TooLate));
