--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
     /// Dispatch the attempt that was claimed.
-    Won,
+    Dispatch,
     /// Settle this attempt and read its answer; do not dispatch.
     Follow(Holder),
     /// Answer with this.
@@ -157,7 +157,7 @@
 /// let steps = claims.claim(0, asked);
 /// assert!(matches!(steps[..], [ClaimStep::Call { .. }]));
 /// let steps = claims.handle_response(3, request, StoreResponse::Written { version: 9 });
-/// assert_eq!(steps, [ClaimStep::Decided { request, decision: ClaimDecision::Won }]);
+/// assert_eq!(steps, [ClaimStep::Decided { request, decision: ClaimDecision::Dispatch }]);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
@@ -194,7 +194,7 @@
     pub fn claim(&mut self, now_ms: u64, asked: ClaimRequest) -> Vec<ClaimStep> {
         let request = asked.holder.attempt.request;
         if !asked.required && now_ms < self.trouble_until_ms {
-            self.end(request, ClaimDecision::Won);
+            self.end(request, ClaimDecision::Dispatch);
             return std::mem::take(&mut self.steps);
         }
         let give_up_at_ms = now_ms + self.rules.patience_ms;
@@ -480,7 +480,7 @@
     /// even try: each would hold a grant, and a slot of an upstream, for nothing.
     fn go_unclaimed(&mut self, now_ms: u64, request: RequestId) {
         self.trouble_until_ms = now_ms + self.rules.trouble_ms;
-        self.end(request, ClaimDecision::Won);
+        self.end(request, ClaimDecision::Dispatch);
     }
 
     fn has_budget(&mut self, now_ms: u64) -> bool {
@@ -497,7 +497,7 @@
         }
         self.steps.push(ClaimStep::Decided {
             request,
-            decision: ClaimDecision::Won,
+            decision: ClaimDecision::Dispatch,
         });
     }
 
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -187,7 +187,7 @@
             return;
         }
         match decision {
-            ClaimDecision::Won => self.claim_won(now_ms, request),
+            ClaimDecision::Dispatch => self.claim_won(now_ms, request),
             ClaimDecision::Follow(holder) => self.follow(now_ms, request, &holder),
             ClaimDecision::Fail(failure) => self.fail_with(request, failure),
         }
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -85,7 +85,7 @@
     assert_eq!(claims.handle_response(50, OURS, StoreResponse::Lost), []);
     assert!(is_read(&claims.tick(150)));
     let steps = claims.handle_response(160, OURS, stored(9, holder(OURS, 1, 7)));
-    assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
+    assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
 }
 
 #[test]
@@ -146,7 +146,7 @@
     request.required = false;
     claims.claim(0, request);
     let steps = claims.handle_response(50, OURS, StoreResponse::Lost);
-    assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
+    assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
 }
 
 #[test]
@@ -161,11 +161,11 @@
     claims.claim(0, request);
     assert_eq!(claims.next_tick_ms(), Some(250));
     let steps = claims.tick(250);
-    assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
+    assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
     let mut next = asked(holder(THEIRS, 1, 7));
     next.required = false;
     let steps = claims.claim(300, next.clone());
-    assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
+    assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
     assert!(
         is_write(&claims.claim(5_250, next), None),
         "tried again later"
@@ -240,7 +240,7 @@
     let steps = claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     assert!(is_write(&steps, Some(9)), "{steps:?}");
     let steps = claims.handle_response(8, OURS, StoreResponse::Written { version: 10 });
-    assert_eq!(decision(&steps), Some(&ClaimDecision::Won));
+    assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
 }
 
 fn vouched(answer: StoreResponse) -> Vec<ClaimStep> {
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -800,7 +800,7 @@
     let steps = scene.grant("a", 1);
     assert!(dispatches(&steps).is_empty());
     assert_eq!(claims(&steps), [&holder(&scene, 1, 1)]);
-    let steps = scene.take(decided(1, ClaimDecision::Won));
+    let steps = scene.take(decided(1, ClaimDecision::Dispatch));
     assert_eq!(dispatches(&steps), [("a", attempt(1, 1))]);
     let steps = scene.end(1, 1, complete(), true);
     let finished = EntryStep::Finished {
@@ -818,7 +818,7 @@
     let mut scene = Scene::new(&["a", "b"], |rules| rules.claims = true);
     scene.submit(named(1));
     scene.grant("a", 1);
-    scene.take(decided(1, ClaimDecision::Won));
+    scene.take(decided(1, ClaimDecision::Dispatch));
     let broken = AnswerEnd::Broken { reason: "".into() };
     scene.end(1, 1, broken, false);
     scene.grant("b", 1);
@@ -857,7 +857,7 @@
     scene.submit(named(1));
     scene.grant("a", 1);
     scene.link_lost("a");
-    let steps = scene.take(decided(1, ClaimDecision::Won));
+    let steps = scene.take(decided(1, ClaimDecision::Dispatch));
     assert!(dispatches(&steps).is_empty());
     scene.link_up("a", 1);
     let steps = scene.grant("a", 1);
