--- a/bench/src/faults/fleet_entry.rs
+++ b/bench/src/faults/fleet_entry.rs
@@ -17,8 +17,8 @@
 use sardinewood::link::wire::AgentMessage;
 use sardinewood::ordering::OrderQueues;
 use sardinewood::ordering::queue::BarResponse;
-use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderKey;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderRules;
 
 use super::process::Process;
@@ -54,7 +54,10 @@
         answer: OrderResponse,
     },
     /// The store answered a bar.
-    BarResponse { order: OrderKey, answer: BarResponse },
+    BarResponse {
+        order: OrderKey,
+        answer: BarResponse,
+    },
     /// Claims and orders may have something to do.
     RecordTick,
     /// Something else.
--- a/bench/src/faults/fleet_store.rs
+++ b/bench/src/faults/fleet_store.rs
@@ -2,17 +2,17 @@
 //! reads of an earlier state.
 
 use indexmap::IndexMap;
+use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::claims::object::Claim;
 use sardinewood::claims::object::ClaimState;
-use sardinewood::claims::object::StoreResponse;
 use sardinewood::claims::object::StoreCall;
+use sardinewood::claims::object::StoreResponse;
 use sardinewood::claims::object::StoredClaim;
-use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::RequestId;
 use sardinewood::ordering::queue::BarResponse;
-use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderCall;
 use sardinewood::ordering::queue::OrderKey;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::Place;
 use sardinewood::ordering::queue::StoredQueue;
 
--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -47,9 +47,10 @@
             }
             EntryInput::Submit { request, work } => self.submit(entry, request, work),
             EntryInput::ClaimAnswer { request, answer } => {
-                let steps = self.entries[entry]
-                    .claims
-                    .handle_response(self.now_ms, request, answer);
+                let steps =
+                    self.entries[entry]
+                        .claims
+                        .handle_response(self.now_ms, request, answer);
                 self.follow_claims(entry, steps);
             }
             EntryInput::OrderResponse { order, answer } => {
@@ -59,9 +60,10 @@
                 self.follow_orders(entry, steps);
             }
             EntryInput::BarResponse { order, answer } => {
-                let steps = self.entries[entry]
-                    .orders
-                    .handle_bar_response(self.now_ms, order, answer);
+                let steps =
+                    self.entries[entry]
+                        .orders
+                        .handle_bar_response(self.now_ms, order, answer);
                 self.follow_orders(entry, steps);
             }
             EntryInput::RecordTick => self.tick_records(entry),
--- a/bench/src/faults/world_records.rs
+++ b/bench/src/faults/world_records.rs
@@ -7,8 +7,8 @@
 use sardinewood::entry::state::FinishedAs;
 use sardinewood::ids::RequestId;
 use sardinewood::ordering::queue::BarResponse;
-use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderKey;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderStep;
 
 use super::fleet_entry::EntryInput;
--- a/lib/src/caller/submission.rs
+++ b/lib/src/caller/submission.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::claims::idempotency::RequestDigest;
 use crate::claims::idempotency::IdempotencyKey;
+use crate::claims::idempotency::RequestDigest;
 use crate::config::objects::Customer;
 use crate::config::objects::Profile;
 use crate::config::objects::Target;
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -10,18 +10,20 @@
 //! A claim is no lease: nothing here depends on how long a process was paused. An entry
 //! that wakes up late holds a claim whose version has moved on or whose attempt is barred.
 
+pub mod idempotency;
 pub mod object;
 mod progress;
-pub mod idempotency;
 pub mod sweep;
 
 use indexmap::IndexMap;
 
+use crate::claims::idempotency::IdempotencyKey;
+use crate::claims::idempotency::RequestDigest;
 use crate::claims::object::Claim;
 use crate::claims::object::ClaimState;
 use crate::claims::object::Holder;
-use crate::claims::object::StoreResponse;
 use crate::claims::object::StoreCall;
+use crate::claims::object::StoreResponse;
 use crate::claims::object::StoredClaim;
 use crate::claims::progress::ClaimRun;
 use crate::claims::progress::NextCall;
@@ -29,8 +31,6 @@
 use crate::claims::progress::Relation;
 use crate::claims::progress::due_ms;
 use crate::claims::progress::relation;
-use crate::claims::idempotency::RequestDigest;
-use crate::claims::idempotency::IdempotencyKey;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 use crate::verdict::FailureReason;
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -19,10 +19,10 @@
 use crate::ids::RequestId;
 use crate::link::wire::Settlement;
 use crate::ordering::queue::BarResponse;
-use crate::ordering::queue::OrderResponse;
 use crate::ordering::queue::OrderCall;
 use crate::ordering::queue::OrderKey;
 use crate::ordering::queue::OrderQueue;
+use crate::ordering::queue::OrderResponse;
 use crate::ordering::queue::OrderRules;
 use crate::ordering::queue::OrderStep;
 use crate::ordering::queue::Place;
@@ -212,7 +212,12 @@
     }
 
     /// Takes the answer to [`OrderStep::Bar`].
-    pub fn handle_bar_response(&mut self, now_ms: u64, order: OrderKey, answer: BarResponse) -> Vec<OrderStep> {
+    pub fn handle_bar_response(
+        &mut self,
+        now_ms: u64,
+        order: OrderKey,
+        answer: BarResponse,
+    ) -> Vec<OrderStep> {
         let Some(state) = self.keys.get_mut(&order) else {
             return Vec::new();
         };
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -5,9 +5,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::claims::object::Holder;
-use crate::claims::idempotency::KeyError;
 use crate::claims::idempotency::IdempotencyKey;
+use crate::claims::idempotency::KeyError;
+use crate::claims::object::Holder;
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -5,14 +5,14 @@
 use sardinewood::claims::ClaimRules;
 use sardinewood::claims::ClaimStep;
 use sardinewood::claims::Claims;
+use sardinewood::claims::idempotency::IdempotencyKey;
+use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::claims::object::Claim;
 use sardinewood::claims::object::ClaimState;
 use sardinewood::claims::object::Holder;
-use sardinewood::claims::object::StoreResponse;
 use sardinewood::claims::object::StoreCall;
+use sardinewood::claims::object::StoreResponse;
 use sardinewood::claims::object::StoredClaim;
-use sardinewood::claims::idempotency::RequestDigest;
-use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::AttemptId;
 use sardinewood::ids::GrantId;
 use sardinewood::ids::Incarnation;
@@ -295,7 +295,10 @@
     assert!(is_read(&claims.tick(105)));
     let failure = Failure::not_run(FailureReason::TooLate);
     claims.confirm_not_run(106, OURS, asked(holder(OURS, 1, 7)).name, failure);
-    assert_eq!(claims.handle_response(107, OURS, StoreResponse::Current(None)), []);
+    assert_eq!(
+        claims.handle_response(107, OURS, StoreResponse::Current(None)),
+        []
+    );
     let steps = claims.handle_response(108, OURS, stored(9, holder(THEIRS, 1, 8)));
     let unknown = ClaimDecision::Fail(Failure::unknown(FailureReason::TooLate));
     assert_eq!(decision(&steps), Some(&unknown));
--- a/lib/tests/test_idempotency.rs
+++ b/lib/tests/test_idempotency.rs
@@ -1,10 +1,10 @@
 //! Names of requests: whose they are, and what is refused.
 
+use sardinewood::claims::idempotency::IdempotencyKey;
+use sardinewood::claims::idempotency::IdempotencyTable;
+use sardinewood::claims::idempotency::KeyError;
 use sardinewood::claims::idempotency::KeyLookup;
 use sardinewood::claims::idempotency::RequestDigest;
-use sardinewood::claims::idempotency::KeyError;
-use sardinewood::claims::idempotency::IdempotencyTable;
-use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::ids::RequestId;
 
 fn name(customer: &str, key: &str) -> IdempotencyKey {
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -8,9 +8,9 @@
 use sardinewood::link::wire::Settlement;
 use sardinewood::ordering::OrderQueues;
 use sardinewood::ordering::queue::BarResponse;
-use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderCall;
 use sardinewood::ordering::queue::OrderKey;
+use sardinewood::ordering::queue::OrderResponse;
 use sardinewood::ordering::queue::OrderRules;
 use sardinewood::ordering::queue::OrderStep;
 use sardinewood::ordering::queue::Place;
@@ -64,7 +64,12 @@
     }
 
     /// Answers each call at once; returns the other steps.
-    fn serve(&mut self, now_ms: u64, orders: &mut OrderQueues, steps: Vec<OrderStep>) -> Vec<OrderStep> {
+    fn serve(
+        &mut self,
+        now_ms: u64,
+        orders: &mut OrderQueues,
+        steps: Vec<OrderStep>,
+    ) -> Vec<OrderStep> {
         let mut left = Vec::new();
         let mut todo = steps;
         while !todo.is_empty() {
@@ -88,7 +93,12 @@
         self.serve(now_ms, orders, steps)
     }
 
-    fn join(&mut self, now_ms: u64, orders: &mut OrderQueues, request: RequestId) -> Vec<OrderStep> {
+    fn join(
+        &mut self,
+        now_ms: u64,
+        orders: &mut OrderQueues,
+        request: RequestId,
+    ) -> Vec<OrderStep> {
         let steps = orders.join(now_ms, order(), place(request));
         self.serve(now_ms, orders, steps)
     }
