--- a/bench/src/limits/play.rs
+++ b/bench/src/limits/play.rs
@@ -13,7 +13,7 @@
 use sardinewood::direct::sharing::admission::PeerRequestId;
 use sardinewood::direct::sharing::admission::SlotRelease;
 use sardinewood::direct::sharing::admission::SlotRequest;
-use sardinewood::direct::sharing::rate::Rate;
+use sardinewood::direct::sharing::rate::GrantRate;
 use sardinewood::numbers;
 
 use crate::entry_address;
@@ -85,7 +85,7 @@
     died_ms: Option<u64>,
     /// Part of all requests that reach it.
     load: f64,
-    rate: Option<Rate>,
+    rate: Option<GrantRate>,
     admission: AdmissionController,
     /// Requests that wait, by number and arrival.
     waiting: VecDeque<(u64, u64)>,
@@ -164,7 +164,7 @@
         Entry {
             died_ms: None,
             load,
-            rate: part.map(|part| Rate::new(self.limit_per_1000_s(), part, now_ms)),
+            rate: part.map(|part| GrantRate::new(self.limit_per_1000_s(), part, now_ms)),
             admission,
             waiting: VecDeque::new(),
             need: 0,
@@ -267,7 +267,7 @@
         for entry in &mut self.entries {
             let part = f64::from(entry.told_need) / sum.max(1.0);
             if let Some(rate) = &mut entry.rate {
-                rate.set(limit, part, now_ms);
+                rate.set_limit(limit, part, now_ms);
             }
         }
     }
@@ -363,7 +363,7 @@
                 .waiting
                 .retain(|(_, arrived_ms)| now_ms < arrived_ms + PATIENCE_MS);
             if let Some(rate) = &mut entry.rate {
-                while !entry.waiting.is_empty() && rate.take(now_ms) {
+                while !entry.waiting.is_empty() && rate.try_take(now_ms) {
                     entry.waiting.pop_front();
                     starts += 1;
                 }
--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -1,14 +1,16 @@
-//! The doors of upstreams: one entry keeps the exact count of what an upstream runs.
+//! Admission control for upstreams: one entry counts exactly what an upstream runs and grants its
+//! slots.
 //!
-//! Each upstream has one door, kept by one of the entries that are heard, found by everybody in
-//! the same way. An entry asks the door for room; the door grants the most important request
-//! that asks, from whichever entry. Room is soft state: if a door is lost, entries find the
-//! next one, and its count comes from the heartbeats of all. So a door that is wrong costs some
-//! waiting in an upstream, never a request.
+//! Each upstream has one admission queue, which is owned by one of the live entries; all entries
+//! determine the owner in the same way ([`owner`]). An entry sends the owner a slot request, and
+//! the owner grants a free slot to the most important request in the queue, whichever entry sent
+//! it. Slot counts are soft state: if the owner is lost, entries determine the next one, which
+//! takes its counts from the heartbeats of all entries. A wrong count makes some requests wait
+//! inside an upstream but never loses one.
 //!
-//! Without doors, thirty entries that know each other's load a third of a second late send an
-//! engine several times what it can begin, and there the most important waits behind the least:
-//! an engine admits in order of arrival.
+//! Without admission queues, thirty entries that learn of each other's load a third of a second
+//! late send an engine several times what it can start. An engine admits requests in order of
+//! arrival, so the most important ones then wait there behind the least important ones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,32 +25,33 @@
 use crate::direct::placement::dispatch::ROUND_TRIP_MS;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::placement::health::MovingAverage;
-use crate::direct::sharing::rate::Rate;
+use crate::direct::sharing::rate::GrantRate;
 use crate::numbers;
 
-/// Worth of a request by its tier, in relation to the first. Both users' sheets put their
-/// second tier at about half of the first, and the third at a twentieth.
+/// Worth of a request by tier, relative to the first tier. Both users' sheets put their second tier
+/// at about half of the first, and the third at a twentieth.
 const TIER_WORTH: [f64; 5] = [1.0, 0.5, 0.05, 0.02, 0.01];
-/// Worth of an answer that comes after its objective, in relation to one in time. The
-/// operators' sheets put it at three tenths for all kinds.
+/// Worth of an answer that misses its latency objective, relative to one that meets it. The
+/// operators' sheets put it at three tenths for all routes.
 const LATE_FACTOR: f64 = 0.3;
-/// Silence after which what a peer was granted counts as ended.
+/// Time without a heartbeat after which the slots that a peer was granted count as free.
 const PEER_SILENCE_MS: u64 = 1_500;
-/// Doors at which one request waits at a time, so that its place in one queue counts a part.
-/// With one, it waits behind the wrong engine while another has room; each further one costs
-/// two messages.
+/// Admission queues in which one request waits at a time; its place in each queue therefore counts
+/// only in part. With a single queue, a request waits for a busy engine while another has a free
+/// slot; each further queue costs two messages.
 pub const MAX_QUEUES_PER_REQUEST: u8 = 3;
 
-/// Names one question to a peer: for room, or to charge a request. The entry that asks gives it.
+/// Identifies a request from one entry to another: for a slot, or to charge a customer's quota. The
+/// sending entry assigns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerRequestId(pub u64);
 
-/// Bits of a question's name. Names are random, so that a process that starts again does not use
-/// those that peers still hold of it; more bits would only make messages longer.
+/// Bits of an ID. IDs are random so that a restarted process does not reuse those that peers still
+/// hold from its previous run; more bits would only make messages longer.
 const ID_BITS: u64 = 0xffff_ffff;
 
 impl PeerRequestId {
-    /// The name that a random number gives.
+    /// Returns the ID for a random number.
     ///
     /// ```
     /// use sardinewood::direct::sharing::admission::PeerRequestId;
@@ -61,123 +64,131 @@
     }
 }
 
-/// A request that wants room, as a door needs to know it.
+/// A request for a slot at an upstream, as sent to the owner of its admission queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Names the question.
+    /// Identifies the slot request.
     pub id: PeerRequestId,
-    /// Short name of the engine.
+    /// Hash of the upstream's name.
     pub upstream: u32,
-    /// What the request is worth if it is in time, in millionths of one of the first tier
-    /// and of usual size.
+    /// Worth of the request if it meets its latency objective, in millionths of a first-tier
+    /// request of usual size.
     pub worth_micros: u32,
-    /// How long its answer is still worth most; negative if that time is over.
+    /// Time left until its latency objective; negative if that has passed.
     pub objective_in_ms: i64,
-    /// How long it has waited.
+    /// How long the request has waited.
     pub waited_ms: u64,
 }
 
-/// Whoever asks: this entry or another.
+/// This entry or one of its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EntryRef {
-    /// The entry that keeps the door.
+    /// This entry.
     Local,
-    /// Another entry, by the address of its heartbeats.
+    /// Another entry, by the address from which it sends heartbeats.
     Peer(SocketAddr),
 }
 
-/// How granted room was used that is free again.
+/// How a granted slot was used before it was released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotRelease {
-    /// A request was sent to the upstream, which did not answer it whole.
+    /// A request was sent to the upstream and got no complete answer.
     Unanswered,
-    /// A request was answered whole.
+    /// A request got a complete answer.
     Answered {
-        /// How long it held the room.
+        /// How long the request held the slot.
         held_ms: u32,
     },
     /// No request was sent to the upstream.
     Unused,
 }
 
-/// What a door says to a question.
+/// A slot that is granted in reply to a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotGrant {
-    /// Who asked.
+    /// The entry that requested the slot.
     pub to: EntryRef,
-    /// The question.
+    /// The slot request that is granted.
     pub request_id: PeerRequestId,
-    /// Short name of the engine.
+    /// Hash of the upstream's name.
     pub upstream: u32,
 }
 
+/// A slot request that waits in an admission queue.
 #[derive(Clone, Copy, Debug)]
 struct Queued {
     from: EntryRef,
     slot_request: SlotRequest,
     arrived_ms: u64,
-    in_time_until_ms: i64,
+    objective_at_ms: i64,
 }
 
-/// What one peer has at one engine.
+/// Slots that one peer holds at one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tracked {
+struct PeerUsage {
     count: u32,
     reported: u32,
-    /// Whether it was granted or gave back something since its last heartbeat.
+    /// Whether the peer was granted or released a slot since its last heartbeat.
     is_touched: bool,
 }
 
+/// Used slots and waiting requests of one upstream.
 #[derive(Clone, Debug, Default)]
-struct Door {
+struct AdmissionQueue {
     slots: u32,
-    own: u32,
-    peers: IndexMap<SocketAddr, Tracked>,
-    queue: Vec<Queued>,
-    hold: MovingAverage,
-    /// Whether it is the door of a plain service.
-    is_plain: bool,
-    /// How fast it may grant, if the upstream limits its requests.
-    rate: Option<Rate>,
+    local_count: u32,
+    peers: IndexMap<SocketAddr, PeerUsage>,
+    waiting: Vec<Queued>,
+    average_hold_ms: MovingAverage,
+    /// Whether the upstream is a plain service rather than an engine.
+    is_plain_service: bool,
+    /// Rate at which slots may be granted, if the upstream limits its requests.
+    grant_rate: Option<GrantRate>,
 }
 
-impl Door {
-    fn used(&self) -> u32 {
-        self.own + self.peers.values().map(|peer| peer.count).sum::<u32>()
+impl AdmissionQueue {
+    fn used_slots(&self) -> u32 {
+        self.local_count + self.peers.values().map(|peer| peer.count).sum::<u32>()
     }
 
-    /// How many requests the upstream is given at a time: an engine as many as it has slots. Plain
-    /// calls are so short that the way takes a part of their time, so their service is given as
-    /// many more as are on the way meanwhile. They wait there for a few milliseconds; without them
-    /// a slot of a service with calls of 60 ms would be idle for a tenth of the time.
-    fn room(&self) -> u32 {
-        if !self.is_plain {
+    /// Returns how many requests the upstream may be given at a time. An engine gets as many as it
+    /// has slots. Calls to plain services are so short that the network takes a notable part of
+    /// their time, so a service also gets as many as are in transit meanwhile. These wait at the
+    /// service for a few milliseconds; without them, a slot of a service whose calls take 60 ms
+    /// would be idle for a tenth of the time.
+    fn capacity(&self) -> u32 {
+        if !self.is_plain_service {
             return self.slots;
         }
-        let hold_ms = self.hold.value().unwrap_or(DEFAULT_HOLD_MS).max(1.0);
+        let hold_ms = self
+            .average_hold_ms
+            .value()
+            .unwrap_or(DEFAULT_HOLD_MS)
+            .max(1.0);
         let ahead = f64::from(self.slots) * numbers::as_f64(ROUND_TRIP_MS) / hold_ms;
         self.slots + numbers::whole_u32(ahead.round()).min(self.slots / 2)
     }
 
-    /// Whether it grants something, but for its rate.
-    fn would_grant(&self) -> bool {
-        !self.queue.is_empty() && self.used() < self.room()
+    /// Returns whether a request could be granted a slot, leaving the grant rate aside.
+    fn has_grantable_request(&self) -> bool {
+        !self.waiting.is_empty() && self.used_slots() < self.capacity()
     }
 
-    /// When the rate allows the next grant, if a question waits for just that.
+    /// Returns the time until the grant rate allows the next grant, if a request waits for nothing
+    /// else.
     fn rate_allows_in_ms(&self, now_ms: u64) -> Option<u64> {
-        let rate = self.rate.filter(|_| self.would_grant())?;
+        let rate = self.grant_rate.filter(|_| self.has_grantable_request())?;
         Some(rate.wait_ms(1.0, now_ms))
     }
 
-    fn best(&self, now_ms: u64) -> Option<usize> {
+    fn best_request(&self, now_ms: u64) -> Option<usize> {
         let key = |queued: &Queued| {
-            let is_in_time = i64::try_from(now_ms).unwrap_or(i64::MAX) < queued.in_time_until_ms;
-            worth(queued.slot_request.worth_micros, is_in_time)
+            let is_in_time = i64::try_from(now_ms).unwrap_or(i64::MAX) < queued.objective_at_ms;
+            start_worth(queued.slot_request.worth_micros, is_in_time)
         };
-        (0..self.queue.len()).reduce(|best, index| {
-            let order = key(&self.queue[index]).total_cmp(&key(&self.queue[best]));
-            let is_earlier = self.queue[index].arrived_ms < self.queue[best].arrived_ms;
+        (0..self.waiting.len()).reduce(|best, index| {
+            let order = key(&self.waiting[index]).total_cmp(&key(&self.waiting[best]));
+            let is_earlier = self.waiting[index].arrived_ms < self.waiting[best].arrived_ms;
             if order.is_gt() || (order.is_eq() && is_earlier) {
                 index
             } else {
@@ -187,24 +198,24 @@
     }
 }
 
-/// What a start now is worth, in relation to others.
+/// Returns the worth of starting a request now, relative to others.
 ///
-/// Under overload, bare order of tiers makes all of a tier late: what is late anyway would
-/// hold up what can still be in time. A late request counts three tenths, which puts it
-/// behind the next tier's, but before a tier that is worth far less.
+/// Under overload, ordering by tier alone makes a whole tier late, because requests that are late
+/// anyway delay those that could still meet their objective. A late request therefore counts three
+/// tenths, which puts it behind the next tier but ahead of tiers that are worth far less.
 ///
 /// ```
-/// use sardinewood::direct::sharing::admission::worth;
+/// use sardinewood::direct::sharing::admission::start_worth;
 ///
-/// assert!(worth(500, true) > worth(1_000, false));
+/// assert!(start_worth(500, true) > start_worth(1_000, false));
 /// ```
 #[must_use]
-pub fn worth(worth_micros: u32, is_in_time: bool) -> f64 {
+pub fn start_worth(worth_micros: u32, is_in_time: bool) -> f64 {
     let in_time = if is_in_time { 1.0 } else { LATE_FACTOR };
     f64::from(worth_micros) * in_time
 }
 
-/// What a request of a tier is worth, in relation to the first tier.
+/// Returns the worth of a request of a tier, relative to the first tier.
 ///
 /// ```
 /// assert!((sardinewood::direct::sharing::admission::tier_worth(0) - 1.0).abs() < 1e-9);
@@ -214,7 +225,8 @@
     numbers::of_tier(&TIER_WORTH, tier)
 }
 
-/// The entry that keeps an upstream's door, of those that are heard.
+/// Returns which of the given live entries owns the admission queue of an upstream, or the quota of
+/// a customer, by the hash of its name.
 ///
 /// ```
 /// use sardinewood::direct::sharing::admission::owner;
@@ -223,9 +235,9 @@
 /// assert_eq!(owner(5, [one]), Some(one));
 /// ```
 #[must_use]
-pub fn owner(upstream: u32, entries: impl IntoIterator<Item = SocketAddr>) -> Option<SocketAddr> {
+pub fn owner(name_hash: u32, entries: impl IntoIterator<Item = SocketAddr>) -> Option<SocketAddr> {
     entries.into_iter().max_by_key(|entry| {
-        let seed = u64::from(upstream);
+        let seed = u64::from(name_hash);
         let SocketAddr::V4(entry) = entry else {
             return 0;
         };
@@ -236,7 +248,8 @@
     })
 }
 
-/// The doors that this entry keeps. It counts for all upstreams, so that it can take over any.
+/// Grants slots at the upstreams whose admission queues this entry owns. It counts slots at all
+/// upstreams, so that it can take over any queue.
 ///
 /// ```
 /// use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController, SlotRelease};
@@ -254,57 +267,57 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
-    by_upstream: IndexMap<u32, Door>,
-    heard_ms: IndexMap<SocketAddr, u64>,
-    /// Doors that may have something to grant.
-    changed: Vec<u32>,
-    /// Limits of upstreams in requests in 1,000 seconds.
+    queues: IndexMap<u32, AdmissionQueue>,
+    last_heard_ms: IndexMap<SocketAddr, u64>,
+    /// Upstreams whose queues may have a slot to grant.
+    dirty_queues: Vec<u32>,
+    /// Limits of upstreams, in requests per 1,000 seconds.
     limits: IndexMap<u32, u32>,
-    /// The part of each limit that this entry may give out; none for all of it.
-    part: Option<f64>,
+    /// Share of each limit that this entry may grant; `None` means all of it.
+    limit_share: Option<f64>,
 }
 
 impl AdmissionController {
-    /// Takes the upstreams that there are, and their slots.
+    /// Sets the current upstreams and their slots.
     ///
     /// ```
     /// sardinewood::direct::sharing::admission::AdmissionController::default().set_upstreams([("i-1".into(), 4)]);
     /// ```
     pub fn set_upstreams(&mut self, upstreams: impl IntoIterator<Item = (Arc<str>, u32)>) {
-        let mut before = std::mem::take(&mut self.by_upstream);
+        let mut previous = std::mem::take(&mut self.queues);
         for (instance, slots) in upstreams {
-            let name = upstream_hash(&instance);
-            let mut door = before.swap_remove(&name).unwrap_or_default();
-            door.slots = slots;
-            self.changed.push(name);
-            self.by_upstream.insert(name, door);
+            let upstream = upstream_hash(&instance);
+            let mut queue = previous.swap_remove(&upstream).unwrap_or_default();
+            queue.slots = slots;
+            self.dirty_queues.push(upstream);
+            self.queues.insert(upstream, queue);
         }
-        for (name, mut door) in before {
-            // A leaving engine takes nothing new; its count ends with what it runs.
-            door.queue.clear();
-            door.slots = 0;
-            if door.used() > 0 {
-                self.by_upstream.insert(name, door);
+        for (upstream, mut queue) in previous {
+            // A removed upstream gets no new requests; its queue stays while its slots are in use.
+            queue.waiting.clear();
+            queue.slots = 0;
+            if queue.used_slots() > 0 {
+                self.queues.insert(upstream, queue);
             }
         }
     }
 
-    /// Takes which of the upstreams, by short name, are plain services; the others are engines.
+    /// Sets which upstreams, by name hash, are plain services; the others are engines.
     ///
     /// ```
     /// sardinewood::direct::sharing::admission::AdmissionController::default().set_plain_services(&[7].into_iter().collect());
     /// ```
     pub fn set_plain_services(&mut self, plain: &IndexSet<u32>) {
-        for (name, door) in &mut self.by_upstream {
-            door.is_plain = plain.contains(name);
+        for (upstream, queue) in &mut self.queues {
+            queue.is_plain_service = plain.contains(upstream);
         }
     }
 
-    /// Takes the limits of upstreams, by short name, in requests in 1,000 seconds; the others have
+    /// Sets the limits of upstreams, by name hash, in requests per 1,000 seconds; the others have
     /// none.
     ///
-    /// An upstream that limits its requests takes them from all entries together, of which none
-    /// knows what the others send. Its door does: every start goes through it.
+    /// Such a limit applies to all entries together, and no entry knows what the others send. The
+    /// owner of the upstream's admission queue does, because it grants every start.
     ///
     /// ```
     /// # use sardinewood::direct::{placement::dispatch::upstream_hash, sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController}};
@@ -323,55 +336,57 @@
         self.set_rates(now_ms);
     }
 
-    /// Takes the part of each limit that this entry may give out, as its part of all entries.
+    /// Sets the share of each limit that this entry may grant: the share of all entries that it can
+    /// reach.
     ///
-    /// Behind a cut, entries on both sides keep a door of each upstream. Did each side give out
-    /// the whole limit, the upstream would get it twice.
+    /// During a network partition, both sides have an owner for each upstream. If each granted the
+    /// whole limit, the upstream would get it twice.
     ///
     /// ```
     /// sardinewood::direct::sharing::admission::AdmissionController::default().set_limit_share(0.5, 0);
     /// ```
-    pub fn set_limit_share(&mut self, part: f64, now_ms: u64) {
-        if self.part != Some(part) {
-            self.part = Some(part);
+    pub fn set_limit_share(&mut self, limit_share: f64, now_ms: u64) {
+        if self.limit_share != Some(limit_share) {
+            self.limit_share = Some(limit_share);
             self.set_rates(now_ms);
         }
     }
 
     fn set_rates(&mut self, now_ms: u64) {
-        let part = self.part.unwrap_or(1.0);
-        for (name, door) in &mut self.by_upstream {
-            let Some(limit) = self.limits.get(name) else {
-                if door.rate.take().is_some() {
-                    self.changed.push(*name);
+        let limit_share = self.limit_share.unwrap_or(1.0);
+        for (upstream, queue) in &mut self.queues {
+            let Some(limit) = self.limits.get(upstream) else {
+                if queue.grant_rate.take().is_some() {
+                    self.dirty_queues.push(*upstream);
                 }
                 continue;
             };
-            match &mut door.rate {
-                Some(rate) => rate.set(*limit, part, now_ms),
-                None => door.rate = Some(Rate::new(*limit, part, now_ms)),
+            match &mut queue.grant_rate {
+                Some(rate) => rate.set_limit(*limit, limit_share, now_ms),
+                None => queue.grant_rate = Some(GrantRate::new(*limit, limit_share, now_ms)),
             }
         }
     }
 
-    /// Time until the rate of a limited upstream allows a grant that a question waits for.
+    /// Returns the time until the rate of a limited upstream allows a grant that a request waits
+    /// for.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::sharing::admission::AdmissionController::default().next_grant_in_ms(0), None);
     /// ```
     #[must_use]
     pub fn next_grant_in_ms(&self, now_ms: u64) -> Option<u64> {
-        self.limited()
-            .filter_map(|(_, door)| door.rate_allows_in_ms(now_ms))
+        self.limited_queues()
+            .filter_map(|(_, queue)| queue.rate_allows_in_ms(now_ms))
             .min()
     }
 
-    fn limited(&self) -> impl Iterator<Item = (u32, &Door)> {
-        let names = self.limits.keys();
-        names.filter_map(|name| Some((*name, self.by_upstream.get(name)?)))
+    fn limited_queues(&self) -> impl Iterator<Item = (u32, &AdmissionQueue)> {
+        let upstreams = self.limits.keys();
+        upstreams.filter_map(|upstream| Some((*upstream, self.queues.get(upstream)?)))
     }
 
-    /// Takes a question.
+    /// Adds a slot request to the admission queue of its upstream, unless it is there already.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{SlotRequest, PeerRequestId, EntryRef, AdmissionController};
@@ -379,77 +394,80 @@
     /// AdmissionController::default().enqueue(EntryRef::Local, slot_request, 0);
     /// ```
     pub fn enqueue(&mut self, from: EntryRef, slot_request: SlotRequest, now_ms: u64) {
-        let Some(door) = self.by_upstream.get_mut(&slot_request.upstream) else {
+        let Some(queue) = self.queues.get_mut(&slot_request.upstream) else {
             return;
         };
-        let is_known = door
-            .queue
+        let is_queued = queue
+            .waiting
             .iter()
             .any(|queued| queued.from == from && queued.slot_request.id == slot_request.id);
-        if is_known {
+        if is_queued {
             return;
         }
         if let EntryRef::Peer(peer) = from {
-            // A peer's first question may come before its first heartbeat. Without this the next
-            // sweep would forget what it was granted, and the engine would get too much.
-            self.heard_ms.insert(peer, now_ms);
+            // A peer's first slot request may arrive before its first heartbeat. Without this
+            // entry, the next call of [`Self::expire_peers`] would drop the slots it was granted,
+            // and the engine would get too many requests.
+            self.last_heard_ms.insert(peer, now_ms);
         }
         let now = i64::try_from(now_ms).unwrap_or(i64::MAX);
-        door.queue.push(Queued {
+        queue.waiting.push(Queued {
             from,
             slot_request,
             arrived_ms: now_ms.saturating_sub(slot_request.waited_ms),
-            in_time_until_ms: now.saturating_add(slot_request.objective_in_ms),
+            objective_at_ms: now.saturating_add(slot_request.objective_in_ms),
         });
-        self.changed.push(slot_request.upstream);
+        self.dirty_queues.push(slot_request.upstream);
     }
 
-    /// Takes a question back.
+    /// Removes a slot request from the queue.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{PeerRequestId, EntryRef, AdmissionController};
     /// AdmissionController::default().cancel(EntryRef::Local, 7, PeerRequestId(1));
     /// ```
     pub fn cancel(&mut self, from: EntryRef, upstream: u32, request_id: PeerRequestId) {
-        if let Some(door) = self.by_upstream.get_mut(&upstream) {
-            door.queue
+        if let Some(queue) = self.queues.get_mut(&upstream) {
+            queue
+                .waiting
                 .retain(|queued| queued.from != from || queued.slot_request.id != request_id);
         }
     }
 
-    /// Notes that granted room is free again.
+    /// Records that a granted slot is free again.
     ///
-    /// A grant often crosses the word that its request has started elsewhere. Were an unused one
-    /// counted, an upstream would get a good part less than its limit.
+    /// A grant often crosses the message that cancels its request, which has started elsewhere. If
+    /// unused grants counted towards the rate, an upstream would get markedly less than its limit.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{EntryRef, AdmissionController, SlotRelease};
     /// AdmissionController::default().release(EntryRef::Local, 7, SlotRelease::Unused);
     /// ```
     pub fn release(&mut self, from: EntryRef, upstream: u32, release: SlotRelease) {
-        let Some(door) = self.by_upstream.get_mut(&upstream) else {
+        let Some(queue) = self.queues.get_mut(&upstream) else {
             return;
         };
         match from {
-            EntryRef::Local => door.own = door.own.saturating_sub(1),
+            EntryRef::Local => queue.local_count = queue.local_count.saturating_sub(1),
             EntryRef::Peer(peer) => {
-                let tracked = door.peers.entry(peer).or_default();
-                tracked.count = tracked.count.saturating_sub(1);
-                tracked.is_touched = true;
+                let usage = queue.peers.entry(peer).or_default();
+                usage.count = usage.count.saturating_sub(1);
+                usage.is_touched = true;
             }
         }
         match release {
             SlotRelease::Unanswered => {}
-            SlotRelease::Answered { held_ms } => door.hold.observe(f64::from(held_ms)),
-            SlotRelease::Unused => door.rate.iter_mut().for_each(Rate::put_back),
+            SlotRelease::Answered { held_ms } => queue.average_hold_ms.observe(f64::from(held_ms)),
+            SlotRelease::Unused => queue.grant_rate.iter_mut().for_each(GrantRate::put_back),
         }
-        self.changed.push(upstream);
+        self.dirty_queues.push(upstream);
     }
 
-    /// Takes what a peer says that it runs.
+    /// Applies the load that a peer's heartbeat reports.
     ///
-    /// A count that was not touched between two equal heartbeats is replaced by them: what a lost
-    /// message left wrong lasts two heartbeats.
+    /// If two successive heartbeats report the same count and no slot was granted or released in
+    /// between, that count replaces the one kept here. An error caused by a lost message thus lasts
+    /// two heartbeats.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::AdmissionController;
@@ -457,109 +475,115 @@
     /// let nothing = LoadChunk::whole(Vec::new());
     /// AdmissionController::default().reconcile("10.0.0.1:7".parse().unwrap(), &nothing, 0);
     /// ```
-    pub fn reconcile(&mut self, peer: SocketAddr, told: &LoadChunk, now_ms: u64) {
-        self.heard_ms.insert(peer, now_ms);
-        let running: IndexMap<u32, u32> = told
+    pub fn reconcile(&mut self, peer: SocketAddr, reported_load: &LoadChunk, now_ms: u64) {
+        self.last_heard_ms.insert(peer, now_ms);
+        let running: IndexMap<u32, u32> = reported_load
             .loads
             .iter()
             .map(|running| (running.upstream, u32::from(running.requests)))
             .collect();
-        let concerned = self.by_upstream.iter_mut();
-        for (name, door) in concerned.filter(|(name, _)| told.covers(**name)) {
-            let reported = running.get(name).copied().unwrap_or_default();
-            let tracked = match door.peers.get_mut(&peer) {
-                Some(tracked) => tracked,
+        let queues = self.queues.iter_mut();
+        for (upstream, queue) in queues.filter(|(upstream, _)| reported_load.covers(**upstream)) {
+            let reported = running.get(upstream).copied().unwrap_or_default();
+            let usage = match queue.peers.get_mut(&peer) {
+                Some(usage) => usage,
                 None if reported == 0 => continue,
                 None => {
-                    let first = Tracked {
+                    let first = PeerUsage {
                         count: reported,
                         reported,
                         is_touched: false,
                     };
-                    door.peers.insert(peer, first);
+                    queue.peers.insert(peer, first);
                     continue;
                 }
             };
-            if !tracked.is_touched && tracked.reported == reported && tracked.count != reported {
-                tracked.count = reported;
-                self.changed.push(*name);
+            if !usage.is_touched && usage.reported == reported && usage.count != reported {
+                usage.count = reported;
+                self.dirty_queues.push(*upstream);
             }
-            tracked.reported = reported;
-            tracked.is_touched = false;
+            usage.reported = reported;
+            usage.is_touched = false;
         }
     }
 
-    /// Forgets what peers had that are gone: those named, and those that fell silent.
+    /// Drops the slots and queued requests of the given departed peer and of peers whose heartbeats
+    /// have stopped.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::AdmissionController;
     /// AdmissionController::default().expire_peers(None, 0);
     /// ```
-    pub fn expire_peers(&mut self, gone: Option<SocketAddr>, now_ms: u64) {
-        self.heard_ms
-            .retain(|peer, heard_ms| Some(*peer) != gone && now_ms < *heard_ms + PEER_SILENCE_MS);
-        for (name, door) in &mut self.by_upstream {
-            let before = door.used();
-            door.peers
-                .retain(|peer, _| self.heard_ms.contains_key(peer));
-            door.queue.retain(|queued| match queued.from {
+    pub fn expire_peers(&mut self, departed: Option<SocketAddr>, now_ms: u64) {
+        self.last_heard_ms.retain(|peer, last_heard_ms| {
+            Some(*peer) != departed && now_ms < *last_heard_ms + PEER_SILENCE_MS
+        });
+        for (upstream, queue) in &mut self.queues {
+            let previous = queue.used_slots();
+            queue
+                .peers
+                .retain(|peer, _| self.last_heard_ms.contains_key(peer));
+            queue.waiting.retain(|queued| match queued.from {
                 EntryRef::Local => true,
-                EntryRef::Peer(peer) => self.heard_ms.contains_key(&peer),
+                EntryRef::Peer(peer) => self.last_heard_ms.contains_key(&peer),
             });
-            if door.used() != before {
-                self.changed.push(*name);
+            if queue.used_slots() != previous {
+                self.dirty_queues.push(*upstream);
             }
         }
     }
 
-    /// The next grant, if a door has room and somebody asks.
+    /// Returns the next grant, if an upstream has a free slot and a request waits for it.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::sharing::admission::AdmissionController::default().next_grant(0), None);
     /// ```
     pub fn next_grant(&mut self, now_ms: u64) -> Option<SlotGrant> {
         let allowed: Vec<u32> = self
-            .limited()
-            .filter(|(_, door)| door.rate_allows_in_ms(now_ms) == Some(0))
-            .map(|(name, _)| name)
+            .limited_queues()
+            .filter(|(_, queue)| queue.rate_allows_in_ms(now_ms) == Some(0))
+            .map(|(upstream, _)| upstream)
             .collect();
-        self.changed.extend(allowed);
-        while let Some(name) = self.changed.last().copied() {
-            if let Some(grant) = self.grant_at(name, now_ms) {
+        self.dirty_queues.extend(allowed);
+        while let Some(upstream) = self.dirty_queues.last().copied() {
+            if let Some(grant) = self.grant_from(upstream, now_ms) {
                 return Some(grant);
             }
-            self.changed.pop();
+            self.dirty_queues.pop();
         }
         None
     }
 
-    fn grant_at(&mut self, name: u32, now_ms: u64) -> Option<SlotGrant> {
-        let door = self.by_upstream.get_mut(&name)?;
-        if door.used() >= door.room() {
+    fn grant_from(&mut self, hash: u32, now_ms: u64) -> Option<SlotGrant> {
+        let queue = self.queues.get_mut(&hash)?;
+        if queue.used_slots() >= queue.capacity() {
             return None;
         }
-        let best = door.best(now_ms)?;
-        let is_allowed = door.rate.as_mut().is_none_or(|rate| rate.take(now_ms));
+        let best = queue.best_request(now_ms)?;
+        let is_allowed = queue
+            .grant_rate
+            .as_mut()
+            .is_none_or(|rate| rate.try_take(now_ms));
         if !is_allowed {
             return None;
         }
-        let queued = door.queue.remove(best);
+        let queued = queue.waiting.remove(best);
         match queued.from {
-            EntryRef::Local => door.own += 1,
+            EntryRef::Local => queue.local_count += 1,
             EntryRef::Peer(peer) => {
-                let tracked = door.peers.entry(peer).or_default();
-                tracked.count += 1;
-                tracked.is_touched = true;
+                let usage = queue.peers.entry(peer).or_default();
+                usage.count += 1;
+                usage.is_touched = true;
             }
         }
         Some(SlotGrant {
             to: queued.from,
             request_id: queued.slot_request.id,
-            upstream: name,
+            upstream: hash,
         })
     }
 
-    /// Expected wait of a question that is queued; none if it is not.
+    /// Returns the expected wait of a queued slot request, or `None` if it is not queued.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::admission::{PeerRequestId, EntryRef, AdmissionController};
@@ -573,30 +597,30 @@
         request_id: PeerRequestId,
         now_ms: u64,
     ) -> Option<u32> {
-        let door = self.by_upstream.get(&upstream)?;
-        let own = door
-            .queue
+        let queue = self.queues.get(&upstream)?;
+        let own = queue
+            .waiting
             .iter()
             .find(|queued| queued.from == from && queued.slot_request.id == request_id)?;
         let now = i64::try_from(now_ms).unwrap_or(i64::MAX);
         let worth_of = |queued: &Queued| {
-            worth(
+            start_worth(
                 queued.slot_request.worth_micros,
-                now < queued.in_time_until_ms,
+                now < queued.objective_at_ms,
             )
         };
-        let ahead = door
-            .queue
+        let ahead = queue
+            .waiting
             .iter()
             .filter(|queued| worth_of(queued) >= worth_of(own))
             .count();
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX));
-        let hold_ms = door.hold.value().unwrap_or(DEFAULT_HOLD_MS);
-        // Of those ahead, most start elsewhere.
+        let hold_ms = queue.average_hold_ms.value().unwrap_or(DEFAULT_HOLD_MS);
+        // Most of the requests ahead will start at another upstream.
         let ahead = ahead / f64::from(MAX_QUEUES_PER_REQUEST);
-        let wait_ms = numbers::whole_u32(ahead * hold_ms / f64::from(door.slots.max(1)));
-        let rate_ms = door
-            .rate
+        let wait_ms = numbers::whole_u32(ahead * hold_ms / f64::from(queue.slots.max(1)));
+        let rate_ms = queue
+            .grant_rate
             .map_or(0, |rate| rate.wait_ms(ahead.max(1.0), now_ms));
         Some(wait_ms.max(u32::try_from(rate_ms).unwrap_or(u32::MAX)))
     }
