--- a/lib/src/direct/quota_driver.rs
+++ b/lib/src/direct/quota_driver.rs
@@ -1,5 +1,5 @@
-//! How a request is charged to its customer: here, or by a question to the entry that keeps the
-//! customer's allotment.
+//! Charges requests to customers' quotas: locally, or by a charge request to the entry that owns
+//! the quota.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,118 +22,121 @@
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// Questions to keepers that have no answer yet.
+/// Charge requests to quota owners that have no reply yet.
 #[derive(Debug, Default)]
 pub struct PendingCharges(RefCell<IndexMap<PeerRequestId, oneshot::Sender<ChargeOutcome>>>);
 
-/// A question; dropping it forgets it, also when its caller has left.
-struct OpenCharge<'a> {
+/// A charge request without a reply; it is removed from [`PendingCharges`] when dropped, also when
+/// its caller has disconnected.
+struct PendingCharge<'a> {
     id: PeerRequestId,
-    open: &'a PendingCharges,
+    pending: &'a PendingCharges,
 }
 
-impl Drop for OpenCharge<'_> {
+impl Drop for PendingCharge<'_> {
     fn drop(&mut self) {
-        self.open.0.borrow_mut().swap_remove(&self.id);
+        self.pending.0.borrow_mut().swap_remove(&self.id);
     }
 }
 
-/// Charges a request to its customer.
+/// Charges a request to its customer's quota.
 pub async fn charge(
     traffic: &Rc<TrafficState>,
     customer: &Customer,
     cost: RequestCost,
     contention: Contention,
 ) -> ChargeOutcome {
-    let begun =
+    let step =
         traffic
             .quotas
             .borrow_mut()
             .begin_charge(customer, cost, contention, traffic.now_ms());
-    let keeper = match begun {
+    let owner = match step {
         ChargeStep::Decided(charge) => return charge,
-        ChargeStep::AskOwner(keeper) => keeper,
+        ChargeStep::AskOwner(owner) => owner,
     };
-    let answer = request_charge(traffic, keeper, customer, cost, contention).await;
+    let reply = request_charge(traffic, owner, customer, cost, contention).await;
     let now_ms = traffic.now_ms();
     let mut quotas = traffic.quotas.borrow_mut();
-    if let Some(charge) = answer {
+    if let Some(charge) = reply {
         quotas.apply_owner_outcome(customer, cost, charge, now_ms);
         return charge;
     }
-    let message = "keeper of an allotment is silent";
+    let message = "owner of a customer's quota did not reply; charging locally";
     traffic.log(Level::Warn, message, |line| {
-        line.field("keeper", keeper)
+        line.field("keeper", owner)
             .field("customer", &customer.name)
     });
-    quotas.charge_without_owner(keeper, customer, cost, contention, now_ms)
+    quotas.charge_without_owner(owner, customer, cost, contention, now_ms)
 }
 
 async fn request_charge(
     traffic: &TrafficState,
-    keeper: SocketAddr,
+    owner: SocketAddr,
     customer: &Customer,
     cost: RequestCost,
     contention: Contention,
 ) -> Option<ChargeOutcome> {
-    let open = OpenCharge {
+    let pending = PendingCharge {
         id: PeerRequestId::from_random(rand::random()),
-        open: &traffic.pending_charges,
+        pending: &traffic.pending_charges,
     };
-    let (sender, answer) = oneshot::channel();
+    let (sender, reply) = oneshot::channel();
     traffic
         .pending_charges
         .0
         .borrow_mut()
-        .insert(open.id, sender);
-    let question = PeerMessage::ChargeRequest(ChargeRequest {
-        id: open.id,
+        .insert(pending.id, sender);
+    let request = PeerMessage::ChargeRequest(ChargeRequest {
+        id: pending.id,
         customer: customer.name.clone(),
         cost,
         contention,
     });
-    traffic.send_to_peer(keeper, &question);
+    traffic.send_to_peer(owner, &request);
     let within = Duration::from_millis(REPLY_TIMEOUT_MS);
-    timeout(within, answer).await.ok()?.ok()
+    timeout(within, reply).await.ok()?.ok()
 }
 
 impl TrafficState {
-    /// Charges a peer's request to a customer that is kept here.
-    pub fn charge_for_peer(&self, to: SocketAddr, question: &ChargeRequest) {
+    /// Charges a peer's request to a customer whose quota this entry owns, and replies.
+    pub fn charge_for_peer(&self, to: SocketAddr, request: &ChargeRequest) {
         let catalog = self.catalog.borrow();
         let customer = catalog
             .as_ref()
-            .and_then(|catalog| catalog.customer(&question.customer));
+            .and_then(|catalog| catalog.customer(&request.customer));
         let Some(customer) = customer else {
-            // Another configuration is in force here, or none yet. The peer goes by itself.
+            // This entry has another configuration, or none yet. The peer gets no reply and charges
+            // locally.
             self.log(
                 Level::Warn,
-                "asked about a customer that is not known",
-                |line| line.field("peer", to).field("customer", &question.customer),
+                "peer requested a charge for an unknown customer",
+                |line| line.field("peer", to).field("customer", &request.customer),
             );
             return;
         };
         let charge = self.quotas.borrow_mut().charge_for_peer(
             to,
             customer,
-            question.cost,
-            question.contention,
+            request.cost,
+            request.contention,
             self.now_ms(),
         );
-        let answer = PeerMessage::ChargeReply {
-            request_id: question.id,
+        let reply = PeerMessage::ChargeReply {
+            request_id: request.id,
             charge,
         };
-        self.send_to_peer(to, &answer);
+        self.send_to_peer(to, &reply);
     }
 
-    /// Takes a keeper's answer in. One that comes too late is not used: its request was charged
-    /// here meanwhile, and the keeper takes the units for told when this entry tells of them.
+    /// Passes an owner's reply to the request that waits for it. A late reply is ignored: the
+    /// request was charged locally meanwhile, and the owner settles the units it granted when this
+    /// entry reports its spending.
     pub fn complete_charge(&self, request_id: PeerRequestId, charge: ChargeOutcome) {
-        let asked = self.pending_charges.0.borrow_mut().swap_remove(&request_id);
-        if let Some(asked) = asked {
-            // Whoever asked may have just left.
-            let _ = asked.send(charge);
+        let sender = self.pending_charges.0.borrow_mut().swap_remove(&request_id);
+        if let Some(sender) = sender {
+            // The caller may have just disconnected.
+            let _ = sender.send(charge);
         }
     }
 }
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -1,25 +1,27 @@
-//! What customers may spend across all entries.
+//! Quotas: the units that customers may spend across all entries.
 //!
-//! Each customer has a keeper, one of the entries that are heard, found by everybody in the same
-//! way. An entry asks it before it spends, except for a small part of what the platform tolerates,
-//! which all entries may spend between two heartbeats. So a customer that presses on a hundred
-//! entries at several times its rate gets its rate, and not what each of them took to be left.
+//! Each customer's quota is owned by one of the live entries; all entries determine the owner in
+//! the same way. An entry asks the owner before it charges a request, except for a small share of
+//! the platform's tolerance, which all entries may spend between two heartbeats. A customer that
+//! sends several times its rate to a hundred entries therefore gets its rate, rather than what each
+//! of them believes to be left.
 //!
-//! What an entry has spent goes into its heartbeats as well, and everybody takes it out of a bucket
-//! of its own. That is what the next keeper goes by when one is lost, from a level of nothing, and
-//! what an entry goes by while the keeper does not answer: it then spends no faster than it was
-//! granted of late. A peer that is no longer heard is taken to go on spending as it last did, and
-//! to use its even part of what nobody spent. Both sides of a cut reckon alike, so together they
-//! spend what one fleet would, and neither refuses what it used to serve.
+//! Heartbeats also report what each entry has spent, and every entry takes it out of a local
+//! bucket. If the owner is lost, the next owner works from its own bucket, which starts empty.
+//! While the owner does not reply, an entry also works from its bucket, and spends no faster than
+//! it was recently granted. An unresponsive peer is assumed to go on spending as it last did and to
+//! use its even share of the unspent rate. Both sides of a network partition compute in the same
+//! way, so together they spend what one fleet would, and neither refuses what it served before.
 //!
-//! Two buckets hold. While others wait, a customer spends out of a strict one, by its rate and
-//! burst. While nobody waits, refusing it helps nobody, so it spends out of a wide one, which
-//! fills faster by a part of what the platform tolerates. On a quiet day with a lowered limit the
-//! strict one alone refused 4 of 100 requests that the platform would have let through.
+//! Each customer has two levels. While other requests wait ([`Contention::Contended`]), the
+//! customer spends from a strict level, which follows its rate and burst. While none waits,
+//! refusing it helps nobody, so it spends from a wider level, which fills faster by a share of the
+//! platform's tolerance. On a quiet day with a lowered limit, the strict level alone refused 4 of
+//! 100 requests that the platform would have let through.
 //!
 //! An entry that has just started does not know what was spent before, and all entries may have
-//! been killed at once. So for one window it uses the strict bucket only, and a keeper of a fleet
-//! that has just started begins with a part of the tolerance that is kept for this.
+//! been killed at once. For one window it therefore uses the strict level only, and an owner in a
+//! fleet that has just started begins with a share of the tolerance that is reserved for this.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,11 +33,11 @@
 use crate::direct::membership::peer_message::CustomerSpending;
 use crate::direct::membership::peer_table::QuotaOwners;
 use crate::direct::sharing::quota::bucket::Bucket;
-use crate::direct::sharing::quota::bucket::Spending;
-use crate::direct::sharing::quota::bucket::Wanted;
-use crate::direct::sharing::quota::fleet::Changed;
+use crate::direct::sharing::quota::bucket::Debit;
+use crate::direct::sharing::quota::bucket::SpendingRate;
 use crate::direct::sharing::quota::fleet::Fleet;
-use crate::direct::sharing::quota::fleet::Standing;
+use crate::direct::sharing::quota::fleet::FleetStability;
+use crate::direct::sharing::quota::fleet::OwnersChange;
 use crate::direct::store_view::catalog::Customer;
 use crate::direct::store_view::catalog::Quota;
 use crate::numbers;
@@ -45,78 +47,78 @@
 
 pub use crate::direct::sharing::quota::bucket::Tolerance;
 
-/// How long a keeper that has not answered is not asked again. Each question to it costs a caller
-/// the wait for an answer; a keeper that is back is asked soon enough.
-const UNANSWERED_PAUSE_MS: u64 = 250;
+/// Time for which an owner that has not replied is not asked again. Each charge request to it costs
+/// a caller the wait for a reply; an owner that is back is asked again soon enough.
+const UNRESPONSIVE_PAUSE_MS: u64 = 250;
 
-/// Part of a bucket that is kept for requests more urgent than those of a tier. A hot customer's
-/// bucket hovers near empty; without reserves its reports wait behind its tags, which ask as much
-/// of it for a twentieth of the worth. Twice these parts gained as much.
-const RESERVE_PARTS: [f64; 3] = [0.0, 0.05, 0.2];
+/// Share of the burst, by tier, that is reserved for requests of more urgent tiers. The bucket of a
+/// customer above its rate stays nearly empty; without reserves, its reports wait behind its tags,
+/// which cost as many units for a twentieth of the worth. Twice these shares gained as much.
+const TIER_RESERVES: [f64; 3] = [0.0, 0.05, 0.2];
 
-/// Whether others wait for what a request would take.
+/// Whether other requests wait for the capacity that a request would take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Contention {
-    /// Nobody waits.
+    /// No other request waits.
     Uncontended,
-    /// Somebody waits.
+    /// Another request waits.
     Contended,
 }
 
-/// What a request asks of its customer's allotment.
+/// What a request costs of its customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCost {
-    /// Its tokens, if it says so.
+    /// Tokens of the request, if it states them.
     pub tokens: Option<u64>,
-    /// The importance of its route, 0 the highest.
+    /// Tier of the request's route; 0 is the most important.
     pub tier: u8,
 }
 
 impl RequestCost {
-    /// Part of the bucket that it has to leave. What does not say its size counts little, and
-    /// nothing is kept back from it.
-    fn reserve_part(self) -> f64 {
+    /// Returns the share of the burst that the request has to leave in the bucket. A request that
+    /// does not state its size counts little, so it may take all of the bucket.
+    fn reserve_ratio(self) -> f64 {
         if self.tokens.is_none() {
             return 0.0;
         }
-        numbers::of_tier(&RESERVE_PARTS, self.tier)
+        numbers::of_tier(&TIER_RESERVES, self.tier)
     }
 
-    fn wanted(self, quota: Quota, contention: Contention) -> Wanted {
+    fn debit(self, quota: Quota, contention: Contention) -> Debit {
         let units = match quota.default_tokens {
             None => 1,
             Some(default_tokens) => self.tokens.unwrap_or(default_tokens),
         };
-        Wanted {
+        Debit {
             units,
-            reserve_part: self.reserve_part(),
+            reserve_ratio: self.reserve_ratio(),
             contention,
         }
     }
 }
 
-/// Whether a request may be charged.
+/// Whether a request was charged to its customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChargeOutcome {
-    /// It was charged.
+    /// The request was charged.
     Granted,
-    /// The customer has spent what it may, and has enough again after this long.
+    /// The customer's quota is exceeded for now.
     Exceeded {
-        /// When to come back.
+        /// Time until the quota covers the request.
         retry_after_ms: u64,
     },
 }
 
-/// How charging a request begins.
+/// The first step of charging a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChargeStep {
-    /// It is settled.
+    /// The outcome is decided locally.
     Decided(ChargeOutcome),
-    /// A peer keeps the customer and is to be asked.
+    /// The peer at this address owns the quota and has to be asked.
     AskOwner(SocketAddr),
 }
 
-/// The buckets of all customers.
+/// Quota buckets of all customers at one entry.
 ///
 /// ```
 /// use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
@@ -134,16 +136,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct CustomerQuotas {
     buckets: IndexMap<Arc<str>, Bucket>,
-    /// What customers spend elsewhere that this entry has not served yet.
-    elsewhere: IndexMap<Arc<str>, Spending>,
+    /// Spending at peers of customers that this entry has not served yet.
+    unserved_spending: IndexMap<Arc<str>, SpendingRate>,
     fleet: Fleet,
     tolerance: Tolerance,
-    /// Until when keepers that have not answered are not asked.
+    /// Owners that have not replied, each with the time until which it is not asked.
     unresponsive_owners: IndexMap<SocketAddr, u64>,
 }
 
 impl CustomerQuotas {
-    /// Takes what the platform tolerates.
+    /// Sets the platform's tolerance.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, Tolerance};
@@ -153,27 +155,27 @@
         self.tolerance = tolerance;
     }
 
-    /// Takes how many entries have been heard, this one included, and which of them are not now.
+    /// Sets the number of known entries, including this one, and which of them are unresponsive.
     ///
     /// ```
     /// let mut quotas = sardinewood::direct::sharing::quota::CustomerQuotas::default();
     /// quotas.set_membership(4, vec!["10.0.0.1:7".parse().unwrap()], 0);
     /// ```
-    pub fn set_membership(&mut self, known: usize, silent: Vec<SocketAddr>, now_ms: u64) {
-        let is_whole = |fleet: &Fleet| fleet.silent.is_empty() && fleet.unmet == 0;
-        let was_whole = is_whole(&self.fleet);
+    pub fn set_membership(&mut self, known: usize, unresponsive: Vec<SocketAddr>, now_ms: u64) {
+        let is_complete = |fleet: &Fleet| fleet.unresponsive.is_empty() && fleet.undiscovered == 0;
+        let was_complete = is_complete(&self.fleet);
         self.fleet.known = known;
-        self.fleet.silent = silent;
-        if was_whole && is_whole(&self.fleet) {
+        self.fleet.unresponsive = unresponsive;
+        if was_complete && is_complete(&self.fleet) {
             return;
         }
         for bucket in self.buckets.values_mut() {
-            bucket.reckon(&self.fleet, now_ms);
+            bucket.update_assumed_rates(&self.fleet, now_ms);
         }
     }
 
-    /// Takes the entries that may keep customers, this one's own address, and how many entries
-    /// peers have heard that this one has not. It is told with each heartbeat.
+    /// Sets this entry's own address, the entries that may own quotas, and the number of entries
+    /// that peers know and this one has not discovered. Must be called with each heartbeat.
     ///
     /// ```
     /// use sardinewood::direct::membership::peer_table::QuotaOwners;
@@ -187,40 +189,40 @@
     /// let quota_owners = QuotaOwners { addresses: vec![other], have_started_together: false };
     /// quotas.set_owners(own, quota_owners, 0, 0);
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let begun = quotas.begin_charge(&customer, cost, Contention::Contended, 0);
-    /// assert_eq!(begun, ChargeStep::AskOwner(other));
+    /// let step = quotas.begin_charge(&customer, cost, Contention::Contended, 0);
+    /// assert_eq!(step, ChargeStep::AskOwner(other));
     /// ```
     pub fn set_owners(
         &mut self,
         own: SocketAddr,
         quota_owners: QuotaOwners,
-        unmet: usize,
+        undiscovered: usize,
         now_ms: u64,
     ) {
-        self.fleet.unmet = unmet;
-        let changed = self.fleet.set_owners(own, quota_owners, now_ms);
-        if changed == Changed::Nothing {
+        self.fleet.undiscovered = undiscovered;
+        let change = self.fleet.set_owners(own, quota_owners, now_ms);
+        if change == OwnersChange::Unchanged {
             return;
         }
         self.unresponsive_owners
             .retain(|_, until_ms| now_ms < *until_ms);
         for (customer, bucket) in &mut self.buckets {
-            let is_lost = bucket.is_kept() && self.fleet.keeper(customer).is_some();
-            if is_lost || changed == Changed::HeldUp {
-                bucket.release();
+            let is_owned_by_peer = bucket.is_owned() && self.fleet.owner(customer).is_some();
+            if is_owned_by_peer || change == OwnersChange::Stalled {
+                bucket.drop_ownership();
             }
         }
     }
 
-    /// Begins to charge a request of this entry to a customer.
+    /// Starts to charge a request of this entry to a customer.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeStep, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::store_view::catalog::Customer;
     /// let unlimited = Customer { name: "c".into(), tier: None, quota: None };
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let begun = CustomerQuotas::default().begin_charge(&unlimited, cost, Contention::Uncontended, 0);
-    /// assert_eq!(begun, ChargeStep::Decided(ChargeOutcome::Granted));
+    /// let step = CustomerQuotas::default().begin_charge(&unlimited, cost, Contention::Uncontended, 0);
+    /// assert_eq!(step, ChargeStep::Decided(ChargeOutcome::Granted));
     /// ```
     pub fn begin_charge(
         &mut self,
@@ -232,31 +234,31 @@
         let Some(quota) = customer.quota else {
             return ChargeStep::Decided(ChargeOutcome::Granted);
         };
-        let wanted = cost.wanted(quota, contention);
-        let keeper = self.fleet.keeper(&customer.name);
-        let standing = self.fleet.standing(now_ms);
-        let is_unanswered = keeper
-            .and_then(|keeper| self.unresponsive_owners.get(&keeper))
+        let debit = cost.debit(quota, contention);
+        let owner = self.fleet.owner(&customer.name);
+        let stability = self.fleet.stability(now_ms);
+        let is_unresponsive = owner
+            .and_then(|owner| self.unresponsive_owners.get(&owner))
             .is_some_and(|until_ms| now_ms < *until_ms);
         let bucket = self.bucket(&customer.name, quota, now_ms);
-        let Some(keeper) = keeper else {
-            bucket.keep(standing);
-            return ChargeStep::Decided(bucket.charge_own(wanted, now_ms));
+        let Some(owner) = owner else {
+            bucket.take_ownership(stability);
+            return ChargeStep::Decided(bucket.charge_local(debit, now_ms));
         };
-        bucket.release();
-        if is_unanswered {
-            return ChargeStep::Decided(bucket.charge_alone(wanted, now_ms));
+        bucket.drop_ownership();
+        if is_unresponsive {
+            return ChargeStep::Decided(bucket.charge_from_fallback(debit, now_ms));
         }
-        if let Some(retry_after_ms) = bucket.refused_for_ms(wanted, now_ms) {
+        if let Some(retry_after_ms) = bucket.refusal_left_ms(debit, now_ms) {
             return ChargeStep::Decided(ChargeOutcome::Exceeded { retry_after_ms });
         }
-        if bucket.charge_unasked(wanted, now_ms) {
+        if bucket.try_charge_unasked(debit, now_ms) {
             return ChargeStep::Decided(ChargeOutcome::Granted);
         }
-        ChargeStep::AskOwner(keeper)
+        ChargeStep::AskOwner(owner)
     }
 
-    /// Takes the keeper's answer to a question that [`Self::begin_charge`] asked for.
+    /// Applies the owner's reply to the charge request that [`Self::begin_charge`] asked for.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
@@ -278,42 +280,43 @@
         let Some(quota) = customer.quota else {
             return;
         };
-        // Whether others wait was weighed by the keeper.
-        let wanted = cost.wanted(quota, Contention::Contended);
+        // The owner has already taken the contention into account.
+        let debit = cost.debit(quota, Contention::Contended);
         let bucket = self.bucket(&customer.name, quota, now_ms);
-        bucket.take_answer(wanted, charge, now_ms);
+        bucket.apply_owner_outcome(debit, charge, now_ms);
     }
 
-    /// Charges a request whose keeper has not answered, and leaves that keeper alone for a moment.
+    /// Charges a request whose quota's owner has not replied, and does not ask that owner again for
+    /// a moment.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
     /// # use sardinewood::direct::store_view::catalog::Customer;
     /// # let unlimited = Customer { name: "c".into(), tier: None, quota: None };
-    /// let keeper = "10.0.0.2:7".parse().unwrap();
+    /// let owner = "10.0.0.2:7".parse().unwrap();
     /// let cost = RequestCost { tokens: None, tier: 0 };
-    /// let charge = CustomerQuotas::default().charge_without_owner(keeper, &unlimited, cost, Contention::Uncontended, 0);
+    /// let charge = CustomerQuotas::default().charge_without_owner(owner, &unlimited, cost, Contention::Uncontended, 0);
     /// assert_eq!(charge, ChargeOutcome::Granted);
     /// ```
     pub fn charge_without_owner(
         &mut self,
-        keeper: SocketAddr,
+        owner: SocketAddr,
         customer: &Customer,
         cost: RequestCost,
         contention: Contention,
         now_ms: u64,
     ) -> ChargeOutcome {
         self.unresponsive_owners
-            .insert(keeper, now_ms + UNANSWERED_PAUSE_MS);
+            .insert(owner, now_ms + UNRESPONSIVE_PAUSE_MS);
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
-        let wanted = cost.wanted(quota, contention);
+        let debit = cost.debit(quota, contention);
         let bucket = self.bucket(&customer.name, quota, now_ms);
-        bucket.charge_alone(wanted, now_ms)
+        bucket.charge_from_fallback(debit, now_ms)
     }
 
-    /// Charges a request of a peer to a customer that is kept here.
+    /// Charges a request of a peer to a customer whose quota this entry owns.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
@@ -335,28 +338,29 @@
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
-        let wanted = cost.wanted(quota, contention);
-        // A peer that does not hear the keeper asks here in its place. This entry does not know what
-        // the keeper has just granted, so it gives out of what comes in and keeps nothing.
-        let is_kept_elsewhere = self.fleet.keeper(&customer.name).is_some();
-        let standing = if is_kept_elsewhere {
-            Standing::Changed
+        let debit = cost.debit(quota, contention);
+        // A peer that gets no heartbeats from the owner asks this entry instead. What the owner has
+        // just granted is unknown here, so only units that come in are granted, and ownership is
+        // not kept.
+        let is_owned_by_peer = self.fleet.owner(&customer.name).is_some();
+        let stability = if is_owned_by_peer {
+            FleetStability::Changed
         } else {
-            self.fleet.standing(now_ms)
+            self.fleet.stability(now_ms)
         };
         let bucket = self.bucket(&customer.name, quota, now_ms);
-        bucket.keep(standing);
-        if is_kept_elsewhere {
-            bucket.release();
+        bucket.take_ownership(stability);
+        if is_owned_by_peer {
+            bucket.drop_ownership();
         }
-        bucket.charge_for_peer(to, wanted, now_ms)
+        bucket.charge_for_peer(to, debit, now_ms)
     }
 
-    /// Charges a request to a customer by what this entry knows itself.
+    /// Charges a request to a customer from this entry's own bucket, without asking the owner.
     ///
-    /// Limits keep one customer from taking what others need. So while nobody waits, a
-    /// customer gets most of what the platform tolerates in a window, and no request is
-    /// refused for what another entry has not told yet.
+    /// Limits keep one customer from taking the capacity that others need. While no request waits,
+    /// a customer therefore gets most of the platform's tolerance in a window, and no request is
+    /// refused because of spending that a peer has not reported yet.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::quota::{CustomerQuotas, ChargeOutcome, Contention, RequestCost};
@@ -376,12 +380,12 @@
         let Some(quota) = customer.quota else {
             return ChargeOutcome::Granted;
         };
-        let wanted = cost.wanted(quota, contention);
+        let debit = cost.debit(quota, contention);
         let bucket = self.bucket(&customer.name, quota, now_ms);
-        bucket.charge_own(wanted, now_ms)
+        bucket.charge_local(debit, now_ms)
     }
 
-    /// Takes out what a peer has spent.
+    /// Takes out the units that a peer reports as spent.
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
@@ -395,14 +399,18 @@
         now_ms: u64,
     ) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
-            bucket.spend_elsewhere(peer, units, now_ms);
+            bucket.record_peer_spending(peer, units, now_ms);
             return;
         }
-        let elsewhere = self.elsewhere.entry(Arc::clone(customer)).or_default();
-        elsewhere.add(units, now_ms);
+        let unserved_spending = self
+            .unserved_spending
+            .entry(Arc::clone(customer))
+            .or_default();
+        unserved_spending.add(units, now_ms);
     }
 
-    /// Notes that a peer is new or has started anew, and will not tell what it spent before.
+    /// Drops the unreported grants of a peer that is new or has restarted, because it will not
+    /// report what it spent before.
     ///
     /// ```
     /// let peer = "10.0.0.1:7".parse().unwrap();
@@ -414,7 +422,7 @@
         }
     }
 
-    /// What this entry has spent of each customer's allotment since its start.
+    /// Returns the units of each customer's quota that this entry has spent since it started.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::sharing::quota::CustomerQuotas::default().local_spending().count(), 0);
@@ -425,13 +433,13 @@
             .map(|(name, bucket)| (name, bucket.local_spending()))
     }
 
-    /// Notes that peers have been told of customers' spending here.
+    /// Records that the given spending of this entry was reported to its peers.
     ///
     /// ```
     /// sardinewood::direct::sharing::quota::CustomerQuotas::default().mark_reported(&[]);
     /// ```
-    pub fn mark_reported(&mut self, told: &[CustomerSpending]) {
-        for spent in told {
+    pub fn mark_reported(&mut self, reported: &[CustomerSpending]) {
+        for spent in reported {
             if let Some(bucket) = self.buckets.get_mut(&spent.customer) {
                 bucket.mark_reported();
             }
@@ -440,12 +448,12 @@
 
     fn bucket(&mut self, name: &Arc<str>, quota: Quota, now_ms: u64) -> &mut Bucket {
         let limits = self.tolerance.limits(quota, &self.fleet);
-        let elsewhere = &mut self.elsewhere;
+        let unserved_spending = &mut self.unserved_spending;
         let bucket = self.buckets.entry(Arc::clone(name)).or_insert_with(|| {
-            let elsewhere = elsewhere.swap_remove(name).unwrap_or_default();
-            Bucket::new(limits, elsewhere, now_ms)
+            let unserved_spending = unserved_spending.swap_remove(name).unwrap_or_default();
+            Bucket::new(limits, unserved_spending, now_ms)
         });
-        bucket.fill(now_ms);
+        bucket.refill(now_ms);
         bucket.set_limits(limits);
         bucket
     }
--- a/lib/src/direct/sharing/quota/fleet.rs
+++ b/lib/src/direct/sharing/quota/fleet.rs
@@ -1,4 +1,4 @@
-//! Which entries there are, as far as allotments depend on it.
+//! The entries of the fleet, as far as quotas depend on them.
 
 use std::net::SocketAddr;
 
@@ -7,106 +7,107 @@
 use crate::direct::sharing::admission;
 use crate::numbers;
 
-/// How long the entries have to stay the same until a keeper trusts what it knows of a customer
-/// that it was not asked about before. Within it every peer has told its spending at least twice,
-/// also in a fleet whose heartbeats are a second apart.
-const STEADY_MS: u64 = 3_000;
-/// Time between two looks at the fleet beyond which this process was held up, a heartbeat's
-/// period being a second at most. Others have kept its customers meanwhile.
-const HELD_UP_MS: u64 = 2_500;
+/// Time without a change of the possible owners after which an owner trusts its knowledge of a
+/// quota that it has not charged before. Within this time every peer reports its spending at least
+/// twice, even in a fleet whose heartbeats are a second apart.
+const STABLE_AFTER_MS: u64 = 3_000;
+/// Time between two updates of the owners beyond which this process has stalled, as the heartbeat
+/// period is a second at most. Peers may have owned its quotas meanwhile.
+const STALL_MS: u64 = 2_500;
 
-/// The entries as one of them sees them.
+/// The entries of the fleet as this one sees them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fleet {
-    /// All entries that have been heard, this one included.
+    /// All entries from which heartbeats have arrived, including this one.
     pub(super) known: usize,
-    /// Those that are not heard now.
-    pub(super) silent: Vec<SocketAddr>,
-    /// Entries that peers have heard and this one has not.
-    pub(super) unmet: usize,
+    /// Entries whose heartbeats are overdue.
+    pub(super) unresponsive: Vec<SocketAddr>,
+    /// Entries that peers know of and this one has not discovered yet.
+    pub(super) undiscovered: usize,
     own: Option<SocketAddr>,
-    /// Those that may keep customers.
+    /// Entries that may own quotas.
     quota_owners: Vec<SocketAddr>,
     have_started_together: bool,
-    same_since_ms: u64,
-    looked_at_ms: u64,
+    unchanged_since_ms: u64,
+    checked_at_ms: u64,
 }
 
 impl Fleet {
-    /// How many entries there are.
-    pub(super) fn entries(&self) -> f64 {
-        numbers::as_f64((self.known + self.unmet).max(1) as u64)
+    /// Returns the number of entries, at least one.
+    pub(super) fn entry_count(&self) -> f64 {
+        numbers::as_f64((self.known + self.undiscovered).max(1) as u64)
     }
 
-    /// Part of all entries that is heard.
-    pub(super) fn heard_part(&self) -> f64 {
-        let unheard = numbers::as_f64((self.silent.len() + self.unmet) as u64);
-        1.0 - (unheard / self.entries()).min(1.0)
+    /// Returns the share of all entries whose heartbeats arrive.
+    pub(super) fn reachable_share(&self) -> f64 {
+        let unreachable = numbers::as_f64((self.unresponsive.len() + self.undiscovered) as u64);
+        1.0 - (unreachable / self.entry_count()).min(1.0)
     }
 
-    /// Takes who may keep customers; whether it is anybody else than before.
+    /// Sets the entries that may own quotas, and returns how they have changed.
     pub(super) fn set_owners(
         &mut self,
         own: SocketAddr,
         quota_owners: QuotaOwners,
         now_ms: u64,
-    ) -> Changed {
+    ) -> OwnersChange {
         let mut addresses = quota_owners.addresses;
         addresses.sort_unstable();
-        let is_held_up = now_ms > self.looked_at_ms + HELD_UP_MS;
-        let changed = if is_held_up {
-            Changed::HeldUp
+        let is_stalled = now_ms > self.checked_at_ms + STALL_MS;
+        let changed = if is_stalled {
+            OwnersChange::Stalled
         } else if self.own != Some(own) || self.quota_owners != addresses {
-            Changed::Others
+            OwnersChange::Replaced
         } else {
-            Changed::Nothing
+            OwnersChange::Unchanged
         };
-        if changed != Changed::Nothing {
-            self.same_since_ms = now_ms;
+        if changed != OwnersChange::Unchanged {
+            self.unchanged_since_ms = now_ms;
         }
         self.own = Some(own);
         self.quota_owners = addresses;
         self.have_started_together = quota_owners.have_started_together;
-        self.looked_at_ms = now_ms;
+        self.checked_at_ms = now_ms;
         changed
     }
 
-    /// What a keeper may take from what it knows of a customer.
-    pub(super) fn standing(&self, now_ms: u64) -> Standing {
-        if now_ms >= self.same_since_ms + STEADY_MS {
-            Standing::Steady
+    /// Returns how far an owner may trust its knowledge of what customers have spent.
+    pub(super) fn stability(&self, now_ms: u64) -> FleetStability {
+        if now_ms >= self.unchanged_since_ms + STABLE_AFTER_MS {
+            FleetStability::Stable
         } else if self.have_started_together {
-            Standing::StartedTogether
+            FleetStability::StartedTogether
         } else {
-            Standing::Changed
+            FleetStability::Changed
         }
     }
 
-    /// The peer that keeps a customer; none if this entry does.
-    pub(super) fn keeper(&self, customer: &str) -> Option<SocketAddr> {
-        let keeper = admission::owner(upstream_hash(customer), self.quota_owners.iter().copied())?;
-        (Some(keeper) != self.own).then_some(keeper)
+    /// Returns the peer that owns a customer's quota, or `None` if this entry owns it.
+    pub(super) fn owner(&self, customer: &str) -> Option<SocketAddr> {
+        let owner = admission::owner(upstream_hash(customer), self.quota_owners.iter().copied())?;
+        (Some(owner) != self.own).then_some(owner)
     }
 }
 
-/// What has become of the entries that may keep customers.
+/// How the entries that may own quotas have changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Changed {
-    /// They are the same.
-    Nothing,
-    /// They are others.
-    Others,
-    /// This process stood still for so long that others may have kept its customers.
-    HeldUp,
+pub(super) enum OwnersChange {
+    /// They are the same as before.
+    Unchanged,
+    /// Some have been added or removed.
+    Replaced,
+    /// This process stalled for so long that peers may have owned its quotas meanwhile.
+    Stalled,
 }
 
-/// How well the entries know what customers have spent.
+/// How well the entries know what customers have spent, given recent changes of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
-    /// The same entries have been there for some time, and each knows what all have told.
-    Steady,
-    /// Some have come or gone, and what a former keeper granted in the last second is not known.
+pub(super) enum FleetStability {
+    /// The entries have been the same for some time, and each knows what all have reported.
+    Stable,
+    /// Entries have come or gone, and the charges that a former owner granted in the last second
+    /// are unknown.
     Changed,
-    /// All have just started, and nobody knows what was spent before.
+    /// All entries have just started, and none knows what was spent before.
     StartedTogether,
 }
