--- a/lib/src/direct/sharing.rs
+++ b/lib/src/direct/sharing.rs
@@ -1,5 +1,5 @@
-//! What all entries share without a counter in the middle: room at upstreams, customers'
-//! allotments, second attempts. All of it decides and knows no socket.
+//! Resources that all entries share without a central counter: slots at upstreams, customers'
+//! quotas, and retries. The modules make decisions and do no I/O.
 
 pub mod admission;
 pub mod quota;
@@ -7,4 +7,4 @@
 pub mod retry_budget;
 pub mod size_fairness;
 pub mod size_stats;
-pub mod spending_window;
+pub mod sliding_window;
--- a/lib/src/direct/sharing/retry_budget.rs
+++ b/lib/src/direct/sharing/retry_budget.rs
@@ -1,43 +1,43 @@
-//! This entry's part of the second attempts that all entries may make at a service.
+//! Retry budget: this entry's share of the retries that all entries may make at a service.
 
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-use crate::direct::sharing::spending_window::SpendingWindow;
+use crate::direct::sharing::sliding_window::SlidingWindow;
 
-/// Part of what is allowed that is used. The rest covers requests that are counted in
-/// another span than ours, since the windows of the platform begin elsewhere.
-const USED_PART: f64 = 0.85;
+/// Share of the allowed retries that is used. The rest covers requests that the platform counts in
+/// another window than this entry, because its windows begin at other times.
+const USED_RATIO: f64 = 0.85;
 const MS_PER_S: f64 = 1_000.0;
 
-/// What the platform allows all entries together.
+/// Retries that the platform allows all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Second attempts for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Second attempts beyond that in one window.
+    /// Additional retries in one window.
     pub slack_retries: f64,
-    /// The span over which the platform counts.
+    /// Length of the window in which the platform counts.
     pub window_s: f64,
 }
 
-/// Requests and second attempts of the last window at one service.
+/// Requests and retries at one service in the last window.
 #[derive(Clone, Debug)]
 struct Counts {
-    requests: SpendingWindow,
-    attempts: SpendingWindow,
+    requests: SlidingWindow,
+    retries: SlidingWindow,
 }
 
-/// Second attempts that this entry may still make at each service.
+/// Retries that this entry may still make at each service.
 ///
-/// Each request of the last window allows a part of an attempt; the slack is divided evenly
-/// between the entries. Without a budget, an overload that breaks attempts makes more
-/// attempts, which keep the overload up after its cause is gone.
+/// Each request of the last window allows a fraction of a retry; the slack is divided evenly among
+/// the entries. Without a budget, an overload that makes requests fail causes retries, which
+/// prolong the overload after its cause is gone.
 ///
-/// The window is the platform's own. A budget that keeps no more than its part of the slack
-/// forgets what calm seconds earned: one entry of thirty could repeat three requests at once,
-/// when half of an engine's answers failed for four seconds.
+/// The window is as long as the platform's. A budget that kept only its share of the slack would
+/// lose what requests in calm seconds allowed: one entry of thirty could retry only three requests
+/// at once when half of an engine's answers failed for four seconds.
 ///
 /// ```
 /// use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
@@ -51,12 +51,12 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
-    entries: usize,
+    entry_count: usize,
     counts: IndexMap<Arc<str>, Counts>,
 }
 
 impl RetryBudget {
-    /// A budget under these limits, for one entry alone.
+    /// Creates a budget with these limits for a fleet of one entry.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
@@ -66,12 +66,12 @@
     pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
-            entries: 1,
+            entry_count: 1,
             counts: IndexMap::new(),
         }
     }
 
-    /// Takes other limits.
+    /// Sets other limits; the counts start again if the window has changed.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
@@ -87,18 +87,18 @@
         self.limits = limits;
     }
 
-    /// Sets between how many entries the slack is divided.
+    /// Sets the number of entries among which the slack is divided.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
     /// # let limits = RetryLimits { ratio: 0.2, slack_retries: 50.0, window_s: 10.0 };
     /// RetryBudget::new(limits).set_entry_count(4);
     /// ```
-    pub fn set_entry_count(&mut self, entries: usize) {
-        self.entries = entries.max(1);
+    pub fn set_entry_count(&mut self, entry_count: usize) {
+        self.entry_count = entry_count.max(1);
     }
 
-    /// Counts a request for a service.
+    /// Records a request to a service.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
@@ -106,10 +106,10 @@
     /// RetryBudget::new(limits).record_request(&"s".into(), 0);
     /// ```
     pub fn record_request(&mut self, service: &Arc<str>, now_ms: u64) {
-        self.counts(service, now_ms).requests.spend(1.0, now_ms);
+        self.counts(service, now_ms).requests.add(1.0, now_ms);
     }
 
-    /// Takes a second attempt at a service out of the budget, if there is one left.
+    /// Takes a retry at a service out of the budget, and returns whether one was left.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::retry_budget::{RetryBudget, RetryLimits};
@@ -117,15 +117,15 @@
     /// assert!(!RetryBudget::new(none).try_take_retry(&"s".into(), 0));
     /// ```
     pub fn try_take_retry(&mut self, service: &Arc<str>, now_ms: u64) -> bool {
-        let entries = u32::try_from(self.entries).unwrap_or(u32::MAX);
-        let slack_retries = self.limits.slack_retries / f64::from(entries);
+        let entry_count = u32::try_from(self.entry_count).unwrap_or(u32::MAX);
+        let slack_retries = self.limits.slack_retries / f64::from(entry_count);
         let ratio = self.limits.ratio;
         let counts = self.counts(service, now_ms);
-        let allowed = (counts.requests.spent(now_ms) * ratio + slack_retries) * USED_PART;
-        if counts.attempts.spent(now_ms) + 1.0 > allowed {
+        let allowed_retries = (counts.requests.sum(now_ms) * ratio + slack_retries) * USED_RATIO;
+        if counts.retries.sum(now_ms) + 1.0 > allowed_retries {
             return false;
         }
-        counts.attempts.spend(1.0, now_ms);
+        counts.retries.add(1.0, now_ms);
         true
     }
 
@@ -134,8 +134,8 @@
         self.counts
             .entry(Arc::clone(service))
             .or_insert_with(|| Counts {
-                requests: SpendingWindow::new(window_ms, now_ms),
-                attempts: SpendingWindow::new(window_ms, now_ms),
+                requests: SlidingWindow::new(window_ms, now_ms),
+                retries: SlidingWindow::new(window_ms, now_ms),
             })
     }
 }
--- a/lib/src/direct/sharing/size_fairness.rs
+++ b/lib/src/direct/sharing/size_fairness.rs
@@ -1,13 +1,14 @@
-//! A floor for each size of a kind: how often its requests begin, at the least, in relation to the
-//! whole kind.
+//! Fairness between request sizes: the minimum rate at which requests of each size are started,
+//! relative to all requests of the same route.
 //!
-//! Doors grant in a strict order, in which small requests of a kind go before large ones, since they
-//! are worth more for the time that they take. In an overload that lasts, whatever comes last in a
-//! strict order hardly begins at all: callers with large documents are refused try after try,
-//! and their kind as a whole looks well. So each entry keeps an account for each size. While a size is
-//! owed a start, its requests go first of their kind, as if they were small. Whatever puts a size
-//! behind, the account sees only that it is refused more often, so no cause has to be known here.
-//! It sees this entry's own callers, which is enough: if each entry keeps the floor, all do.
+//! Admission queues grant slots in a strict order, in which small requests of a route go before
+//! large ones because they are worth more for the time that they take. In a lasting overload,
+//! requests at the end of a strict order are hardly ever started: callers with large documents are
+//! refused time after time, while the route as a whole looks fine. Each entry therefore keeps a
+//! start deficit for each size. While a size has a deficit, its requests go first among those of
+//! their route, as if they were small. The deficit depends only on how often a size is refused, so
+//! the cause does not have to be known here. It counts only this entry's own callers, which is
+//! enough: if each entry keeps the minimum, all together do.
 
 use std::sync::Arc;
 
@@ -15,72 +16,76 @@
 
 use crate::direct::sharing::size_stats::SizeClass;
 
-/// How often a size begins, at the least, in relation to its kind. Callers with large documents may
-/// expect to be served at least half as often as others; what is above half is for the moments in
-/// which an account lags behind. Each further tenth takes room from small requests, which are worth
-/// more in it: in an overload of half again the capacity, 0.7 in place of 0.5 costs 0.003 of the
-/// worth in virtual time.
-const FLOOR: f64 = 0.6;
-/// Part of a new decision in a kind's share: some fifty make up a new one, a few seconds of a busy
-/// entry, so that the share follows a burst and not a single refusal.
-const SHARE_PART: f64 = 0.02;
-/// Starts by which a size may be behind. More would be paid back in a burst of large requests when
-/// room returns, long after the callers who were refused have left.
-const MOST_BEHIND: f64 = 4.0;
+/// Minimum start rate of a size, relative to all requests of its route. Callers with large
+/// documents may expect to be served at least half as often as others; the excess over one half
+/// makes up for the lag of the deficit. Each further tenth takes slots from small requests, which
+/// are worth more in them: in an overload of 1.5 times the capacity, 0.7 in place of 0.5 costs
+/// 0.003 of the worth in virtual time.
+const MIN_RELATIVE_START_RATE: f64 = 0.6;
+/// Weight of one decision in the moving average of a route's start rate. The average follows about
+/// the last fifty decisions, a few seconds at a busy entry, so that it reflects a burst rather than
+/// a single refusal.
+const START_RATE_WEIGHT: f64 = 0.02;
+/// Maximum deficit of a size, in starts. A larger one would cause a burst of large requests when
+/// slots become free, long after the refused callers have given up.
+const MAX_DEFICIT: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug)]
-struct Account {
-    /// Part of the kind's requests that begin.
-    share: f64,
-    owed: [f64; SizeClass::ALL.len()],
+struct RouteAccount {
+    /// Share of the route's requests that are started.
+    start_rate: f64,
+    deficits: [f64; SizeClass::ALL.len()],
 }
 
-impl Account {
-    /// All requests begin until one does not.
+impl RouteAccount {
+    /// The account of a route none of whose requests has been refused.
     const NEW: Self = Self {
-        share: 1.0,
-        owed: [0.0; SizeClass::ALL.len()],
+        start_rate: 1.0,
+        deficits: [0.0; SizeClass::ALL.len()],
     };
 
-    fn decide(&mut self, size: SizeClass, started: f64) {
-        self.share += (started - self.share) * SHARE_PART;
-        self.owe(size, FLOOR * self.share - started);
+    fn record_decision(&mut self, size: SizeClass, started: f64) {
+        self.start_rate += (started - self.start_rate) * START_RATE_WEIGHT;
+        self.add_to_deficit(size, MIN_RELATIVE_START_RATE * self.start_rate - started);
     }
 
-    fn owe(&mut self, size: SizeClass, starts: f64) {
-        let owed = &mut self.owed[size as usize];
-        // What begins while all begin is no start ahead of others. Saved up, it would pay for an
-        // overload that follows, and the largest would wait for their floor until that is over.
-        // In an overload one start at most is kept: where few begin, three would make a size wait for
-        // fifty further callers of its own, and it falls below half of its kind.
-        let most_ahead = 1.0 - self.share;
-        *owed = (*owed + starts).clamp(-most_ahead, MOST_BEHIND);
+    fn add_to_deficit(&mut self, size: SizeClass, starts: f64) {
+        let deficit = &mut self.deficits[size as usize];
+        // A start counts as surplus only if other requests are refused. If starts of calm times
+        // were saved up, they would be used up first in a following overload, and the largest
+        // requests would not get their minimum until it is over. In an overload, the surplus is one
+        // start at most: where few requests are started, three would make a size wait for fifty
+        // further requests of its own, and it would fall below half of the route's rate.
+        let max_surplus = 1.0 - self.start_rate;
+        *deficit = (*deficit + starts).clamp(-max_surplus, MAX_DEFICIT);
     }
 }
 
-/// What an entry owes to the sizes of each kind.
+/// Start deficits by route and size at one entry.
 ///
 /// ```
 /// use sardinewood::direct::sharing::size_fairness::SizeFairness;
 /// use sardinewood::direct::sharing::size_stats::SizeClass;
 ///
-/// let mut floor = SizeFairness::default();
-/// let kind = "notes".into();
-/// floor.record_refusal(&kind, SizeClass::Largest);
-/// assert!(floor.has_deficit(&kind, SizeClass::Largest));
-/// floor.record_start(&kind, SizeClass::Largest);
-/// floor.record_start(&kind, SizeClass::Largest);
-/// assert!(!floor.has_deficit(&kind, SizeClass::Largest));
+/// let mut fairness = SizeFairness::default();
+/// let route = "notes".into();
+/// fairness.record_refusal(&route, SizeClass::Largest);
+/// assert!(fairness.has_deficit(&route, SizeClass::Largest));
+/// fairness.record_start(&route, SizeClass::Largest);
+/// fairness.record_start(&route, SizeClass::Largest);
+/// assert!(!fairness.has_deficit(&route, SizeClass::Largest));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SizeFairness {
-    kinds: IndexMap<Arc<str>, Account>,
+    routes: IndexMap<Arc<str>, RouteAccount>,
 }
 
 impl SizeFairness {
-    /// Whether a size begins too rarely, so that the next request of it goes first of its kind.
+    /// Returns whether a size is started too rarely, so that its next request goes first among
+    /// those of its route.
     ///
-    /// The usual sizes are owed nothing: seven tenths of a kind begin about as often as all of it.
+    /// The usual size never has a deficit: it makes up seven tenths of a route's requests, so it is
+    /// started about as often as the whole route.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_fairness::SizeFairness;
@@ -89,45 +94,49 @@
     /// assert!(!SizeFairness::default().has_deficit("notes", SizeClass::Largest));
     /// ```
     #[must_use]
-    pub fn has_deficit(&self, kind: &str, size: SizeClass) -> bool {
-        let account = self.kinds.get(kind);
-        size != SizeClass::Usual && account.is_some_and(|account| account.owed[size as usize] > 0.0)
+    pub fn has_deficit(&self, route: &str, size: SizeClass) -> bool {
+        let account = self.routes.get(route);
+        size != SizeClass::Usual
+            && account.is_some_and(|account| account.deficits[size as usize] > 0.0)
     }
 
-    /// Notes that a request has begun.
+    /// Records that a request was started.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_stats::SizeClass;
     /// SizeFairness::default().record_start(&"notes".into(), SizeClass::Usual);
     /// ```
-    pub fn record_start(&mut self, kind: &Arc<str>, size: SizeClass) {
-        self.account(kind).decide(size, 1.0);
+    pub fn record_start(&mut self, route: &Arc<str>, size: SizeClass) {
+        self.account(route).record_decision(size, 1.0);
     }
 
-    /// Notes that a request was refused.
+    /// Records that a request was refused.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_stats::SizeClass;
     /// SizeFairness::default().record_refusal(&"notes".into(), SizeClass::Usual);
     /// ```
-    pub fn record_refusal(&mut self, kind: &Arc<str>, size: SizeClass) {
-        self.account(kind).decide(size, 0.0);
+    pub fn record_refusal(&mut self, route: &Arc<str>, size: SizeClass) {
+        self.account(route).record_decision(size, 0.0);
     }
 
-    /// Notes that a request which had begun did not end whole: its start is owed again.
+    /// Records that a started request got no complete answer, which adds its start to the deficit
+    /// again.
     ///
     /// ```
     /// # use sardinewood::direct::sharing::size_fairness::SizeFairness;
     /// # use sardinewood::direct::sharing::size_stats::SizeClass;
     /// SizeFairness::default().record_incomplete(&"notes".into(), SizeClass::Usual);
     /// ```
-    pub fn record_incomplete(&mut self, kind: &Arc<str>, size: SizeClass) {
-        self.account(kind).owe(size, 1.0);
+    pub fn record_incomplete(&mut self, route: &Arc<str>, size: SizeClass) {
+        self.account(route).add_to_deficit(size, 1.0);
     }
 
-    fn account(&mut self, kind: &Arc<str>) -> &mut Account {
-        self.kinds.entry(Arc::clone(kind)).or_insert(Account::NEW)
+    fn account(&mut self, route: &Arc<str>) -> &mut RouteAccount {
+        self.routes
+            .entry(Arc::clone(route))
+            .or_insert(RouteAccount::NEW)
     }
 }
--- a/lib/src/direct/sharing/size_stats.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -1,8 +1,8 @@
-//! How often requests of each size are served, by kind.
+//! Outcomes of requests by route and size.
 //!
-//! A kind is a route. Under overload whatever decides order may put the large requests of a kind
-//! behind its small ones, and then hardly any of them is served, while the kind as a whole looks
-//! well. So each entry counts by size how its own requests ended.
+//! Under overload, the order of admission may put the large requests of a route behind its small
+//! ones. Hardly any of them is then served, while the route as a whole looks fine. Each entry
+//! therefore counts the outcomes of its own requests by size.
 
 use std::sync::Arc;
 
@@ -11,21 +11,22 @@
 
 use crate::numbers;
 
-/// Sizes of a kind by which a new one is ranked. Enough that a tenth of them are twenty, few
-/// enough that a change of what callers send shows within seconds.
+/// Recent sizes of a route against which a new one is classified. They are enough for the largest
+/// tenth to have twenty, and few enough for a change of what callers send to show within seconds.
 const RECENT_SIZES: usize = 200;
-/// Sizes that must be known before any is ranked: of fewer, the largest tenth is chance.
-const LEAST_SIZES: usize = 20;
-/// Part of a kind's requests that is smaller than its largest ones.
-const LARGEST_FROM: f64 = 0.9;
-/// Part of a kind's requests that is smaller than its large ones.
-const LARGE_FROM: f64 = 0.7;
+/// Sizes that must be known before any is classified; with fewer, the largest tenth is a matter of
+/// chance.
+const MIN_SIZES: usize = 20;
+/// Share of a route's requests that are smaller than its largest ones.
+const LARGEST_QUANTILE: f64 = 0.9;
+/// Share of a route's requests that are smaller than its large ones.
+const LARGE_QUANTILE: f64 = 0.7;
 
-/// How large a request is among those of its kind.
+/// Size of a request relative to the other requests of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SizeClass {
-    /// Among the smaller seven tenths, or of no known size.
+    /// Among the smallest seven tenths, or of unknown size.
     Usual,
     /// Among the fifth below the largest.
     Large,
@@ -34,10 +35,10 @@
 }
 
 impl SizeClass {
-    /// All of them, the smallest first.
+    /// All sizes, the smallest first.
     pub const ALL: [Self; 3] = [Self::Usual, Self::Large, Self::Largest];
 
-    /// Its name in logs and figures.
+    /// Returns the name of the size in logs and metrics.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
@@ -54,23 +55,23 @@
     }
 }
 
-/// How a request ended for its caller, as far as shares by size depend on it.
+/// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Whole, its first part within the objective.
+    /// It got a complete answer, whose first part met the latency objective.
     InTime,
-    /// Whole, but later.
+    /// It got a complete answer, whose first part missed the objective.
     Late,
-    /// Refused, since no upstream had room for it.
+    /// It was refused because no upstream had a free slot.
     NoSlot,
-    /// Refused, since its customer's allotment was spent.
+    /// It was refused because its customer's quota was exceeded.
     QuotaExceeded,
-    /// It began, or may have, and did not end whole.
+    /// It was started, or may have been, and got no complete answer.
     Incomplete,
 }
 
 impl CallOutcome {
-    /// Its name in figures.
+    /// Returns the name of the outcome in metrics.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::CallOutcome;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Whether the caller has a whole answer.
+    /// Returns whether the caller got a complete answer.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::CallOutcome;
@@ -101,24 +102,24 @@
     }
 }
 
-/// How requests of one kind and size ended.
+/// Outcome counts of one route's requests of one size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CallOutcomeCounts {
-    /// Whole and in time.
+    /// Complete answers that met the latency objective.
     pub in_time: u32,
-    /// Whole and late.
+    /// Complete answers that missed it.
     pub late: u32,
-    /// Refused for want of room.
+    /// Requests refused for want of a free slot.
     pub no_room: u32,
-    /// Refused for an allotment.
+    /// Requests refused because of an exceeded quota.
     pub allotment_spent: u32,
-    /// Begun, and not ended whole.
+    /// Started requests without a complete answer.
     pub not_whole: u32,
 }
 
 impl CallOutcomeCounts {
-    fn add(&mut self, end: CallOutcome) {
-        let count = match end {
+    fn add(&mut self, outcome: CallOutcome) {
+        let count = match outcome {
             CallOutcome::InTime => &mut self.in_time,
             CallOutcome::Late => &mut self.late,
             CallOutcome::NoSlot => &mut self.no_room,
@@ -133,10 +134,10 @@
     }
 }
 
-/// How requests of one kind ended, by size.
+/// Outcome counts of one route's requests, by size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CallOutcomesBySize {
-    /// The smaller seven tenths.
+    /// The smallest seven tenths.
     pub usual: CallOutcomeCounts,
     /// The fifth below the largest.
     pub large: CallOutcomeCounts,
@@ -159,14 +160,14 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Kind {
+struct RouteStats {
     sizes: Vec<f64>,
     oldest: usize,
-    ends: CallOutcomesBySize,
+    outcomes: CallOutcomesBySize,
 }
 
-impl Kind {
-    fn rank(&mut self, size: f64) -> SizeClass {
+impl RouteStats {
+    fn classify(&mut self, size: f64) -> SizeClass {
         let smaller = self.sizes.iter().filter(|known| **known < size).count();
         let known = self.sizes.len();
         if known < RECENT_SIZES {
@@ -175,13 +176,13 @@
             self.sizes[self.oldest] = size;
             self.oldest = (self.oldest + 1) % RECENT_SIZES;
         }
-        if known < LEAST_SIZES {
+        if known < MIN_SIZES {
             return SizeClass::Usual;
         }
-        let part = numbers::as_f64(smaller as u64) / numbers::as_f64(known as u64);
-        if part >= LARGEST_FROM {
+        let quantile = numbers::as_f64(smaller as u64) / numbers::as_f64(known as u64);
+        if quantile >= LARGEST_QUANTILE {
             SizeClass::Largest
-        } else if part >= LARGE_FROM {
+        } else if quantile >= LARGE_QUANTILE {
             SizeClass::Large
         } else {
             SizeClass::Usual
@@ -189,29 +190,30 @@
     }
 }
 
-/// Sizes of an entry's requests by kind, and how they ended.
+/// Recent sizes and outcomes of an entry's requests, by route.
 ///
 /// ```
 /// use sardinewood::direct::sharing::size_stats::CallOutcome;
 /// use sardinewood::direct::sharing::size_stats::SizeClass;
 /// use sardinewood::direct::sharing::size_stats::SizeStats;
 ///
-/// let mut shares = SizeStats::default();
-/// let kind = "notes".into();
+/// let mut stats = SizeStats::default();
+/// let route = "notes".into();
 /// for size in 0..100 {
-///     shares.classify(&kind, Some(f64::from(size)));
+///     stats.classify(&route, Some(f64::from(size)));
 /// }
-/// assert_eq!(shares.classify(&kind, Some(95.0)), SizeClass::Largest);
-/// shares.record_outcome(&kind, SizeClass::Largest, CallOutcome::NoSlot);
-/// assert_eq!(shares.take_routes_with_unserved()[0].1.largest.no_room, 1);
+/// assert_eq!(stats.classify(&route, Some(95.0)), SizeClass::Largest);
+/// stats.record_outcome(&route, SizeClass::Largest, CallOutcome::NoSlot);
+/// assert_eq!(stats.take_routes_with_unserved()[0].1.largest.no_room, 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SizeStats {
-    kinds: IndexMap<Arc<str>, Kind>,
+    routes: IndexMap<Arc<str>, RouteStats>,
 }
 
 impl SizeStats {
-    /// How large a request is among those of its kind, which it joins.
+    /// Returns the size class of a request among the recent ones of its route, and adds the request
+    /// to them.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::SizeClass;
@@ -220,14 +222,17 @@
     /// let size = SizeStats::default().classify(&"calls".into(), None);
     /// assert_eq!(size, SizeClass::Usual);
     /// ```
-    pub fn classify(&mut self, kind: &Arc<str>, size: Option<f64>) -> SizeClass {
+    pub fn classify(&mut self, route: &Arc<str>, size: Option<f64>) -> SizeClass {
         let Some(size) = size else {
             return SizeClass::Usual;
         };
-        self.kinds.entry(Arc::clone(kind)).or_default().rank(size)
+        self.routes
+            .entry(Arc::clone(route))
+            .or_default()
+            .classify(size)
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::CallOutcome;
@@ -236,13 +241,13 @@
     ///
     /// SizeStats::default().record_outcome(&"notes".into(), SizeClass::Usual, CallOutcome::InTime);
     /// ```
-    pub fn record_outcome(&mut self, kind: &Arc<str>, size: SizeClass, end: CallOutcome) {
-        let kind = self.kinds.entry(Arc::clone(kind)).or_default();
-        kind.ends.of(size).add(end);
+    pub fn record_outcome(&mut self, route: &Arc<str>, size: SizeClass, outcome: CallOutcome) {
+        let route = self.routes.entry(Arc::clone(route)).or_default();
+        route.outcomes.of(size).add(outcome);
     }
 
-    /// The kinds of which a request was not served since the last call, with how all of theirs
-    /// have ended since.
+    /// Returns the routes that had an unserved request since the last call, with the outcomes of
+    /// all their requests since then.
     ///
     /// ```
     /// use sardinewood::direct::sharing::size_stats::SizeStats;
@@ -251,9 +256,11 @@
     /// ```
     pub fn take_routes_with_unserved(&mut self) -> Vec<(Arc<str>, CallOutcomesBySize)> {
         let taken = self
-            .kinds
+            .routes
             .iter_mut()
-            .map(|(name, kind)| (Arc::clone(name), std::mem::take(&mut kind.ends)));
-        taken.filter(|(_, ends)| ends.unserved() > 0).collect()
+            .map(|(name, route)| (Arc::clone(name), std::mem::take(&mut route.outcomes)));
+        taken
+            .filter(|(_, outcomes)| outcomes.unserved() > 0)
+            .collect()
     }
 }
