--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of entries in virtual time that share one customer's allotment: their real tables of
-//! peers and buckets, with entries that are killed, held up and cut off from each other.
+//! A fleet of entries in virtual time that share one customer's quota. The peer tables and quota
+//! buckets are the real ones; entries can be killed, stalled and cut off from each other.
 
 use std::net::SocketAddr;
 
@@ -15,15 +15,14 @@
 use sardinewood::direct::store_view::catalog::Customer;
 use sardinewood::direct::store_view::catalog::Quota;
 
-/// What the platform's users tolerate, and the limit of a large customer of theirs.
+/// Tolerance of the platform's users; [`RATE_PER_S`] is the limit of one of their large customers.
 pub const TOLERANCE: Tolerance = Tolerance {
     window_s: 8.0,
     overage_ratio: 0.1,
     slack_units: 190_000.0,
 };
 pub const RATE_PER_S: u64 = 437_000;
-/// The most that may be spent in any window: 8 s of the rate and a burst, a tenth and the slack
-/// more.
+/// Maximum spending in any window: 8 s of the rate and a burst, plus a tenth of that and the slack.
 pub const ALLOWED: u64 = RATE_PER_S * 9 * 11 / 10 + 190_000;
 
 const STEP_MS: u64 = 10;
@@ -32,15 +31,15 @@
 pub struct Member {
     table: PeerTable,
     quotas: CustomerQuotas,
-    began_ms: u64,
+    started_ms: u64,
     next_heartbeat_ms: u64,
     sequence: u64,
     incarnation: u64,
-    /// Until when it is down; its state is lost.
+    /// Time until which the entry is down; it comes back without its state.
     down_until_ms: u64,
-    /// Until when it stands still; its state stays, and so does what was sent to it.
-    held_until_ms: u64,
-    missed: Vec<(usize, Heartbeat)>,
+    /// Time until which the entry is stalled; it keeps its state and the heartbeats sent to it.
+    stalled_until_ms: u64,
+    undelivered: Vec<(usize, Heartbeat)>,
 }
 
 pub struct QuotaFleet {
@@ -48,9 +47,9 @@
     pub now_ms: u64,
     customer: Customer,
     contention: Contention,
-    /// Whether a message from one entry to another is lost.
+    /// Returns whether a message from one entry to another is lost at a time.
     pub is_cut: fn(usize, usize, u64) -> bool,
-    /// Units spent in each step.
+    /// Units spent in each time step.
     pub spent: Vec<u64>,
     pub asked: u64,
     pub served: u64,
@@ -69,19 +68,19 @@
     }
 }
 
-fn member(index: usize, began_ms: u64, incarnation: u64) -> Member {
+fn member(index: usize, started_ms: u64, incarnation: u64) -> Member {
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(TOLERANCE);
     Member {
         table: PeerTable::new(address(index), &[address(0), address(1), address(2)]),
         quotas,
-        began_ms,
-        next_heartbeat_ms: began_ms,
+        started_ms,
+        next_heartbeat_ms: started_ms,
         sequence: 0,
         incarnation,
         down_until_ms: 0,
-        held_until_ms: 0,
-        missed: Vec::new(),
+        stalled_until_ms: 0,
+        undelivered: Vec::new(),
     }
 }
 
@@ -108,8 +107,8 @@
         }
     }
 
-    /// The entry that keeps the customer, as the first entry that is up sees it.
-    pub fn keeper(&mut self) -> usize {
+    /// Returns the owner of the customer's quota, as the first entry that is up sees it.
+    pub fn owner(&mut self) -> usize {
         for index in 0..self.members.len() {
             let now_ms = self.now_ms;
             let member = &mut self.members[index];
@@ -120,14 +119,14 @@
                 tokens: Some(RATE_PER_S),
                 tier: 0,
             };
-            let own_ms = now_ms - member.began_ms;
-            let begun =
+            let own_ms = now_ms - member.started_ms;
+            let step =
                 member
                     .quotas
                     .clone()
                     .begin_charge(&self.customer, cost, self.contention, own_ms);
-            return match begun {
-                ChargeStep::AskOwner(keeper) => index_of(keeper),
+            return match step {
+                ChargeStep::AskOwner(owner) => index_of(owner),
                 ChargeStep::Decided(_) => index,
             };
         }
@@ -141,26 +140,27 @@
         self.members[index].down_until_ms = back_ms;
     }
 
-    pub fn hold_up(&mut self, index: usize, for_ms: u64) {
-        self.members[index].held_until_ms = self.now_ms + for_ms;
+    pub fn stall(&mut self, index: usize, for_ms: u64) {
+        self.members[index].stalled_until_ms = self.now_ms + for_ms;
     }
 
-    /// Lets time pass while callers ask for so many times the customer's rate, at random entries.
-    pub fn press(&mut self, for_ms: u64, times_rate: f64) {
+    /// Lets time pass while callers send so many times the customer's rate to random entries.
+    pub fn send_requests(&mut self, for_ms: u64, times_rate: f64) {
         let end_ms = self.now_ms + for_ms;
-        let mut due_units = 0.0;
+        let mut pending_units = 0.0;
         #[expect(clippy::cast_precision_loss, reason = "a rate")]
         let units_per_step = RATE_PER_S as f64 * times_rate * STEP_MS as f64 / 1_000.0;
         while self.now_ms < end_ms {
             self.heartbeats();
             let mut spent = 0;
-            due_units += units_per_step;
-            while due_units > 0.0 {
-                let units = 200 + self.draw() % 7_600;
+            pending_units += units_per_step;
+            while pending_units > 0.0 {
+                let units = 200 + self.next_random() % 7_600;
                 #[expect(clippy::cast_precision_loss, reason = "a request's units")]
-                let wanted = units as f64;
-                due_units -= wanted;
-                let at = usize::try_from(self.draw()).expect("an index") % self.members.len();
+                let requested_units = units as f64;
+                pending_units -= requested_units;
+                let at =
+                    usize::try_from(self.next_random()).expect("an index") % self.members.len();
                 spent += self.request(at, units);
             }
             self.spent.push(spent);
@@ -168,14 +168,14 @@
         }
     }
 
-    /// The most that was spent in any window so far.
+    /// Returns the maximum spending in any window so far.
     pub fn most_in_a_window(&self) -> u64 {
         let steps = usize::try_from(WINDOW_MS / STEP_MS).expect("a count");
         let sums = self.spent.windows(steps).map(|window| window.iter().sum());
         sums.max().unwrap_or_default()
     }
 
-    fn draw(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.random = self
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -185,11 +185,11 @@
 
     fn is_running(&self, index: usize) -> bool {
         let member = &self.members[index];
-        self.now_ms >= member.down_until_ms && self.now_ms >= member.held_until_ms
+        self.now_ms >= member.down_until_ms && self.now_ms >= member.stalled_until_ms
     }
 
     fn own_ms(&self, index: usize) -> u64 {
-        self.now_ms - self.members[index].began_ms
+        self.now_ms - self.members[index].started_ms
     }
 
     fn request(&mut self, at: usize, units: u64) -> u64 {
@@ -203,24 +203,29 @@
         let now_ms = self.own_ms(at);
         let customer = self.customer.clone();
         let contention = self.contention;
-        let begun = self.members[at]
+        let step = self.members[at]
             .quotas
             .begin_charge(&customer, cost, contention, now_ms);
-        let charge = match begun {
+        let charge = match step {
             ChargeStep::Decided(charge) => charge,
-            ChargeStep::AskOwner(keeper) => {
-                let keeper = index_of(keeper);
-                let is_lost = (self.is_cut)(at, keeper, self.now_ms)
-                    || (self.is_cut)(keeper, at, self.now_ms);
+            ChargeStep::AskOwner(owner) => {
+                let owner = index_of(owner);
+                let is_lost =
+                    (self.is_cut)(at, owner, self.now_ms) || (self.is_cut)(owner, at, self.now_ms);
                 self.asked += 1;
-                if is_lost || !self.is_running(keeper) {
+                if is_lost || !self.is_running(owner) {
                     let own = &mut self.members[at].quotas;
-                    own.charge_without_owner(address(keeper), &customer, cost, contention, now_ms)
+                    own.charge_without_owner(address(owner), &customer, cost, contention, now_ms)
                 } else {
-                    let keeper_ms = self.own_ms(keeper);
-                    let kept = &mut self.members[keeper].quotas;
-                    let charge =
-                        kept.charge_for_peer(address(at), &customer, cost, contention, keeper_ms);
+                    let owner_ms = self.own_ms(owner);
+                    let owner_quotas = &mut self.members[owner].quotas;
+                    let charge = owner_quotas.charge_for_peer(
+                        address(at),
+                        &customer,
+                        cost,
+                        contention,
+                        owner_ms,
+                    );
                     let own = &mut self.members[at].quotas;
                     own.apply_owner_outcome(&customer, cost, charge, now_ms);
                     charge
@@ -239,8 +244,8 @@
             if !self.is_running(from) {
                 continue;
             }
-            for (sender, heartbeat) in std::mem::take(&mut self.members[from].missed) {
-                self.hear(from, sender, &heartbeat);
+            for (sender, heartbeat) in std::mem::take(&mut self.members[from].undelivered) {
+                self.receive(from, sender, &heartbeat);
             }
             if self.now_ms < self.members[from].next_heartbeat_ms {
                 continue;
@@ -253,9 +258,9 @@
                     continue;
                 }
                 if self.is_running(to) {
-                    self.hear(to, from, &heartbeat);
+                    self.receive(to, from, &heartbeat);
                 } else {
-                    self.members[to].missed.push((from, heartbeat.clone()));
+                    self.members[to].undelivered.push((from, heartbeat.clone()));
                 }
             }
         }
@@ -297,7 +302,7 @@
         (heartbeat, table.heartbeat_targets().map(index_of).collect())
     }
 
-    fn hear(&mut self, to: usize, from: usize, heartbeat: &Heartbeat) {
+    fn receive(&mut self, to: usize, from: usize, heartbeat: &Heartbeat) {
         let own_ms = self.own_ms(to);
         let member = &mut self.members[to];
         let heard = member
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -1,4 +1,5 @@
-//! What all entries share without a counter: allotments, second attempts, who asks the store.
+//! Resources that entries share without a central counter: quotas, retries, and access to the
+//! store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,10 +41,10 @@
     SocketAddr::from(([10, 0, 0, number], 7))
 }
 
-/// Entries that tell each other every 50 ms what they have spent, unless they are cut.
+/// Entries that report their spending to each other every 50 ms, unless a partition separates them.
 struct Fleet {
     entries: Vec<CustomerQuotas>,
-    told: Vec<u64>,
+    reported: Vec<u64>,
     spent: Vec<u64>,
 }
 
@@ -51,15 +52,15 @@
     fn new(count: usize) -> Self {
         Self {
             entries: vec![CustomerQuotas::default(); count],
-            told: vec![0; count],
+            reported: vec![0; count],
             spent: vec![0; count],
         }
     }
 
-    /// Each entry asks for as much as it is told to, each millisecond.
-    fn press(&mut self, now_ms: u64, wishes: &[u64]) {
-        for (index, wish) in wishes.iter().enumerate() {
-            for _ in 0..*wish {
+    /// Sends the given number of requests to each entry.
+    fn send_requests(&mut self, now_ms: u64, requests_by_entry: &[u64]) {
+        for (index, requests) in requests_by_entry.iter().enumerate() {
+            for _ in 0..*requests {
                 let charge = self.entries[index].charge_locally(
                     &customer(),
                     cost(None),
@@ -73,15 +74,20 @@
         }
     }
 
-    fn tell(&mut self, now_ms: u64, is_cut: impl Fn(usize, usize) -> bool) {
+    fn report_spending(&mut self, now_ms: u64, is_cut: impl Fn(usize, usize) -> bool) {
         let count = self.entries.len();
         for from in 0..count {
-            let newly = self.spent[from] - self.told[from];
+            let new_units = self.spent[from] - self.reported[from];
             for to in (0..count).filter(|to| *to != from && !is_cut(from, *to)) {
                 let number = u8::try_from(from).expect("a small fleet");
-                self.entries[to].record_peer_spending(address(number), &"c".into(), newly, now_ms);
+                self.entries[to].record_peer_spending(
+                    address(number),
+                    &"c".into(),
+                    new_units,
+                    now_ms,
+                );
             }
-            self.told[from] = self.spent[from];
+            self.reported[from] = self.spent[from];
         }
         for to in 0..count {
             let silent = (0..count)
@@ -99,13 +105,13 @@
 
 #[test]
 fn one_customer_everywhere_spends_its_rate() {
-    // One customer presses on four entries at several times its rate. Together they serve its
-    // rate and its burst, and as much more as goes unheard for 50 ms.
+    // One customer sends several times its rate to four entries. Together they serve its rate and
+    // burst, plus what they spend in the 50 ms between two reports.
     let mut fleet = Fleet::new(4);
     for now_ms in 0..10_000 {
-        fleet.press(now_ms, &[1, 1, 1, 1]);
+        fleet.send_requests(now_ms, &[1, 1, 1, 1]);
         if now_ms % 50 == 0 {
-            fleet.tell(now_ms, |_, _| false);
+            fleet.report_spending(now_ms, |_, _| false);
         }
     }
     let allowed = RATE_PER_S * 10 + RATE_PER_S;
@@ -115,14 +121,17 @@
 
 #[test]
 fn cut_fleet_spends_no_more_than_one() {
-    // After two seconds a cut parts the entries two and two. Callers press on all of them;
-    // both sides go by what they knew, and together stay within the rate.
+    // After two seconds a network partition separates the four entries into two pairs. Callers send
+    // requests to all of them; both sides use what they knew before, and together stay within the
+    // rate.
     let mut fleet = Fleet::new(4);
-    let cut = |from: usize, to: usize| (from < 2) != (to < 2);
+    let is_partitioned = |from: usize, to: usize| (from < 2) != (to < 2);
     for now_ms in 0..12_000 {
-        fleet.press(now_ms, &[1, 1, 1, 1]);
+        fleet.send_requests(now_ms, &[1, 1, 1, 1]);
         if now_ms % 50 == 0 {
-            fleet.tell(now_ms, |from, to| now_ms > 2_000 && cut(from, to));
+            fleet.report_spending(now_ms, |from, to| {
+                now_ms > 2_000 && is_partitioned(from, to)
+            });
         }
     }
     let allowed = RATE_PER_S * 12 + RATE_PER_S;
@@ -131,14 +140,14 @@
 
 #[test]
 fn cut_entry_keeps_what_it_used_to_serve() {
-    // One entry has most of a customer's traffic. It is cut off from the others, and its
-    // callers notice nothing: what it spent before is its own part.
+    // One entry has all of a customer's traffic. It is cut off from the others, and its callers
+    // notice nothing, because the entry's share follows what it spent before.
     let mut fleet = Fleet::new(4);
     for now_ms in 0..20_000 {
         let is_due = now_ms % 20 == 0;
-        fleet.press(now_ms, &[u64::from(is_due), 0, 0, 0]);
+        fleet.send_requests(now_ms, &[u64::from(is_due), 0, 0, 0]);
         if now_ms % 50 == 0 {
-            fleet.tell(now_ms, |from, to| now_ms > 5_000 && (from == 0 || to == 0));
+            fleet.report_spending(now_ms, |from, to| now_ms > 5_000 && (from == 0 || to == 0));
         }
     }
     assert_eq!(fleet.spent[0], 20_000 / 20 * COST);
@@ -149,7 +158,7 @@
     overage_ratio: 0.1,
     slack_units: 100.0,
 };
-/// What a window allows, 9,000, and 65 in 100 of the tolerance, which is 1,000.
+/// The 9,000 units that a window allows, and 65 in 100 of the tolerance, which is 1,000.
 const WINDOW_UNITS: u64 = 9_650;
 /// One burst and 15 in 100 of the tolerance.
 const AT_ONCE_UNITS: u64 = 1_150;
@@ -162,27 +171,27 @@
     .sum()
 }
 
-fn most_in_a_window(spent: &[u64], parts: usize) -> u64 {
-    let sums = spent.windows(parts).map(|window| window.iter().sum());
+fn most_in_a_window(spent: &[u64], steps: usize) -> u64 {
+    let sums = spent.windows(steps).map(|window| window.iter().sum());
     sums.max().unwrap_or_default()
 }
 
 #[test]
-fn tolerance_given_only_while_nobody_waits() {
+fn tolerance_given_only_while_uncontended() {
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(TOLERANCE);
-    // Long after the start, so that nothing unknown lies in the window.
+    // Long after the start, so that no unknown spending lies in the window.
     let now_ms = 60_000;
-    let pressing = spend_all(&mut quotas, Contention::Contended, now_ms);
-    assert_eq!(pressing, RATE_PER_S);
-    let rest = spend_all(&mut quotas, Contention::Uncontended, now_ms);
-    assert_eq!(rest, AT_ONCE_UNITS - RATE_PER_S);
+    let contended = spend_all(&mut quotas, Contention::Contended, now_ms);
+    assert_eq!(contended, RATE_PER_S);
+    let uncontended = spend_all(&mut quotas, Contention::Uncontended, now_ms);
+    assert_eq!(uncontended, AT_ONCE_UNITS - RATE_PER_S);
     assert_eq!(spend_all(&mut quotas, Contention::Uncontended, now_ms), 0);
 }
 
 #[test]
 fn calm_window_given_whole_and_never_exceeded() {
-    // A customer presses for a minute on an entry where nobody waits.
+    // A customer sends more than its rate for a minute to an entry where no request waits.
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(TOLERANCE);
     let spent: Vec<u64> = (80..680)
@@ -194,7 +203,7 @@
     assert!(all >= (RATE_PER_S * 8 + 500) * 7, "{all}");
 }
 
-fn press_where_nobody_waits(
+fn spend_while_uncontended(
     tolerance: Tolerance,
     customer: &Customer,
     tenths: std::ops::Range<u64>,
@@ -220,9 +229,9 @@
 
 #[test]
 fn killed_entries_exceed_no_window() {
-    // Customers press for all that they get while nobody waits. All entries are killed at
-    // once, and know nothing of it when they are back after 0.7 s. Whenever that happens, what
-    // was spent before and after stays within what the platform allows in a window.
+    // Customers send as much as they are granted while no request waits. All entries are killed at
+    // once and are back after 0.7 s without any state. Whenever that happens, spending before and
+    // after stays within what the platform allows in a window.
     let tolerance = Tolerance {
         window_s: 8.0,
         overage_ratio: 0.1,
@@ -236,8 +245,8 @@
             default_tokens: Some(200),
         });
         let allowed = rate_per_s * 9 * 11 / 10 + 190_000;
-        let before = press_where_nobody_waits(tolerance, &customer, 80..180);
-        let after = press_where_nobody_waits(tolerance, &customer, 0..160);
+        let before = spend_while_uncontended(tolerance, &customer, 80..180);
+        let after = spend_while_uncontended(tolerance, &customer, 0..160);
         for killed_at in 0..before.len() {
             let mut spent = before[..killed_at].to_vec();
             spent.extend([0; 7]);
@@ -250,22 +259,22 @@
 
 #[test]
 fn customer_new_here_is_known_elsewhere() {
-    // A customer spends twice its rate through other entries. Its first request here does not
-    // find full buckets.
+    // A customer spends twice its rate through other entries. Its first request here does not find
+    // a full bucket.
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(TOLERANCE);
     for tenth in 200..280 {
         quotas.record_peer_spending(address(1), &"c".into(), 200, tenth * 100);
     }
     assert_eq!(spend_all(&mut quotas, Contention::Contended, 28_000), 0);
-    let calm = spend_all(&mut quotas, Contention::Uncontended, 28_000);
-    assert!(calm <= AT_ONCE_UNITS - RATE_PER_S, "{calm}");
+    let uncontended = spend_all(&mut quotas, Contention::Uncontended, 28_000);
+    assert!(uncontended <= AT_ONCE_UNITS - RATE_PER_S, "{uncontended}");
 }
 
 #[test]
 fn calm_spending_leaves_a_small_debt() {
-    // A customer spends far beyond its rate while nobody waits. Then others press: it waits for
-    // one burst to come in, not for all that it has had.
+    // A customer spends far beyond its rate while no request waits. When requests of others wait
+    // later, it waits for one burst to come in rather than for all that it has spent.
     let mut quotas = CustomerQuotas::default();
     quotas.set_tolerance(Tolerance {
         slack_units: 4_000.0,
@@ -276,15 +285,15 @@
             quotas.charge_locally(&customer(), cost(None), Contention::Uncontended, now_ms);
         assert_eq!(charge, ChargeOutcome::Granted);
     }
-    let pressing = spend_all(&mut quotas, Contention::Contended, 92_000);
-    assert!(pressing >= RATE_PER_S / 2, "{pressing}");
+    let contended = spend_all(&mut quotas, Contention::Contended, 92_000);
+    assert!(contended >= RATE_PER_S / 2, "{contended}");
 }
 
 #[test]
 fn healed_cut_charges_once() {
-    // A peer is cut off and goes on serving a customer at its usual rate, as it was taken to.
-    // When it is heard again, it tells all of that at once. Taken out a second time, it would
-    // have the customer refused here for seconds.
+    // A peer is cut off and continues to serve a customer at its usual rate, as was assumed. When
+    // its heartbeats arrive again, they report all of that spending at once. If it were taken out a
+    // second time, the customer would be refused here for seconds.
     let mut quotas = CustomerQuotas::default();
     let peer = address(1);
     quotas.charge_locally(&customer(), cost(None), Contention::Contended, 0);
@@ -323,8 +332,8 @@
 }
 
 #[test]
-fn second_attempts_of_all_entries_within_the_slack() {
-    // Everything fails at once on four entries that had no requests before.
+fn retries_of_all_entries_within_the_slack() {
+    // All requests fail at once on four entries that had none before.
     let limits = RetryLimits {
         ratio: 0.2,
         slack_retries: 52.0,
@@ -343,7 +352,7 @@
 }
 
 #[test]
-fn second_attempts_follow_requests() {
+fn retries_follow_requests() {
     let mut budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         slack_retries: 4.0,
@@ -360,9 +369,9 @@
 
 #[test]
 fn calm_requests_pay_for_a_burst_of_failures() {
-    // One entry of thirty serves ten requests a second. Then half of the answers fail for
-    // four seconds, and their callers could be served by a second engine: what the calm
-    // seconds before allowed still counts, and no window gets more than its part.
+    // One entry of thirty serves ten requests a second. Then half of the answers fail for four
+    // seconds, and a second engine could serve those requests. The retries that the calm seconds
+    // before allowed still count, and no window gets more than its share.
     let mut budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         slack_retries: 100.0,
@@ -391,8 +400,8 @@
 
 #[test]
 fn few_ask_the_store_and_others_take_over() {
-    // Three entries ask the store. One of them loses it: the next in order asks as well, and
-    // an entry with a high address never asks while three others do.
+    // Three entries ask the store. When one of them loses its connection, the next in order asks as
+    // well; an entry with a high address never asks while three others do.
     let mut table = PeerTable::new(address(9), &[]);
     for number in 1..4 {
         table.record_heartbeat(address(number), &heartbeat(1), 0);
@@ -409,7 +418,7 @@
 }
 
 #[test]
-fn spending_told_once_in_spite_of_repeats() {
+fn spending_counted_once_in_spite_of_repeats() {
     let mut table = PeerTable::new(address(9), &[]);
     let spent = |sequence, units| Heartbeat {
         spent: vec![CustomerSpending {
@@ -430,11 +439,15 @@
         "a lost one in between"
     );
     assert_eq!(units(&mut table, &spent(2, 40)), 0, "an old one");
-    let anew = Heartbeat {
+    let restarted = Heartbeat {
         incarnation: 2,
         ..spent(1, 5)
     };
-    assert_eq!(units(&mut table, &anew), 5, "a new start counts from zero");
+    assert_eq!(
+        units(&mut table, &restarted),
+        5,
+        "a new start counts from zero"
+    );
 }
 
 #[test]
@@ -471,11 +484,11 @@
     assert_eq!(table.peer_ahead_of(own, 7, 60_000), None);
 }
 
-/// Parts of the requests that are served of each kind, given as units and tier, when a customer
-/// asks for several times its limit for ten seconds, all kinds equally often.
-fn served_parts(kinds: &[(u64, u8)], times_limit: u64) -> Vec<f64> {
+/// Returns the served share of each kind of request, given as units and tier, while a customer
+/// sends several times its limit for ten seconds, all kinds equally often.
+fn served_shares(request_kinds: &[(u64, u8)], times_limit: u64) -> Vec<f64> {
     const LIMIT: u64 = 150_000;
-    let hot = Customer {
+    let busy = Customer {
         name: "hot".into(),
         tier: None,
         quota: Some(Quota {
@@ -484,18 +497,18 @@
             default_tokens: Some(200),
         }),
     };
-    let round: u64 = kinds.iter().map(|(units, _)| units).sum();
+    let round: u64 = request_kinds.iter().map(|(units, _)| units).sum();
     let rounds = 10 * LIMIT * times_limit / round;
     let mut quotas = CustomerQuotas::default();
-    let mut served = vec![0_u32; kinds.len()];
+    let mut served = vec![0_u32; request_kinds.len()];
     for number in 0..rounds {
         let now_ms = number * 10_000 / rounds;
-        for (index, (units, tier)) in kinds.iter().enumerate() {
+        for (index, (units, tier)) in request_kinds.iter().enumerate() {
             let cost = RequestCost {
                 tokens: Some(*units),
                 tier: *tier,
             };
-            let charge = quotas.charge_locally(&hot, cost, Contention::Contended, now_ms);
+            let charge = quotas.charge_locally(&busy, cost, Contention::Contended, now_ms);
             served[index] += u32::from(charge == ChargeOutcome::Granted);
         }
     }
@@ -508,22 +521,26 @@
 
 #[test]
 fn hot_customers_large_requests_not_starved_by_small() {
-    // A customer asks for seven times its limit for seconds. Its bucket hovers near empty, and
-    // what has come in since the last request is enough for a small one, hardly ever for a large
-    // one. If all of a request's units had to be there, its reports would hardly ever be served and
-    // its short calls nearly always: who pays most per request would get least.
-    let parts = served_parts(&[(700, 0), (7_000, 0)], 7);
-    assert!(parts[1] > parts[0] / 2.0, "{parts:?}");
+    // A customer sends seven times its limit for seconds. Its bucket stays nearly empty, and the
+    // units that come in between two requests are enough for a small one but hardly ever for a
+    // large one. If all units of a request had to be present, its reports would hardly ever be
+    // served and its short calls nearly always, so the requests that cost most would be served
+    // least.
+    let shares = served_shares(&[(700, 0), (7_000, 0)], 7);
+    assert!(shares[1] > shares[0] / 2.0, "{shares:?}");
 }
 
 #[test]
 fn hot_customers_urgent_requests_first() {
-    // Likewise, with reports of the first tier, summaries of the second and tags of the third. A
-    // tag asks as much of the limit as two summaries, for a tenth of the worth of one.
-    let parts = served_parts(&[(7_000, 0), (1_000, 1), (1_900, 2)], 4);
-    assert!(parts[0] > parts[1] && parts[1] > parts[2], "{parts:?}");
-    let calm = served_parts(&[(7_000, 0), (1_000, 1), (1_900, 2)], 1);
-    assert!(calm.iter().all(|part| *part > 0.85), "{calm:?}");
+    // A customer above its limit sends reports of the first tier, summaries of the second and tags
+    // of the third. A tag costs as many units as two summaries, for a tenth of the worth of one.
+    let shares = served_shares(&[(7_000, 0), (1_000, 1), (1_900, 2)], 4);
+    assert!(shares[0] > shares[1] && shares[1] > shares[2], "{shares:?}");
+    let light_load = served_shares(&[(7_000, 0), (1_000, 1), (1_900, 2)], 1);
+    assert!(
+        light_load.iter().all(|share| *share > 0.85),
+        "{light_load:?}"
+    );
 }
 
 #[test]
