--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -126,9 +126,11 @@
 /// Slots that one peer holds at one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerUsage {
+    /// Slots counted as in use.
     count: u32,
+    /// Count in the peer's last heartbeat.
     reported: u32,
-    /// Whether the peer was granted or released a slot since its last heartbeat.
+    /// Whether the peer was granted a slot, or released one, since its last heartbeat.
     is_touched: bool,
 }
 
@@ -136,6 +138,7 @@
 #[derive(Clone, Debug, Default)]
 struct AdmissionQueue {
     slots: u32,
+    /// Slots that this entry uses.
     local_count: u32,
     peers: IndexMap<SocketAddr, PeerUsage>,
     waiting: Vec<Queued>,
@@ -165,8 +168,8 @@
             .value()
             .unwrap_or(DEFAULT_HOLD_MS)
             .max(1.0);
-        let ahead = f64::from(self.slots) * numbers::as_f64(ROUND_TRIP_MS) / hold_ms;
-        self.slots + numbers::whole_u32(ahead.round()).min(self.slots / 2)
+        let in_transit = f64::from(self.slots) * numbers::as_f64(ROUND_TRIP_MS) / hold_ms;
+        self.slots + numbers::whole_u32(in_transit.round()).min(self.slots / 2)
     }
 
     /// Returns whether a request could be granted a slot, leaving the grant rate aside.
@@ -181,6 +184,7 @@
         Some(rate.wait_ms(1.0, now_ms))
     }
 
+    /// Returns the index of the waiting request that is worth most, the earliest among equals.
     fn best_request(&self, now_ms: u64) -> Option<usize> {
         let key = |queued: &Queued| {
             let is_in_time = i64::try_from(now_ms).unwrap_or(i64::MAX) < queued.objective_at_ms;
@@ -381,6 +385,7 @@
             .min()
     }
 
+    /// Returns the queues of upstreams that limit their requests, with the upstreams' hashes.
     fn limited_queues(&self) -> impl Iterator<Item = (u32, &AdmissionQueue)> {
         let upstreams = self.limits.keys();
         upstreams.filter_map(|upstream| Some((*upstream, self.queues.get(upstream)?)))
@@ -406,7 +411,7 @@
         }
         if let EntryRef::Peer(peer) = from {
             // A peer's first slot request may arrive before its first heartbeat. Without this
-            // entry, the next call of [`Self::expire_peers`] would drop the slots it was granted,
+            // record, the next call of [`Self::expire_peers`] would drop the slots it was granted,
             // and the engine would get too many requests.
             self.last_heard_ms.insert(peer, now_ms);
         }
@@ -519,7 +524,7 @@
             Some(*peer) != departed && now_ms < *last_heard_ms + PEER_SILENCE_MS
         });
         for (upstream, queue) in &mut self.queues {
-            let previous = queue.used_slots();
+            let previously_used = queue.used_slots();
             queue
                 .peers
                 .retain(|peer, _| self.last_heard_ms.contains_key(peer));
@@ -527,7 +532,7 @@
                 EntryRef::Local => true,
                 EntryRef::Peer(peer) => self.last_heard_ms.contains_key(&peer),
             });
-            if queue.used_slots() != previous {
+            if queue.used_slots() != previously_used {
                 self.dirty_queues.push(*upstream);
             }
         }
@@ -554,6 +559,7 @@
         None
     }
 
+    /// Grants a slot to the best request in the queue of an upstream, if one is free.
     fn grant_from(&mut self, hash: u32, now_ms: u64) -> Option<SlotGrant> {
         let queue = self.queues.get_mut(&hash)?;
         if queue.used_slots() >= queue.capacity() {
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -53,7 +53,7 @@
 
 /// Share of the burst, by tier, that is reserved for requests of more urgent tiers. The bucket of a
 /// customer above its rate stays nearly empty; without reserves, its reports wait behind its tags,
-/// which cost as many units for a twentieth of the worth. Twice these shares gained as much.
+/// which cost as many units for a twentieth of the worth. Reserves twice as large gained as much.
 const TIER_RESERVES: [f64; 3] = [0.0, 0.05, 0.2];
 
 /// Whether other requests wait for the capacity that a request would take.
@@ -127,17 +127,17 @@
 /// let quota = Quota { rate_per_s: 10, burst: 20, default_tokens: Some(5) };
 /// let customer = Customer { name: "c".into(), tier: None, quota: Some(quota) };
 /// let mut quotas = CustomerQuotas::default();
-/// let pressing = Contention::Contended;
+/// let contention = Contention::Contended;
 /// let cost = |tokens| RequestCost { tokens, tier: 0 };
-/// assert_eq!(quotas.charge_locally(&customer, cost(Some(20)), pressing, 0), ChargeOutcome::Granted);
-/// let refused = quotas.charge_locally(&customer, cost(None), pressing, 0);
+/// assert_eq!(quotas.charge_locally(&customer, cost(Some(20)), contention, 0), ChargeOutcome::Granted);
+/// let refused = quotas.charge_locally(&customer, cost(None), contention, 0);
 /// assert_eq!(refused, ChargeOutcome::Exceeded { retry_after_ms: 400 });
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CustomerQuotas {
     buckets: IndexMap<Arc<str>, Bucket>,
     /// Spending at peers of customers that this entry has not served yet.
-    unserved_spending: IndexMap<Arc<str>, SpendingRate>,
+    spending_at_peers: IndexMap<Arc<str>, SpendingRate>,
     fleet: Fleet,
     tolerance: Tolerance,
     /// Owners that have not replied, each with the time until which it is not asked.
@@ -340,8 +340,8 @@
         };
         let debit = cost.debit(quota, contention);
         // A peer that gets no heartbeats from the owner asks this entry instead. What the owner has
-        // just granted is unknown here, so only units that come in are granted, and ownership is
-        // not kept.
+        // just granted is unknown here, so only units that come in are granted, and this entry does
+        // not become the owner.
         let is_owned_by_peer = self.fleet.owner(&customer.name).is_some();
         let stability = if is_owned_by_peer {
             FleetStability::Changed
@@ -402,11 +402,11 @@
             bucket.record_peer_spending(peer, units, now_ms);
             return;
         }
-        let unserved_spending = self
-            .unserved_spending
+        let spending_at_peers = self
+            .spending_at_peers
             .entry(Arc::clone(customer))
             .or_default();
-        unserved_spending.add(units, now_ms);
+        spending_at_peers.add(units, now_ms);
     }
 
     /// Drops the unreported grants of a peer that is new or has restarted, because it will not
@@ -448,10 +448,10 @@
 
     fn bucket(&mut self, name: &Arc<str>, quota: Quota, now_ms: u64) -> &mut Bucket {
         let limits = self.tolerance.limits(quota, &self.fleet);
-        let unserved_spending = &mut self.unserved_spending;
+        let spending_at_peers = &mut self.spending_at_peers;
         let bucket = self.buckets.entry(Arc::clone(name)).or_insert_with(|| {
-            let unserved_spending = unserved_spending.swap_remove(name).unwrap_or_default();
-            Bucket::new(limits, unserved_spending, now_ms)
+            let spending_at_peers = spending_at_peers.swap_remove(name).unwrap_or_default();
+            Bucket::new(limits, spending_at_peers, now_ms)
         });
         bucket.refill(now_ms);
         bucket.set_limits(limits);
--- a/lib/src/direct/sharing/quota/bucket.rs
+++ b/lib/src/direct/sharing/quota/bucket.rs
@@ -100,7 +100,7 @@
     window_ms: f64,
 }
 
-/// Units that a request takes out of a bucket, and under which conditions.
+/// A withdrawal from a bucket for one request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Debit {
     pub(super) units: u64,
@@ -129,6 +129,7 @@
     spent_units: f64,
 }
 
+/// Token bucket of one customer, with a level for contended and one for uncontended times.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     limits: Limits,
@@ -144,7 +145,7 @@
     local_rate: SpendingRate,
     /// Assumed spending rate of unresponsive and undiscovered peers.
     unresponsive_per_s: f64,
-    /// Whether this entry owned the quota when it last charged a request.
+    /// Whether this entry owns the quota and already owned it at the last charge.
     is_owned: bool,
     /// Units charged without asking the owner since local spending was last reported to peers.
     unasked_units: f64,
@@ -251,6 +252,7 @@
         self.is_owned = true;
     }
 
+    /// Records that this entry does not own the quota.
     pub(super) fn drop_ownership(&mut self) {
         self.is_owned = false;
     }
@@ -360,6 +362,7 @@
         charge
     }
 
+    /// Computes the share that this entry may spend without the owner from now on.
     fn begin_fallback(&mut self, now_ms: u64) -> Fallback {
         self.local_rate.decay(now_ms);
         let peers_per_s: f64 = self
@@ -415,6 +418,7 @@
         self.unasked_units = 0.0;
     }
 
+    /// Adds the units that have come in since the last call.
     pub(super) fn refill(&mut self, now_ms: u64) {
         let elapsed_s = numbers::as_f64(now_ms.saturating_sub(self.refilled_at_ms)) / MS_PER_S;
         let limits = &self.limits;
--- a/lib/src/direct/sharing/quota/fleet.rs
+++ b/lib/src/direct/sharing/quota/fleet.rs
@@ -54,21 +54,21 @@
         let mut addresses = quota_owners.addresses;
         addresses.sort_unstable();
         let is_stalled = now_ms > self.checked_at_ms + STALL_MS;
-        let changed = if is_stalled {
+        let change = if is_stalled {
             OwnersChange::Stalled
         } else if self.own != Some(own) || self.quota_owners != addresses {
             OwnersChange::Replaced
         } else {
             OwnersChange::Unchanged
         };
-        if changed != OwnersChange::Unchanged {
+        if change != OwnersChange::Unchanged {
             self.unchanged_since_ms = now_ms;
         }
         self.own = Some(own);
         self.quota_owners = addresses;
         self.have_started_together = quota_owners.have_started_together;
         self.checked_at_ms = now_ms;
-        changed
+        change
     }
 
     /// Returns how far an owner may trust its knowledge of what customers have spent.
--- a/lib/src/direct/sharing/size_fairness.rs
+++ b/lib/src/direct/sharing/size_fairness.rs
@@ -30,10 +30,12 @@
 /// slots become free, long after the refused callers have given up.
 const MAX_DEFICIT: f64 = 4.0;
 
+/// Start rate and start deficits of one route.
 #[derive(Clone, Copy, Debug)]
 struct RouteAccount {
     /// Share of the route's requests that are started.
     start_rate: f64,
+    /// Starts that each size is short of its minimum; negative for a surplus.
     deficits: [f64; SizeClass::ALL.len()],
 }
 
--- a/lib/src/direct/sharing/size_stats.rs
+++ b/lib/src/direct/sharing/size_stats.rs
@@ -159,9 +159,11 @@
     }
 }
 
+/// Recent sizes and outcomes of one route's requests.
 #[derive(Clone, Debug, Default)]
 struct RouteStats {
     sizes: Vec<f64>,
+    /// Index of the oldest size, which the next one replaces.
     oldest: usize,
     outcomes: CallOutcomesBySize,
 }
--- a/lib/tests/quota_fleet.rs
+++ b/lib/tests/quota_fleet.rs
@@ -305,13 +305,13 @@
     fn receive(&mut self, to: usize, from: usize, heartbeat: &Heartbeat) {
         let own_ms = self.own_ms(to);
         let member = &mut self.members[to];
-        let heard = member
+        let update = member
             .table
             .record_heartbeat(address(from), heartbeat, own_ms);
-        if heard.is_new {
+        if update.is_new {
             member.quotas.reset_peer_grants(address(from));
         }
-        for spent in heard.newly_spent {
+        for spent in update.newly_spent {
             let own = &mut member.quotas;
             own.record_peer_spending(address(from), &spent.customer, spent.units, own_ms);
         }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -49,7 +49,7 @@
         .collect()
 }
 
-fn runs(requests: u16) -> LoadChunk {
+fn load(requests: u16) -> LoadChunk {
     LoadChunk::whole(vec![UpstreamLoad {
         upstream: upstream(),
         requests,
@@ -153,8 +153,8 @@
     // The owner of the queue is gone. The next owner has granted nothing there, but knows from
     // heartbeats what its peers run.
     let mut admission = admission();
-    admission.reconcile(peer(1), &runs(2), 0);
-    admission.reconcile(peer(2), &runs(1), 0);
+    admission.reconcile(peer(1), &load(2), 0);
+    admission.reconcile(peer(2), &load(1), 0);
     admission.enqueue(EntryRef::Local, slot_request(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
     admission.expire_peers(Some(peer(2)), 2);
@@ -164,7 +164,7 @@
 #[test]
 fn silent_peers_slots_freed() {
     let mut admission = admission();
-    admission.reconcile(peer(1), &runs(3), 0);
+    admission.reconcile(peer(1), &load(3), 0);
     admission.enqueue(EntryRef::Local, slot_request(1, 1_000, 500), 1);
     assert!(granted(&mut admission, 1).is_empty());
     admission.expire_peers(None, 5_000);
@@ -202,7 +202,7 @@
     SlotRequest(u8, u32),
     Release(u8),
     Heartbeat(u8),
-    Gone(u8),
+    Departed(u8),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -210,7 +210,7 @@
         4 => (0..4u8, 1..2_000u32).prop_map(|(from, worth)| Step::SlotRequest(from, worth)),
         4 => (0..4u8).prop_map(Step::Release),
         1 => (0..4u8).prop_map(Step::Heartbeat),
-        1 => (0..4u8).prop_map(Step::Gone),
+        1 => (0..4u8).prop_map(Step::Departed),
     ];
     prop::collection::vec(step, 0..200)
 }
@@ -254,9 +254,9 @@
                 }
                 Step::Release(_) => {}
                 Step::Heartbeat(from) => {
-                    admission.reconcile(peer(from), &runs(running[usize::from(from)]), now_ms);
+                    admission.reconcile(peer(from), &load(running[usize::from(from)]), now_ms);
                 }
-                Step::Gone(from) => {
+                Step::Departed(from) => {
                     running[usize::from(from)] = 0;
                     admission.expire_peers(Some(peer(from)), now_ms);
                 }
@@ -291,7 +291,7 @@
     assert_eq!(
         fill_queue(&mut admission, 0),
         6,
-        "how long calls last is not known yet"
+        "the hold time is not known yet"
     );
     admission.release(EntryRef::Peer(peer(1)), upstream(), answered(60));
     assert_eq!(granted(&mut admission, 0).len(), 3);
--- a/lib/tests/test_direct_sharing.rs
+++ b/lib/tests/test_direct_sharing.rs
@@ -90,11 +90,11 @@
             self.reported[from] = self.spent[from];
         }
         for to in 0..count {
-            let silent = (0..count)
+            let unresponsive = (0..count)
                 .filter(|from| *from != to && is_cut(*from, to))
                 .map(|from| address(u8::try_from(from).expect("a small fleet")))
                 .collect();
-            self.entries[to].set_membership(count, silent, now_ms);
+            self.entries[to].set_membership(count, unresponsive, now_ms);
         }
     }
 
@@ -161,7 +161,7 @@
 /// The 9,000 units that a window allows, and 65 in 100 of the tolerance, which is 1,000.
 const WINDOW_UNITS: u64 = 9_650;
 /// One burst and 15 in 100 of the tolerance.
-const AT_ONCE_UNITS: u64 = 1_150;
+const BURST_UNITS: u64 = 1_150;
 
 fn spend_all(quotas: &mut CustomerQuotas, contention: Contention, now_ms: u64) -> u64 {
     std::iter::from_fn(|| {
@@ -185,7 +185,7 @@
     let contended = spend_all(&mut quotas, Contention::Contended, now_ms);
     assert_eq!(contended, RATE_PER_S);
     let uncontended = spend_all(&mut quotas, Contention::Uncontended, now_ms);
-    assert_eq!(uncontended, AT_ONCE_UNITS - RATE_PER_S);
+    assert_eq!(uncontended, BURST_UNITS - RATE_PER_S);
     assert_eq!(spend_all(&mut quotas, Contention::Uncontended, now_ms), 0);
 }
 
@@ -229,7 +229,7 @@
 
 #[test]
 fn killed_entries_exceed_no_window() {
-    // Customers send as much as they are granted while no request waits. All entries are killed at
+    // Customers spend all that they are granted while no request waits. All entries are killed at
     // once and are back after 0.7 s without any state. Whenever that happens, spending before and
     // after stays within what the platform allows in a window.
     let tolerance = Tolerance {
@@ -268,7 +268,7 @@
     }
     assert_eq!(spend_all(&mut quotas, Contention::Contended, 28_000), 0);
     let uncontended = spend_all(&mut quotas, Contention::Uncontended, 28_000);
-    assert!(uncontended <= AT_ONCE_UNITS - RATE_PER_S, "{uncontended}");
+    assert!(uncontended <= BURST_UNITS - RATE_PER_S, "{uncontended}");
 }
 
 #[test]
@@ -414,7 +414,7 @@
     table.record_heartbeat(address(2), &lost, 10);
     assert!(table.watches_store(10));
     let first = PeerTable::new(address(0), &[]);
-    assert!(first.watches_store(0), "whoever is alone asks");
+    assert!(first.watches_store(0), "a lone entry asks the store");
 }
 
 #[test]
@@ -428,8 +428,8 @@
         ..heartbeat(sequence)
     };
     let units = |table: &mut PeerTable, heartbeat: &Heartbeat| -> u64 {
-        let heard = table.record_heartbeat(address(1), heartbeat, 0);
-        heard.newly_spent.iter().map(|spent| spent.units).sum()
+        let update = table.record_heartbeat(address(1), heartbeat, 0);
+        update.newly_spent.iter().map(|spent| spent.units).sum()
     };
     assert_eq!(units(&mut table, &spent(1, 30)), 30);
     assert_eq!(units(&mut table, &spent(1, 30)), 0, "a repeated datagram");
--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -30,7 +30,7 @@
 
 /// Simulates rounds of requests of which only some start: those with a start deficit first, then
 /// the smallest. Returns the numbers of arrivals and starts of each size class.
-fn simulate_rounds(rounds: usize, arrivals: usize, starts: usize) -> [(u32, u32); 3] {
+fn simulate_rounds(rounds: usize, arrivals: usize, capacity: usize) -> [(u32, u32); 3] {
     let mut random = StdRng::seed_from_u64(1);
     let mut stats = SizeStats::default();
     let mut fairness = SizeFairness::default();
@@ -58,7 +58,7 @@
         for (position, one) in waiting.into_iter().enumerate() {
             let count = &mut counts[one.class as usize];
             count.0 += 1;
-            if position < starts {
+            if position < capacity {
                 count.1 += 1;
                 fairness.record_start(&route(), one.class);
             } else {
@@ -74,8 +74,8 @@
     // Ten requests arrive where two, five or nine can be served, and the smallest always go first,
     // so the largest tenth would never be served. Admission queues grant slots in such an order for
     // as long as an overload lasts.
-    for starts in [2, 5, 9] {
-        let counts = simulate_rounds(400, 10, starts);
+    for capacity in [2, 5, 9] {
+        let counts = simulate_rounds(400, 10, capacity);
         let arrivals: u32 = counts.iter().map(|(arrivals, _)| arrivals).sum();
         let started: u32 = counts.iter().map(|(_, started)| started).sum();
         let route_start_rate = f64::from(started) / f64::from(arrivals);
@@ -83,7 +83,7 @@
             let start_rate = f64::from(started) / f64::from(arrivals);
             assert!(
                 start_rate >= route_start_rate / 2.0,
-                "{starts} of ten start: {counts:?}"
+                "{capacity} of ten start: {counts:?}"
             );
         }
     }
