--- a/lib/tests/test_direct_size_fairness.rs
+++ b/lib/tests/test_direct_size_fairness.rs
@@ -155,8 +155,8 @@
         ..job(1, 0)
     };
     let objective_in_ms = |job: Job| {
-        let asking = SlotSearch::new(job);
-        asking
+        let search = SlotSearch::new(job);
+        search
             .slot_request(PeerRequestId(1), "i-1", &dispatcher, 0)
             .objective_in_ms
     };
