--- a/lib/src/direct/quarantine/crash_detector.rs
+++ b/lib/src/direct/quarantine/crash_detector.rs
@@ -1,8 +1,9 @@
-//! Whether an upstream whose connections broke has ended, and what ran there.
+//! Detects upstream crashes from broken connections, and which runs were interrupted.
 //!
-//! A broken connection alone proves nothing: networks reset connections, upstreams close idle ones,
-//! hosts stand still and come back. An end is proven when nobody listens at the address any more, when
-//! the list has another incarnation in that place, or when a peer has proven it.
+//! A broken connection alone does not confirm a crash: networks reset connections, upstreams close
+//! idle ones, and hosts pause and resume. A crash is confirmed when the upstream's address refuses
+//! connections, when the upstream list has another incarnation in its place, or when a peer reports
+//! it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,39 +14,39 @@
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::store_view::directory::Upstream;
 
-/// How long after a break an end may still be proven: until a new incarnation of the upstream has
-/// started and stands in the list.
-const PROVEN_WITHIN_MS: u64 = 10_000;
-/// Pauses before an address is tried after a break. A process that ends closes its connections
-/// in any order, so the first try may still find it listening.
-pub const PROBE_PAUSES_MS: [u64; 2] = [30, 500];
+/// Time after a break in which a crash can still be confirmed. It covers the start of a new
+/// incarnation of the upstream and its appearance in the list.
+const CONFIRMATION_WINDOW_MS: u64 = 10_000;
+/// Delays before each probe of an upstream's address after a break. A process that exits closes its
+/// sockets in any order, so the first probe may still find it listening.
+pub const PROBE_DELAYS_MS: [u64; 2] = [30, 500];
 
-/// A run that broke off.
+/// A run whose connection broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenRun {
-    /// The request.
-    pub request: Fingerprint,
-    /// Its name in logs.
+    /// The request's fingerprint.
+    pub fingerprint: Fingerprint,
+    /// The request's ID, for logs.
     pub request_id: Arc<str>,
-    /// When its room at the upstream was taken.
+    /// When the run acquired its slot at the upstream.
     pub started_at_ms: u64,
-    /// Whether the same request had run whole a moment before, so that it is not the cause.
+    /// Whether the same request succeeded shortly before, so that it cannot be the cause.
     pub has_succeeded_recently: bool,
 }
 
-/// How an end was proven.
+/// How a crash was confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// Nobody listens at its address.
+    /// The upstream's address refuses connections.
     ConnectionRefused,
-    /// The list has another incarnation in its place.
+    /// The upstream list has another incarnation in its place.
     NewIncarnation,
-    /// A peer has proven it.
+    /// A peer reported the crash.
     PeerReport,
 }
 
 impl CrashEvidence {
-    /// Its name in logs.
+    /// Returns the text that logs use for this evidence.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::quarantine::crash_detector::CrashEvidence::ConnectionRefused.log_name(), "connections refused");
@@ -60,51 +61,52 @@
     }
 }
 
-/// An upstream that has ended in the middle of runs.
+/// A confirmed crash of an upstream in the middle of runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamCrash {
-    /// The incarnation that ended.
+    /// The incarnation that crashed.
     pub instance: Arc<str>,
-    /// The service that it belonged to.
+    /// The service that the upstream belonged to.
     pub service: Arc<str>,
-    /// When this entry saw the first of its connections break.
+    /// When this entry saw the first of the upstream's connections break.
     pub broke_at_ms: u64,
-    /// What ran there, of this entry's requests, and was not reported before.
+    /// This entry's runs that the crash interrupted, without those of earlier reports.
     pub runs: Vec<BrokenRun>,
-    /// How it was proven.
+    /// How the crash was confirmed.
     pub evidence: CrashEvidence,
-    /// Whether it was not reported before. Connections of the same upstream break one after the
-    /// other.
+    /// Whether this is the first report of the crash. Connections to the same upstream break one
+    /// after the other, so the same crash can be reported again with more runs.
     pub is_first_report: bool,
 }
 
-/// What to do after a connection broke.
+/// What to do after the connection of a run broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BreakAction {
-    /// See whether anybody listens at the upstream's address.
+    /// Probe the upstream's address.
     Probe,
-    /// The address is being tried already.
+    /// Nothing: a probe is under way.
     ProbeRunning,
-    /// The end was proven before.
+    /// Report the run with the crash, which was confirmed before.
     Crashed(UpstreamCrash),
-    /// The run had begun after the connections broke, so it has never reached the upstream.
+    /// Nothing: the run started after the connections broke, so it never reached the upstream.
     Ignore,
 }
 
+/// An upstream with broken connections.
 #[derive(Clone, Debug)]
-struct Break {
+struct BrokenUpstream {
     service: Arc<str>,
     name: Arc<str>,
     address: SocketAddr,
     broke_at_ms: u64,
     runs: Vec<BrokenRun>,
     evidence: Option<CrashEvidence>,
-    /// Whether somebody was seen to listen at its address since, so that an end is unlikely.
+    /// Whether the address has accepted a connection since then, which makes a crash unlikely.
     is_listening: bool,
 }
 
-impl Break {
-    fn take_end(&mut self, instance: &Arc<str>, evidence: CrashEvidence) -> UpstreamCrash {
+impl BrokenUpstream {
+    fn report_crash(&mut self, instance: &Arc<str>, evidence: CrashEvidence) -> UpstreamCrash {
         let is_first_report = self.evidence.replace(evidence).is_none();
         UpstreamCrash {
             instance: Arc::clone(instance),
@@ -117,7 +119,7 @@
     }
 }
 
-/// The upstreams of which connections broke lately, as one entry saw it.
+/// Upstreams of which this entry recently lost connections, by incarnation.
 ///
 /// ```
 /// use sardinewood::direct::quarantine::crash_detector::CrashDetector;
@@ -126,11 +128,11 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CrashDetector {
-    by_instance: IndexMap<Arc<str>, Break>,
+    by_instance: IndexMap<Arc<str>, BrokenUpstream>,
 }
 
 impl CrashDetector {
-    /// Notes that a run's connection broke.
+    /// Records that a run's connection broke, and returns what to do about it.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::{CrashDetector, BreakAction, BrokenRun};
@@ -139,8 +141,8 @@
     /// # let upstream = Upstream { instance: "i-1".into(), name: "i-1".into(), born_ms: None,
     /// #     service: "s".into(), address: "127.0.0.1:80".parse().unwrap(),
     /// #     data_centre: "d".into(), slots: 4, version: "v1".into(), revision: 1, is_leaving: false };
-    /// # let request = Fingerprint::of(FingerprintInput { method: "GET", path: "/", customer: None, body: b"" });
-    /// let run = BrokenRun { request, request_id: "try-1".into(), started_at_ms: 5, has_succeeded_recently: false };
+    /// # let fingerprint = Fingerprint::of(FingerprintInput { method: "GET", path: "/", customer: None, body: b"" });
+    /// let run = BrokenRun { fingerprint, request_id: "try-1".into(), started_at_ms: 5, has_succeeded_recently: false };
     /// let mut crash_detector = CrashDetector::default();
     /// assert_eq!(crash_detector.on_broken_run(&upstream, run.clone(), 9), BreakAction::Probe);
     /// assert_eq!(crash_detector.on_connection_refused("i-1").unwrap().runs, [run]);
@@ -152,7 +154,7 @@
         now_ms: u64,
     ) -> BreakAction {
         let Some(known) = self.by_instance.get_mut(&upstream.instance) else {
-            let new = Break {
+            let new = BrokenUpstream {
                 service: Arc::clone(&upstream.service),
                 name: Arc::clone(&upstream.name),
                 address: upstream.address,
@@ -169,41 +171,47 @@
         }
         known.runs.push(run);
         match known.evidence {
-            Some(evidence) => BreakAction::Crashed(known.take_end(&upstream.instance, evidence)),
+            Some(evidence) => {
+                BreakAction::Crashed(known.report_crash(&upstream.instance, evidence))
+            }
             None => BreakAction::ProbeRunning,
         }
     }
 
-    /// Notes that nobody listens at an upstream's address; its end, if connections broke before.
+    /// Records that an upstream's address refuses connections. Returns the crash if connections to
+    /// the upstream had broken and its crash was not confirmed yet.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// assert_eq!(CrashDetector::default().on_connection_refused("i-1"), None);
     /// ```
     pub fn on_connection_refused(&mut self, instance: &str) -> Option<UpstreamCrash> {
-        self.prove(instance, CrashEvidence::ConnectionRefused)
+        self.confirm(instance, CrashEvidence::ConnectionRefused)
     }
 
-    /// Notes that peers have proven the end of upstreams, by their short names.
+    /// Records crashes that peers reported, by upstream hash. Returns those that were not confirmed
+    /// yet.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// assert!(CrashDetector::default().on_peer_crash_reports(&[7]).is_empty());
     /// ```
-    pub fn on_peer_crash_reports(&mut self, ended: &[u32]) -> Vec<UpstreamCrash> {
-        let is_told = |instance: &str, _: &Break| ended.contains(&upstream_hash(instance));
-        self.prove_where(CrashEvidence::PeerReport, is_told)
+    pub fn on_peer_crash_reports(&mut self, crashed: &[u32]) -> Vec<UpstreamCrash> {
+        let is_reported =
+            |instance: &str, _: &BrokenUpstream| crashed.contains(&upstream_hash(instance));
+        self.confirm_where(CrashEvidence::PeerReport, is_reported)
     }
 
-    /// Compares what broke with the upstreams that are listed now: a new incarnation at the address
-    /// or under the name of one that broke proves that it has ended.
+    /// Compares the broken upstreams with the current list. A new incarnation at the address or under
+    /// the name of a broken upstream confirms that the latter crashed. Returns the crashes that were
+    /// not confirmed yet.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// assert!(CrashDetector::default().on_upstreams_listed(&[]).is_empty());
     /// ```
     pub fn on_upstreams_listed(&mut self, upstreams: &[Arc<Upstream>]) -> Vec<UpstreamCrash> {
-        self.prove_where(CrashEvidence::NewIncarnation, |instance, broken| {
+        self.confirm_where(CrashEvidence::NewIncarnation, |instance, broken| {
             let is_replaced = |upstream: &Arc<Upstream>| {
                 let is_in_place =
                     upstream.address == broken.address || upstream.name == broken.name;
@@ -213,23 +221,24 @@
         })
     }
 
-    /// Notes that an upstream answers a run that began at some time. If its connections had broken
-    /// before, it has not ended.
+    /// Records that an upstream answered a run that started at `started_at_ms`. If its connections
+    /// broke before that, the upstream has not crashed.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// CrashDetector::default().on_answer("i-1", 5);
     /// ```
     pub fn on_answer(&mut self, instance: &str, started_at_ms: u64) {
-        let is_later =
-            |broken: &Break| broken.evidence.is_none() && started_at_ms > broken.broke_at_ms;
+        let is_later = |broken: &BrokenUpstream| {
+            broken.evidence.is_none() && started_at_ms > broken.broke_at_ms
+        };
         if self.by_instance.get(instance).is_some_and(is_later) {
             self.by_instance.swap_remove(instance);
         }
     }
 
-    /// Notes that somebody listens at an upstream's address: it may live, or another one may have
-    /// taken its place already.
+    /// Records that an upstream's address accepted a connection: the upstream may be alive, or
+    /// another process may have taken its place already.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
@@ -241,23 +250,26 @@
         }
     }
 
-    /// How many upstreams have likely ended under a request, without a proof so far.
+    /// Returns how many upstreams have probably crashed while they ran a request, but are not
+    /// confirmed yet.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
-    /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert_eq!(CrashDetector::default().unconfirmed_crashes(request), 0);
+    /// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+    /// assert_eq!(CrashDetector::default().unconfirmed_crashes(fingerprint), 0);
     /// ```
     #[must_use]
-    pub fn unconfirmed_crashes(&self, request: Fingerprint) -> usize {
-        let is_of = |broken: &&Break| broken.runs.iter().any(|run| run.request == request);
-        let is_likely = |broken: &&Break| broken.evidence.is_none() && !broken.is_listening;
+    pub fn unconfirmed_crashes(&self, fingerprint: Fingerprint) -> usize {
+        let has_run =
+            |broken: &&BrokenUpstream| broken.runs.iter().any(|run| run.fingerprint == fingerprint);
+        let is_likely =
+            |broken: &&BrokenUpstream| broken.evidence.is_none() && !broken.is_listening;
         let likely = self.by_instance.values().filter(is_likely);
-        likely.filter(is_of).count()
+        likely.filter(has_run).count()
     }
 
-    /// Whether no connection broke lately.
+    /// Returns whether no upstream has broken connections.
     ///
     /// ```
     /// assert!(sardinewood::direct::quarantine::crash_detector::CrashDetector::default().is_empty());
@@ -267,7 +279,7 @@
         self.by_instance.is_empty()
     }
 
-    /// Whether it is still open if an upstream has ended.
+    /// Returns whether an upstream has broken connections but no confirmed crash.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::crash_detector::CrashDetector;
@@ -280,33 +292,33 @@
             .is_some_and(|broken| broken.evidence.is_none())
     }
 
-    /// Forgets what broke long ago.
+    /// Drops upstreams whose crash can no longer be confirmed.
     ///
     /// ```
     /// sardinewood::direct::quarantine::crash_detector::CrashDetector::default().expire(0);
     /// ```
     pub fn expire(&mut self, now_ms: u64) {
         self.by_instance
-            .retain(|_, broken| now_ms < broken.broke_at_ms + PROVEN_WITHIN_MS);
+            .retain(|_, broken| now_ms < broken.broke_at_ms + CONFIRMATION_WINDOW_MS);
     }
 
-    fn prove(&mut self, instance: &str, evidence: CrashEvidence) -> Option<UpstreamCrash> {
+    fn confirm(&mut self, instance: &str, evidence: CrashEvidence) -> Option<UpstreamCrash> {
         let (_, instance, broken) = self.by_instance.get_full_mut(instance)?;
         broken
             .evidence
             .is_none()
-            .then(|| broken.take_end(instance, evidence))
+            .then(|| broken.report_crash(instance, evidence))
     }
 
-    fn prove_where(
+    fn confirm_where(
         &mut self,
         evidence: CrashEvidence,
-        is_so: impl Fn(&str, &Break) -> bool,
+        matches: impl Fn(&str, &BrokenUpstream) -> bool,
     ) -> Vec<UpstreamCrash> {
         self.by_instance
             .iter_mut()
-            .filter(|(instance, broken)| broken.evidence.is_none() && is_so(instance, broken))
-            .map(|(instance, broken)| broken.take_end(instance, evidence))
+            .filter(|(instance, broken)| broken.evidence.is_none() && matches(instance, broken))
+            .map(|(instance, broken)| broken.report_crash(instance, evidence))
             .collect()
     }
 }
--- a/lib/src/direct/quarantine/fingerprint.rs
+++ b/lib/src/direct/quarantine/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What makes two tries the same request.
+//! Fingerprints, which identify the same request across its retries.
 //!
-//! Each try of a caller has a name of its own, so a request that comes again is known by what it
-//! asks: method, path, customer and body.
+//! Each retry by a caller has a request ID of its own, so a repeated request is recognized by its
+//! content: method, path, customer and body.
 
 use std::fmt;
 
@@ -12,35 +12,36 @@
 
 const BYTES: usize = 16;
 
-/// The same for all tries of one request, at every entry.
+/// A hash of a request's content, the same for all retries of the request and at every entry.
 ///
-/// A cryptographic hash without a key: entries share no secret, and they all have to agree. With a
-/// faster, unkeyed one a customer could make a body that shuts out another customer's request. Of
-/// 128 bits nobody finds two alike.
+/// The hash is cryptographic and has no key, since all entries have to agree on it and share no
+/// secret. With a faster unkeyed hash, a customer could craft a body that gets another customer's
+/// request quarantined. With 128 bits, finding a collision is infeasible.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; BYTES]);
 
-/// What a request asks, and for whom.
+/// The parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintInput<'a> {
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub path: &'a str,
-    /// The customer that its key belongs to; none on routes without keys.
+    /// The customer to whom the request's API key belongs; none on routes without keys.
     pub customer: Option<&'a str>,
-    /// Its body, whole.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
 impl<'a> FingerprintInput<'a> {
-    /// All of it, in the order in which it is read.
+    /// Returns the byte strings to hash, in a fixed order. The first one tells whether there is a
+    /// customer.
     ///
     /// ```
     /// use sardinewood::direct::quarantine::fingerprint::FingerprintInput;
     ///
-    /// let asked = FingerprintInput { method: "GET", path: "/", customer: None, body: b"" };
-    /// assert_eq!(asked.parts()[1], b"GET");
+    /// let input = FingerprintInput { method: "GET", path: "/", customer: None, body: b"" };
+    /// assert_eq!(input.parts()[1], b"GET");
     /// ```
     #[must_use]
     pub fn parts(self) -> [&'a [u8]; 5] {
@@ -56,37 +57,38 @@
 }
 
 impl Fingerprint {
-    /// Of a request; reads its whole body.
+    /// Computes the fingerprint of a request. Hashes the whole body.
     ///
     /// ```
     /// use sardinewood::direct::quarantine::fingerprint::{FingerprintInput, Fingerprint};
     ///
-    /// let asked = FingerprintInput { method: "POST", path: "/a/b", customer: Some("c"), body: b"text" };
-    /// assert_eq!(Fingerprint::of(asked), Fingerprint::of(asked));
-    /// assert_ne!(Fingerprint::of(asked), Fingerprint::of(FingerprintInput { customer: None, ..asked }));
+    /// let input = FingerprintInput { method: "POST", path: "/a/b", customer: Some("c"), body: b"text" };
+    /// assert_eq!(Fingerprint::of(input), Fingerprint::of(input));
+    /// assert_ne!(Fingerprint::of(input), Fingerprint::of(FingerprintInput { customer: None, ..input }));
     /// ```
     #[must_use]
-    pub fn of(asked: FingerprintInput<'_>) -> Self {
+    pub fn of(input: FingerprintInput<'_>) -> Self {
         let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&digest_parts(&asked.parts())[..BYTES]);
+        bytes.copy_from_slice(&digest_parts(&input.parts())[..BYTES]);
         Self(bytes)
     }
 
-    /// A number below a bound, the same at every entry, and spread evenly over requests.
+    /// Returns a number below `bound` that is the same at every entry and evenly distributed over
+    /// requests.
     ///
     /// ```
     /// use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     ///
     /// let request = Fingerprint::parse("0000000000000000000000000000000c").unwrap();
-    /// assert_eq!(request.spread_over(10), 2);
+    /// assert_eq!(request.hash_below(10), 2);
     /// ```
     #[must_use]
-    pub fn spread_over(self, below: i64) -> i64 {
+    pub fn hash_below(self, bound: i64) -> i64 {
         let [.., high, low] = self.0;
-        i64::from(u16::from_be_bytes([high, low])) % below.max(1)
+        i64::from(u16::from_be_bytes([high, low])) % bound.max(1)
     }
 
-    /// Reads one as the log writes it.
+    /// Parses a fingerprint from the hexadecimal form used in logs.
     ///
     /// ```
     /// use sardinewood::direct::quarantine::fingerprint::Fingerprint;
--- a/lib/src/direct/quarantine/suspect_requests.rs
+++ b/lib/src/direct/quarantine/suspect_requests.rs
@@ -1,173 +1,189 @@
-//! Which requests ran where upstreams ended, and which of them are not run any more.
+//! Requests that ran on upstreams when they crashed, and which of them are quarantined.
 //!
-//! All that runs on an upstream ends with it, so one end says little about a request. What tells a
-//! deadly request from its neighbours is that upstreams end under it again and again, in runs that follow
-//! each other, and that it never runs whole. Entries merge what they have seen, so that three ends seen
-//! by three entries are one verdict.
+//! A crash interrupts all runs on the upstream, so a single one says little about a request. A
+//! request that causes crashes differs from those that run beside it: upstreams crash repeatedly in
+//! consecutive runs of it, and it never succeeds. Entries merge what they have observed, so that
+//! three crashes seen by three different entries lead to the same decision as three seen by one.
 
 use indexmap::IndexMap;
 use indexmap::map::Entry;
 
 use crate::direct::quarantine::fingerprint::Fingerprint;
-use crate::direct::quarantine::suspect::ENDS;
-use crate::direct::quarantine::suspect::Hold;
-use crate::direct::quarantine::suspect::MomentMs;
-use crate::direct::quarantine::suspect::Record;
-use crate::direct::quarantine::suspect::SeenEnd;
+use crate::direct::quarantine::suspect::CRASH_THRESHOLD;
+use crate::direct::quarantine::suspect::Crash;
+use crate::direct::quarantine::suspect::InstantMs;
+use crate::direct::quarantine::suspect::Quarantine;
+use crate::direct::quarantine::suspect::Suspect;
 use crate::direct::quarantine::suspect::SuspectUpdate;
-use crate::direct::quarantine::suspect::moment;
+use crate::direct::quarantine::suspect::signed_ms;
 
-/// The least time that a request is held whose ends are shared with another held one: nobody knows which
-/// of the two it was, and the trial tells.
-const SHARED_HOLD_MS: MomentMs = 1_000;
-/// Such trials fall into a time of this length, each at its own moment, or the deadly one would end
-/// the upstream on which the other is tried.
-const SHARED_SPREAD_MS: MomentMs = 2_000;
-/// How long others wait for the outcome of a trial. Upstreams that end do so soon after a run began.
-const TRIAL_MS: MomentMs = 2_000;
-/// Requests that are remembered. Of 250 bytes each, and a caller may bring as many as it likes.
-const MAX_RECORDS: usize = 1_024;
-/// Requests in one message: 85 bytes each at most, so that they fit into one datagram.
-const MAX_TOLD: usize = 14;
-/// Held ones among them.
-const MAX_HELD_TOLD: usize = MAX_TOLD / 2;
+/// Minimum quarantine of a request that shares its crashes with another quarantined request. It is
+/// unknown which of the two caused them, and the trials decide.
+const SHARED_QUARANTINE_MS: InstantMs = 1_000;
+/// Period over which the trials of such requests are distributed, so that the one that causes
+/// crashes doesn't crash the upstream on which the other is tried.
+const SHARED_JITTER_MS: InstantMs = 2_000;
+/// How long other entries wait for the outcome of a trial. A request that crashes upstreams does so
+/// soon after its run starts.
+const TRIAL_MS: InstantMs = 2_000;
+/// Maximum number of tracked requests. Each takes 250 bytes, and a caller can send any number of
+/// different requests.
+const MAX_SUSPECTS: usize = 1_024;
+/// Maximum number of requests in one message. Each takes at most 85 bytes, so that the message fits
+/// into one datagram.
+const MAX_UPDATES: usize = 14;
+/// Maximum number of quarantined requests in one message.
+const MAX_QUARANTINED_UPDATES: usize = MAX_UPDATES / 2;
 
-/// Whether a request may be run.
+/// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineDecision {
-    /// It may.
+    /// The request may run.
     Allow,
-    /// It was held and may be tried, by one entry at a time.
+    /// The quarantine has expired, and the request may run as a trial. Only one entry at a time runs
+    /// a trial.
     AllowTrial,
-    /// It may not for so long.
+    /// The request is quarantined.
     Refuse {
-        /// Time until it may be tried.
+        /// Time until a trial is allowed.
         retry_after_ms: u64,
     },
 }
 
-/// How many requests are known.
+/// Numbers of suspect requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuspectCounts {
-    /// Those under which upstreams ended, and those that were cleared lately.
+    /// Requests during whose runs upstreams crashed, and requests that were recently cleared.
     pub tracked: usize,
-    /// Those that are held now.
+    /// Requests that are quarantined now.
     pub quarantined: usize,
 }
 
-/// What changed by an end or by a peer's word.
+/// What a crash or a peer's update changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectChanges {
-    /// Requests of which something new is known.
+    /// Requests whose state changed.
     pub changed: Vec<Fingerprint>,
-    /// Those of them that are held from now on.
+    /// Requests that are quarantined from now on.
     pub newly_quarantined: Vec<Fingerprint>,
-    /// Short names of upstreams of whose end a peer told.
+    /// Hashes of upstreams whose crash a peer reported.
     pub crashed_upstreams: Vec<u32>,
 }
 
-/// What a peer's word does to what is known of a request.
-enum Merge {
-    /// The peer knows an older state.
-    Nothing,
-    /// The peer knows a later state.
+/// How to merge a peer's state of a request with the known one.
+enum MergeRule {
+    /// The peer's state is older: keep the known one.
+    Ignore,
+    /// The peer's state is newer: adopt it.
     Replace,
-    /// Both know the same state, and what either has seen counts.
+    /// Both states are equally recent: combine their crashes.
     Union,
 }
 
-impl Merge {
-    /// Clearing a request makes void what was seen before, and so does each trial of it.
-    fn of(known: &Record, heard: &Record) -> Self {
-        if known.clears == heard.clears && known.trials() == heard.trials() {
+impl MergeRule {
+    /// Chooses the rule. Clearing a request invalidates its earlier crashes, and so does each trial.
+    fn new(known: &Suspect, received: &Suspect) -> Self {
+        if known.clear_count == received.clear_count
+            && known.failed_trials() == received.failed_trials()
+        {
             return Self::Union;
         }
-        if (heard.clears, heard.trials()) > (known.clears, known.trials()) {
+        if (received.clear_count, received.failed_trials())
+            > (known.clear_count, known.failed_trials())
+        {
             Self::Replace
         } else {
-            Self::Nothing
+            Self::Ignore
         }
     }
 }
 
 impl SuspectChanges {
-    fn note(&mut self, request: Fingerprint) {
-        if !self.changed.contains(&request) {
-            self.changed.push(request);
+    fn mark_changed(&mut self, fingerprint: Fingerprint) {
+        if !self.changed.contains(&fingerprint) {
+            self.changed.push(fingerprint);
         }
     }
 
-    /// Merges what a peer tells of a request into what is known.
-    fn merge(&mut self, request: Fingerprint, known: &mut Record, heard: Record) {
-        match Merge::of(known, &heard) {
-            Merge::Nothing => {}
-            Merge::Replace => {
-                self.replace(request, known.times(), &heard);
-                *known = heard;
+    /// Merges the state of a request that a peer sent into the known one.
+    fn merge(&mut self, fingerprint: Fingerprint, known: &mut Suspect, received: Suspect) {
+        match MergeRule::new(known, &received) {
+            MergeRule::Ignore => {}
+            MergeRule::Replace => {
+                self.replace(fingerprint, known.times_quarantined(), &received);
+                *known = received;
             }
-            Merge::Union => self.unite(request, known, &heard),
+            MergeRule::Union => self.unite(fingerprint, known, &received),
         }
     }
 
-    fn replace(&mut self, request: Fingerprint, known_times: u8, heard: &Record) {
+    fn replace(
+        &mut self,
+        fingerprint: Fingerprint,
+        known_times_quarantined: u8,
+        received: &Suspect,
+    ) {
         self.crashed_upstreams
-            .extend(heard.crashes.iter().map(|end| end.upstream));
-        if heard.times() > known_times {
-            self.newly_quarantined.push(request);
+            .extend(received.crashes.iter().map(|crash| crash.upstream));
+        if received.times_quarantined() > known_times_quarantined {
+            self.newly_quarantined.push(fingerprint);
         }
-        self.changed.push(request);
+        self.changed.push(fingerprint);
     }
 
-    fn unite(&mut self, request: Fingerprint, known: &mut Record, heard: &Record) {
-        let new_ends = heard.crashes.iter().filter(|end| known.note(**end));
-        let new_ends: Vec<u32> = new_ends.map(|end| end.upstream).collect();
-        let was_held = known.quarantine.is_some();
-        let is_better = known.take_hold(heard.quarantine);
-        if is_better && !was_held {
-            self.newly_quarantined.push(request);
+    fn unite(&mut self, fingerprint: Fingerprint, known: &mut Suspect, received: &Suspect) {
+        let new_crashes = received
+            .crashes
+            .iter()
+            .filter(|crash| known.record_crash(**crash));
+        let crashed_upstreams: Vec<u32> = new_crashes.map(|crash| crash.upstream).collect();
+        let was_quarantined = known.quarantine.is_some();
+        let is_newer = known.merge_quarantine(received.quarantine);
+        if is_newer && !was_quarantined {
+            self.newly_quarantined.push(fingerprint);
         }
-        if is_better || !new_ends.is_empty() {
-            self.changed.push(request);
+        if is_newer || !crashed_upstreams.is_empty() {
+            self.changed.push(fingerprint);
         }
-        self.crashed_upstreams.extend(new_ends);
-        known.changed_at_ms = known.changed_at_ms.max(heard.changed_at_ms);
+        self.crashed_upstreams.extend(crashed_upstreams);
+        known.changed_at_ms = known.changed_at_ms.max(received.changed_at_ms);
     }
 }
 
-/// What one entry knows of requests under which upstreams ended.
+/// The suspect requests that one entry knows.
 ///
 /// ```
 /// use sardinewood::direct::quarantine::fingerprint::Fingerprint;
 /// use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, QuarantineDecision};
 ///
-/// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+/// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
 /// let mut suspects = SuspectRequests::default();
 /// for upstream in 1..=3 {
-///     assert_eq!(suspects.decide(request, 0), QuarantineDecision::Allow);
+///     assert_eq!(suspects.decide(fingerprint, 0), QuarantineDecision::Allow);
 ///     let at_ms = u64::from(upstream) * 100;
-///     suspects.record_crash(upstream, at_ms, &[(request, at_ms - 50)], at_ms);
+///     suspects.record_crash(upstream, at_ms, &[(fingerprint, at_ms - 50)], at_ms);
 /// }
-/// assert!(matches!(suspects.decide(request, 300), QuarantineDecision::Refuse { .. }));
+/// assert!(matches!(suspects.decide(fingerprint, 300), QuarantineDecision::Refuse { .. }));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SuspectRequests {
-    records: IndexMap<Fingerprint, Record>,
-    /// Where the next message goes on.
-    next_updates: usize,
+    suspects: IndexMap<Fingerprint, Suspect>,
+    /// Index at which the next resent message starts.
+    resend_cursor: usize,
 }
 
 impl SuspectRequests {
-    /// Whether nothing is known of any request, as on most days.
+    /// Returns whether there are no suspect requests, which is the usual case.
     ///
     /// ```
     /// assert!(sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty()
+        self.suspects.is_empty()
     }
 
-    /// How many requests are remembered, and how many of them are held.
+    /// Returns how many requests are tracked, and how many of them are quarantined.
     ///
     /// ```
     /// let suspects = sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default();
@@ -175,109 +191,111 @@
     /// ```
     #[must_use]
     pub fn counts(&self, now_ms: u64) -> SuspectCounts {
-        let now_ms = moment(now_ms);
-        let is_held = |record: &&Record| {
-            record
+        let now_ms = signed_ms(now_ms);
+        let is_quarantined = |suspect: &&Suspect| {
+            suspect
                 .quarantine
-                .is_some_and(|quarantine| !quarantine.is_over(now_ms))
+                .is_some_and(|quarantine| !quarantine.has_expired(now_ms))
         };
         SuspectCounts {
-            tracked: self.records.len(),
-            quarantined: self.records.values().filter(is_held).count(),
+            tracked: self.suspects.len(),
+            quarantined: self.suspects.values().filter(is_quarantined).count(),
         }
     }
 
-    /// Whether any request is or was held, and so might not be free.
+    /// Returns whether any request is or was quarantined, so that it may have to be refused.
     ///
     /// ```
     /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().has_quarantined());
     /// ```
     #[must_use]
     pub fn has_quarantined(&self) -> bool {
-        self.records
+        self.suspects
             .values()
-            .any(|record| record.quarantine.is_some())
+            .any(|suspect| suspect.quarantine.is_some())
     }
 
-    /// Whether anything is held against any request. What was only cleared is kept for the other
-    /// entries' sake.
+    /// Returns whether any request is suspected. Cleared requests are only kept so that other entries
+    /// learn that they were cleared.
     ///
     /// ```
     /// assert!(!sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().has_suspects());
     /// ```
     #[must_use]
     pub fn has_suspects(&self) -> bool {
-        self.records.values().any(Record::is_suspected)
+        self.suspects.values().any(Suspect::is_suspected)
     }
 
-    /// Whether a request may be run.
+    /// Decides whether a request may run.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectRequests, QuarantineDecision};
-    /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert_eq!(SuspectRequests::default().decide(request, 0), QuarantineDecision::Allow);
+    /// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+    /// assert_eq!(SuspectRequests::default().decide(fingerprint, 0), QuarantineDecision::Allow);
     /// ```
     #[must_use]
-    pub fn decide(&self, request: Fingerprint, now_ms: u64) -> QuarantineDecision {
-        let now_ms = moment(now_ms);
+    pub fn decide(&self, fingerprint: Fingerprint, now_ms: u64) -> QuarantineDecision {
+        let now_ms = signed_ms(now_ms);
         match self
-            .records
-            .get(&request)
-            .and_then(|record| record.quarantine)
+            .suspects
+            .get(&fingerprint)
+            .and_then(|suspect| suspect.quarantine)
         {
             None => QuarantineDecision::Allow,
-            Some(quarantine) if quarantine.is_over(now_ms) => QuarantineDecision::AllowTrial,
+            Some(quarantine) if quarantine.has_expired(now_ms) => QuarantineDecision::AllowTrial,
             Some(quarantine) => QuarantineDecision::Refuse {
                 retry_after_ms: quarantine.until_ms.abs_diff(now_ms),
             },
         }
     }
 
-    /// Whether a request whose connection broke may be sent to one more upstream, if so many of its
-    /// breaks are not known to be ends yet. They are counted as ends, since the proof takes longer than
-    /// sending it on.
+    /// Returns whether a request whose connection broke may be sent to another upstream.
+    ///
+    /// `unconfirmed_crashes` is the number of its broken runs that may turn out to be crashes. They
+    /// are counted as crashes, since confirming one takes longer than the next attempt.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert!(SuspectRequests::default().may_retry(request, 2));
-    /// assert!(!SuspectRequests::default().may_retry(request, 3));
+    /// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+    /// assert!(SuspectRequests::default().may_retry(fingerprint, 2));
+    /// assert!(!SuspectRequests::default().may_retry(fingerprint, 3));
     /// ```
     #[must_use]
-    pub fn may_retry(&self, request: Fingerprint, unproven: usize) -> bool {
-        let record = self.records.get(&request);
-        let crashes = record.map_or(0, |record| record.crashes.len());
-        let was_held = record.is_some_and(|record| record.quarantine.is_some());
-        !was_held && crashes + unproven < ENDS
+    pub fn may_retry(&self, fingerprint: Fingerprint, unconfirmed_crashes: usize) -> bool {
+        let suspect = self.suspects.get(&fingerprint);
+        let crashes = suspect.map_or(0, |suspect| suspect.crashes.len());
+        let was_quarantined = suspect.is_some_and(|suspect| suspect.quarantine.is_some());
+        !was_quarantined && crashes + unconfirmed_crashes < CRASH_THRESHOLD
     }
 
-    /// Notes that an entry tries a request that was held. The others wait for the outcome, so that a
-    /// trial costs one upstream at most.
+    /// Records that this entry starts a trial of a quarantined request. Other entries wait for the
+    /// outcome, so that a trial costs at most one upstream.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// SuspectRequests::default().begin_trial(request, 0);
+    /// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+    /// SuspectRequests::default().begin_trial(fingerprint, 0);
     /// ```
-    pub fn begin_trial(&mut self, request: Fingerprint, now_ms: u64) {
-        let record = self.records.get_mut(&request);
-        if let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) {
+    pub fn begin_trial(&mut self, fingerprint: Fingerprint, now_ms: u64) {
+        let suspect = self.suspects.get_mut(&fingerprint);
+        if let Some(quarantine) = suspect.and_then(|suspect| suspect.quarantine.as_mut()) {
             quarantine.is_trial = true;
-            quarantine.until_ms = moment(now_ms) + TRIAL_MS;
+            quarantine.until_ms = signed_ms(now_ms) + TRIAL_MS;
         }
     }
 
-    /// Notes that an upstream ended, and what ran there since when.
+    /// Records a crash of an upstream at `at_ms`, and the runs that it interrupted: their requests
+    /// and when they started. Returns what changed.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// let change = SuspectRequests::default().record_crash(7, 100, &[(request, 50)], 100);
-    /// assert_eq!(change.changed, [request]);
+    /// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+    /// let change = SuspectRequests::default().record_crash(7, 100, &[(fingerprint, 50)], 100);
+    /// assert_eq!(change.changed, [fingerprint]);
     /// assert!(change.newly_quarantined.is_empty());
     /// ```
     pub fn record_crash(
@@ -287,82 +305,87 @@
         runs: &[(Fingerprint, u64)],
         now_ms: u64,
     ) -> SuspectChanges {
-        let now_ms = moment(now_ms);
+        let now_ms = signed_ms(now_ms);
         let mut change = SuspectChanges::default();
-        for (request, began_ms) in runs {
-            self.make_room(*request);
-            let record = self.records.entry(*request).or_default();
-            let end = SeenEnd {
+        for (fingerprint, started_at_ms) in runs {
+            self.make_room(*fingerprint);
+            let suspect = self.suspects.entry(*fingerprint).or_default();
+            let crash = Crash {
                 upstream,
-                at_ms: moment(at_ms),
-                generation: record.generation_of(moment(*began_ms)),
+                at_ms: signed_ms(at_ms),
+                consecutive_runs: suspect.consecutive_runs_at(signed_ms(*started_at_ms)),
             };
-            if record.is_tried(now_ms) && !record.has(upstream) {
-                record.quarantine = Some(Hold::new(record.times().saturating_add(1), now_ms));
-                record.crashes = vec![end];
-                change.newly_quarantined.push(*request);
-            } else if !record.note(end) {
+            if suspect.is_in_trial(now_ms) && !suspect.has_crashed(upstream) {
+                suspect.quarantine = Some(Quarantine::new(
+                    suspect.times_quarantined().saturating_add(1),
+                    now_ms,
+                ));
+                suspect.crashes = vec![crash];
+                change.newly_quarantined.push(*fingerprint);
+            } else if !suspect.record_crash(crash) {
                 continue;
             }
-            record.changed_at_ms = now_ms;
-            change.changed.push(*request);
+            suspect.changed_at_ms = now_ms;
+            change.changed.push(*fingerprint);
         }
-        self.judge(&mut change, now_ms);
+        self.quarantine_due(&mut change, now_ms);
         change
     }
 
-    /// Notes that a request ran whole, or that an operator has let it go; whether anything was held
-    /// against it.
+    /// Clears a request of suspicion, since it succeeded or an operator released it. Returns whether it
+    /// was suspected.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::fingerprint::Fingerprint;
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
-    /// let request = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
-    /// assert!(!SuspectRequests::default().clear(request, 0));
+    /// let fingerprint = Fingerprint::parse("00112233445566778899aabbccddeeff").unwrap();
+    /// assert!(!SuspectRequests::default().clear(fingerprint, 0));
     /// ```
-    pub fn clear(&mut self, request: Fingerprint, now_ms: u64) -> bool {
-        let Some(record) = self.records.get_mut(&request) else {
+    pub fn clear(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
+        let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
-        if !record.is_suspected() {
+        if !suspect.is_suspected() {
             return false;
         }
-        *record = Record {
-            clears: record.clears.saturating_add(1),
-            changed_at_ms: moment(now_ms),
-            ..Record::default()
+        *suspect = Suspect {
+            clear_count: suspect.clear_count.saturating_add(1),
+            changed_at_ms: signed_ms(now_ms),
+            ..Suspect::default()
         };
         true
     }
 
-    /// Takes a peer's word.
+    /// Merges a peer's updates, and returns what changed.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::{SuspectChanges, SuspectRequests};
     /// assert_eq!(SuspectRequests::default().merge(&[], 0), SuspectChanges::default());
     /// ```
-    pub fn merge(&mut self, told: &[SuspectUpdate], now_ms: u64) -> SuspectChanges {
-        let now_ms = moment(now_ms);
+    pub fn merge(&mut self, updates: &[SuspectUpdate], now_ms: u64) -> SuspectChanges {
+        let now_ms = signed_ms(now_ms);
         let mut change = SuspectChanges::default();
-        for told in told {
-            let heard = Record::from_told(told, now_ms);
-            if now_ms >= heard.forgotten_at_ms() {
+        for update in updates {
+            let received = Suspect::from_update(update, now_ms);
+            if now_ms >= received.expires_at_ms() {
                 continue;
             }
-            self.make_room(told.request);
-            match self.records.entry(told.request) {
-                Entry::Occupied(mut known) => change.merge(told.request, known.get_mut(), heard),
+            self.make_room(update.fingerprint);
+            match self.suspects.entry(update.fingerprint) {
+                Entry::Occupied(mut known) => {
+                    change.merge(update.fingerprint, known.get_mut(), received);
+                }
                 Entry::Vacant(place) => {
-                    change.replace(told.request, 0, &heard);
-                    place.insert(heard);
+                    change.replace(update.fingerprint, 0, &received);
+                    place.insert(received);
                 }
             }
         }
-        self.judge(&mut change, now_ms);
+        self.quarantine_due(&mut change, now_ms);
         change
     }
 
-    /// What to tell of some requests.
+    /// Returns the updates to send to peers for some requests.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
@@ -370,37 +393,42 @@
     /// ```
     #[must_use]
     pub fn updates_for(&self, requests: &[Fingerprint], now_ms: u64) -> Vec<SuspectUpdate> {
-        let known = |request: &Fingerprint| {
-            let record = self.records.get(request)?;
-            Some(record.told(*request, moment(now_ms)))
+        let update = |fingerprint: &Fingerprint| {
+            let suspect = self.suspects.get(fingerprint)?;
+            Some(suspect.to_update(*fingerprint, signed_ms(now_ms)))
         };
-        requests.iter().filter_map(known).take(MAX_TOLD).collect()
+        requests
+            .iter()
+            .filter_map(update)
+            .take(MAX_UPDATES)
+            .collect()
     }
 
-    /// What to tell a peer that may have missed something: what is held, and the others in turn.
+    /// Returns the updates to resend to a peer that may have missed some: quarantined requests and
+    /// others, taking turns within each group.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
     /// assert!(SuspectRequests::default().next_updates(0).is_empty());
     /// ```
     pub fn next_updates(&mut self, now_ms: u64) -> Vec<SuspectUpdate> {
-        let (held, others): (Vec<_>, Vec<_>) = self
-            .records
+        let (quarantined, others): (Vec<_>, Vec<_>) = self
+            .suspects
             .iter()
-            .partition(|(_, record)| record.quarantine.is_some());
-        let some_of = |all: Vec<(&Fingerprint, &Record)>, most: usize| {
-            let first = self.next_updates % all.len().max(1);
+            .partition(|(_, suspect)| suspect.quarantine.is_some());
+        let some_of = |all: Vec<(&Fingerprint, &Suspect)>, most: usize| {
+            let first = self.resend_cursor % all.len().max(1);
             let some = all.iter().cycle().skip(first).take(most.min(all.len()));
-            some.map(|(request, record)| record.told(**request, moment(now_ms)))
+            some.map(|(fingerprint, suspect)| suspect.to_update(**fingerprint, signed_ms(now_ms)))
                 .collect::<Vec<SuspectUpdate>>()
         };
-        let mut told = some_of(held, MAX_HELD_TOLD);
-        told.extend(some_of(others, MAX_TOLD - MAX_HELD_TOLD));
-        self.next_updates = self.next_updates.wrapping_add(MAX_HELD_TOLD);
-        told
+        let mut updates = some_of(quarantined, MAX_QUARANTINED_UPDATES);
+        updates.extend(some_of(others, MAX_UPDATES - MAX_QUARANTINED_UPDATES));
+        self.resend_cursor = self.resend_cursor.wrapping_add(MAX_QUARANTINED_UPDATES);
+        updates
     }
 
-    /// What is known of a request, for operators.
+    /// Returns the states of all requests.
     ///
     /// ```
     /// # use sardinewood::direct::quarantine::suspect_requests::SuspectRequests;
@@ -408,29 +436,30 @@
     /// ```
     #[must_use]
     pub fn all_updates(&self, now_ms: u64) -> Vec<SuspectUpdate> {
-        let told =
-            |(request, record): (&Fingerprint, &Record)| record.told(*request, moment(now_ms));
-        self.records.iter().map(told).collect()
+        let update = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
+            suspect.to_update(*fingerprint, signed_ms(now_ms))
+        };
+        self.suspects.iter().map(update).collect()
     }
 
-    /// Forgets what is long ago.
+    /// Drops the states that have expired.
     ///
     /// ```
     /// sardinewood::direct::quarantine::suspect_requests::SuspectRequests::default().expire(0);
     /// ```
     pub fn expire(&mut self, now_ms: u64) {
-        let now_ms = moment(now_ms);
-        self.records
-            .retain(|_, record| now_ms < record.forgotten_at_ms());
+        let now_ms = signed_ms(now_ms);
+        self.suspects
+            .retain(|_, suspect| now_ms < suspect.expires_at_ms());
     }
 
-    /// Holds those of the changed requests under which enough upstreams have ended.
-    fn judge(&mut self, change: &mut SuspectChanges, now_ms: MomentMs) {
-        for request in change.changed.clone() {
-            let record = self.records.get_mut(&request);
-            if let Some(record) = record.filter(|record| record.is_guilty()) {
-                record.quarantine = Some(Hold::new(1, now_ms));
-                change.newly_quarantined.push(request);
+    /// Quarantines those of the changed requests during whose runs enough upstreams crashed.
+    fn quarantine_due(&mut self, change: &mut SuspectChanges, now_ms: InstantMs) {
+        for fingerprint in change.changed.clone() {
+            let suspect = self.suspects.get_mut(&fingerprint);
+            if let Some(suspect) = suspect.filter(|suspect| suspect.is_quarantine_due()) {
+                suspect.quarantine = Some(Quarantine::new(1, now_ms));
+                change.newly_quarantined.push(fingerprint);
             }
         }
         if !change.newly_quarantined.is_empty() {
@@ -438,64 +467,67 @@
         }
     }
 
-    /// Lets those be tried soon of whose ends too few are their own: at the others, another held
-    /// request was there as well, and nobody knows which of the two it was.
+    /// Shortens the first quarantine of requests that share their crashes with other quarantined
+    /// requests, so that a trial soon tells which request caused them.
     ///
-    /// What runs beside a deadly request gathers its ends, and a popular request those of several
-    /// deadly ones, before any of them has three. Held for a minute, its callers would lose more than by
-    /// all these ends.
-    fn shorten_shared(&mut self, change: &mut SuspectChanges, now_ms: MomentMs) {
+    /// A request that runs beside one that crashes upstreams collects the crashes of the latter, and a
+    /// popular request collects those of several, before any of them has three. If it were
+    /// quarantined for a minute, its callers would lose more than by all these crashes.
+    fn shorten_shared(&mut self, change: &mut SuspectChanges, now_ms: InstantMs) {
         let shared: Vec<Fingerprint> = self
-            .records
+            .suspects
             .iter()
-            .filter(|(_, record)| record.is_held_first())
-            .filter(|(request, record)| self.own_ends(request, record) < ENDS)
-            .map(|(request, _)| *request)
+            .filter(|(_, suspect)| suspect.is_in_first_quarantine())
+            .filter(|(fingerprint, suspect)| {
+                self.unshared_crashes(fingerprint, suspect) < CRASH_THRESHOLD
+            })
+            .map(|(fingerprint, _)| *fingerprint)
             .collect();
-        for request in shared {
-            let soon_ms = now_ms + SHARED_HOLD_MS + request.spread_over(SHARED_SPREAD_MS);
-            let record = self.records.get_mut(&request);
-            let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) else {
+        for fingerprint in shared {
+            let soon_ms = now_ms + SHARED_QUARANTINE_MS + fingerprint.hash_below(SHARED_JITTER_MS);
+            let suspect = self.suspects.get_mut(&fingerprint);
+            let Some(quarantine) = suspect.and_then(|suspect| suspect.quarantine.as_mut()) else {
                 continue;
             };
             if quarantine.until_ms > soon_ms {
                 quarantine.until_ms = soon_ms;
-                change.note(request);
+                change.mark_changed(fingerprint);
             }
         }
     }
 
-    /// How many upstreams ended under a request where no other held one ran.
-    fn own_ends(&self, request: &Fingerprint, record: &Record) -> usize {
-        let others: Vec<&Record> = self
-            .records
+    /// Returns the number of a request's crashes in which no other quarantined request ran.
+    fn unshared_crashes(&self, fingerprint: &Fingerprint, suspect: &Suspect) -> usize {
+        let others: Vec<&Suspect> = self
+            .suspects
             .iter()
-            .filter(|(other, record)| *other != request && record.quarantine.is_some())
-            .map(|(_, record)| record)
+            .filter(|(other, suspect)| *other != fingerprint && suspect.quarantine.is_some())
+            .map(|(_, suspect)| suspect)
             .collect();
-        let is_own = |end: &&SeenEnd| !others.iter().any(|other| other.has(end.upstream));
-        record.crashes.iter().filter(is_own).count()
+        let is_unshared =
+            |crash: &&Crash| !others.iter().any(|other| other.has_crashed(crash.upstream));
+        suspect.crashes.iter().filter(is_unshared).count()
     }
 
-    /// Makes room for a request, so that a caller that brings new bodies without end costs no memory:
-    /// what is not held goes first, and the oldest.
-    fn make_room(&mut self, request: Fingerprint) {
-        if self.records.len() < MAX_RECORDS || self.records.contains_key(&request) {
+    /// Makes room for a request, so that a caller that sends an endless sequence of different bodies
+    /// can't exhaust the memory. Evicts requests that were never quarantined first, the oldest first.
+    fn make_room(&mut self, fingerprint: Fingerprint) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&fingerprint) {
             return;
         }
-        let rank = |record: &Record| {
+        let rank = |suspect: &Suspect| {
             (
-                record.quarantine.map(|quarantine| quarantine.times),
-                record.changed_at_ms,
+                suspect.quarantine.map(|quarantine| quarantine.times),
+                suspect.changed_at_ms,
             )
         };
-        let least = self
-            .records
+        let evicted = self
+            .suspects
             .iter()
-            .min_by_key(|(_, record)| rank(record))
-            .map(|(request, _)| *request);
-        if let Some(least) = least {
-            self.records.swap_remove(&least);
+            .min_by_key(|(_, suspect)| rank(suspect))
+            .map(|(fingerprint, _)| *fingerprint);
+        if let Some(evicted) = evicted {
+            self.suspects.swap_remove(&evicted);
         }
     }
 }
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -1,5 +1,5 @@
-//! From a broken connection to a request that is not run any more: carries out what [`quarantine`]
-//! decides, and lets the other entries know.
+//! Drives [`quarantine`]: feeds it broken connections and successes, probes upstreams, sends updates
+//! to the other entries, and writes logs.
 //!
 //! [`quarantine`]: crate::direct::quarantine
 
@@ -17,7 +17,7 @@
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::direct::quarantine::crash_detector::BreakAction;
 use crate::direct::quarantine::crash_detector::BrokenRun;
-use crate::direct::quarantine::crash_detector::PROBE_PAUSES_MS;
+use crate::direct::quarantine::crash_detector::PROBE_DELAYS_MS;
 use crate::direct::quarantine::crash_detector::UpstreamCrash;
 use crate::direct::quarantine::fingerprint::Fingerprint;
 use crate::direct::quarantine::suspect::SuspectUpdate;
@@ -30,28 +30,29 @@
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// A request that is not run now.
+/// A request that is refused because it is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantinedRequest {
-    /// The request.
-    pub request: Fingerprint,
-    /// Time until it may be tried.
+    /// The request's fingerprint.
+    pub fingerprint: Fingerprint,
+    /// Time until a trial is allowed.
     pub retry_after_ms: u64,
 }
 
 impl TrafficState {
-    /// Notes that the connection broke on which a request ran.
+    /// Records that the connection of a run broke.
     ///
-    /// A request that ends whatever runs it was to each entry one of many broken connections. Its caller
-    /// sends it again, every try ends an upstream, and all that runs beside it is cut.
+    /// Without this, a request that crashes every upstream that runs it looks to each entry like one of
+    /// many broken connections. Its caller retries it, and each attempt crashes an upstream and
+    /// interrupts all other runs there.
     pub fn record_broken_run(self: &Rc<Self>, call: &Call, lease: &SlotLease) {
         let upstream = &lease.upstream;
-        // One that leaves ends when it has done its work, whatever was sent to it.
+        // An upstream that is shutting down exits when its work is done, whatever was sent to it.
         if !self.dispatcher.borrow().is_listed(&upstream.instance) {
             return;
         }
         let run = BrokenRun {
-            request: call.fingerprint(),
+            fingerprint: call.fingerprint(),
             request_id: call.name().into(),
             started_at_ms: lease.acquired_at_ms(),
             has_succeeded_recently: self
@@ -59,42 +60,42 @@
                 .borrow()
                 .contains(call.fingerprint_input(), self.now_ms()),
         };
-        let next = self
+        let action = self
             .crash_detector
             .borrow_mut()
             .on_broken_run(upstream, run, self.now_ms());
-        match next {
+        match action {
             BreakAction::Probe => {
                 spawn_local(probe(Rc::clone(self), Arc::clone(upstream)));
             }
-            BreakAction::Crashed(end) => self.upstream_ended(&end),
+            BreakAction::Crashed(crash) => self.record_crash(&crash),
             BreakAction::ProbeRunning | BreakAction::Ignore => {}
         }
     }
 
-    /// Notes that nobody listens at an upstream's address.
+    /// Records that an upstream's address refuses connections.
     pub fn record_refused_connection(&self, instance: &str) {
-        let end = self
+        let crash = self
             .crash_detector
             .borrow_mut()
             .on_connection_refused(instance);
-        if let Some(end) = end {
-            self.upstream_ended(&end);
+        if let Some(crash) = crash {
+            self.record_crash(&crash);
         }
     }
 
-    /// Looks for upstreams whose place another incarnation has taken.
+    /// Records crashes of upstreams that the list shows replaced by another incarnation.
     pub fn detect_replaced_upstreams(&self, upstreams: &[Arc<Upstream>]) {
-        let ends = self
+        let crashes = self
             .crash_detector
             .borrow_mut()
             .on_upstreams_listed(upstreams);
-        for end in &ends {
-            self.upstream_ended(end);
+        for crash in &crashes {
+            self.record_crash(crash);
         }
     }
 
-    /// Notes that a request ran whole, which clears it of all ends that it was suspected of.
+    /// Records that a request succeeded, which clears it of suspicion.
     pub fn record_success(&self, call: &Call) {
         self.recent_successes
             .borrow_mut()
@@ -104,16 +105,16 @@
         }
     }
 
-    /// Holds nothing against a request any more; whether anything was.
-    pub fn clear_suspicion(&self, request: Fingerprint) -> bool {
-        let is_cleared = self.suspects.borrow_mut().clear(request, self.now_ms());
+    /// Clears a request of suspicion, here and at all peers. Returns whether it was suspected.
+    pub fn clear_suspicion(&self, fingerprint: Fingerprint) -> bool {
+        let is_cleared = self.suspects.borrow_mut().clear(fingerprint, self.now_ms());
         if is_cleared {
-            self.tell_all_of(&[request]);
+            self.send_updates_to_all(&[fingerprint]);
         }
         is_cleared
     }
 
-    /// Whether a request whose connection broke may be sent to one more upstream.
+    /// Returns whether a request whose connection broke may be sent to another upstream.
     #[must_use]
     pub fn may_retry(&self, call: &Call) -> bool {
         let crash_detector = self.crash_detector.borrow();
@@ -121,125 +122,128 @@
         if crash_detector.is_empty() && suspects.is_empty() {
             return true;
         }
-        let request = call.fingerprint();
-        suspects.may_retry(request, crash_detector.unconfirmed_crashes(request))
+        let fingerprint = call.fingerprint();
+        suspects.may_retry(fingerprint, crash_detector.unconfirmed_crashes(fingerprint))
     }
 
-    /// Whether a request may be run. Its fingerprint is only asked for if any request is held.
+    /// Checks that a request is not quarantined. Computes its fingerprint only if some request is or
+    /// was quarantined.
     ///
     /// # Errors
     ///
-    /// When it is held.
+    /// Returns an error if the request is quarantined.
     pub fn check_quarantine(
         &self,
-        fingerprint: impl FnOnce() -> Fingerprint,
+        compute_fingerprint: impl FnOnce() -> Fingerprint,
     ) -> Result<(), QuarantinedRequest> {
         let now_ms = self.now_ms();
         if !self.suspects.borrow().has_quarantined() {
             return Ok(());
         }
-        let request = fingerprint();
-        let verdict = self.suspects.borrow().decide(request, now_ms);
-        match verdict {
+        let fingerprint = compute_fingerprint();
+        let decision = self.suspects.borrow().decide(fingerprint, now_ms);
+        match decision {
             QuarantineDecision::Allow => Ok(()),
             QuarantineDecision::AllowTrial => {
-                self.suspects.borrow_mut().begin_trial(request, now_ms);
-                self.tell_all_of(&[request]);
-                self.log(Level::Warn, "held request is tried", |line| {
-                    line.field("fingerprint", request.to_string())
-                });
+                self.suspects.borrow_mut().begin_trial(fingerprint, now_ms);
+                self.send_updates_to_all(&[fingerprint]);
+                self.log(
+                    Level::Warn,
+                    "running a trial of a quarantined request",
+                    |line| line.field("fingerprint", fingerprint.to_string()),
+                );
                 Ok(())
             }
             QuarantineDecision::Refuse { retry_after_ms } => Err(QuarantinedRequest {
-                request,
+                fingerprint,
                 retry_after_ms,
             }),
         }
     }
 
-    /// Takes a peer's word of requests under which upstreams ended.
-    pub fn merge_suspect_updates(&self, told: &[SuspectUpdate]) {
-        let change = self.suspects.borrow_mut().merge(told, self.now_ms());
+    /// Merges a peer's updates of suspect requests, and forwards those that were new.
+    pub fn merge_suspect_updates(&self, updates: &[SuspectUpdate]) {
+        let change = self.suspects.borrow_mut().merge(updates, self.now_ms());
         if !change.changed.is_empty() {
             let known = self
                 .suspects
                 .borrow()
                 .updates_for(&change.changed, self.now_ms());
-            self.tell_some_of(known, gossip::FORWARD_PEERS);
+            self.send_updates(known, gossip::FORWARD_PEERS);
         }
-        self.log_held(&change.newly_quarantined);
-        let ends = self
+        self.log_quarantined(&change.newly_quarantined);
+        let crashes = self
             .crash_detector
             .borrow_mut()
             .on_peer_crash_reports(&change.crashed_upstreams);
-        for end in &ends {
-            self.upstream_ended(end);
+        for crash in &crashes {
+            self.record_crash(crash);
         }
     }
 
-    /// Forgets what is long ago, and tells one peer a part of the rest: it makes up for lost datagrams
-    /// and for what an entry missed that was cut off.
+    /// Drops expired state, and resends a part of the rest to one peer. That makes up for lost
+    /// datagrams and for updates that a disconnected entry missed.
     pub fn maintain_quarantine(&self) {
         let now_ms = self.now_ms();
         self.crash_detector.borrow_mut().expire(now_ms);
         let mut suspects = self.suspects.borrow_mut();
         suspects.expire(now_ms);
-        let told = suspects.next_updates(now_ms);
+        let updates = suspects.next_updates(now_ms);
         drop(suspects);
-        self.tell_some_of(told, gossip::RESEND_PEERS);
+        self.send_updates(updates, gossip::RESEND_PEERS);
     }
 
-    /// Tells a peer what is known that has started, or was silent.
+    /// Sends the known suspects to a peer that has started or was silent.
     pub fn sync_suspects_to(&self, peer: SocketAddr) {
         if self.suspects.borrow().is_empty() || !self.should_sync_peer() {
             return;
         }
-        let told = self.suspects.borrow_mut().next_updates(self.now_ms());
-        self.send_to_peer(peer, &PeerMessage::SuspectRequests(told));
+        let updates = self.suspects.borrow_mut().next_updates(self.now_ms());
+        self.send_to_peer(peer, &PeerMessage::SuspectRequests(updates));
     }
 
-    fn tell_all_of(&self, requests: &[Fingerprint]) {
-        let told = self.suspects.borrow().updates_for(requests, self.now_ms());
-        self.tell_some_of(told, usize::MAX);
+    fn send_updates_to_all(&self, requests: &[Fingerprint]) {
+        let updates = self.suspects.borrow().updates_for(requests, self.now_ms());
+        self.send_updates(updates, usize::MAX);
     }
 
-    fn tell_some_of(&self, told: Vec<SuspectUpdate>, most: usize) {
-        if !told.is_empty() {
-            self.send_to_random_peers(&PeerMessage::SuspectRequests(told), most);
+    fn send_updates(&self, updates: Vec<SuspectUpdate>, most: usize) {
+        if !updates.is_empty() {
+            self.send_to_random_peers(&PeerMessage::SuspectRequests(updates), most);
         }
     }
 
-    fn log_held(&self, held: &[Fingerprint]) {
-        for request in held {
+    fn log_quarantined(&self, quarantined: &[Fingerprint]) {
+        for fingerprint in quarantined {
             self.log(Level::Warn, "request is held", |line| {
-                line.field("fingerprint", request.to_string())
+                line.field("fingerprint", fingerprint.to_string())
             });
         }
     }
 
-    fn upstream_ended(&self, end: &UpstreamCrash) {
-        self.log_end(end);
-        let runs: Vec<(Fingerprint, u64)> = end
+    fn record_crash(&self, crash: &UpstreamCrash) {
+        self.log_crash(crash);
+        let runs: Vec<(Fingerprint, u64)> = crash
             .runs
             .iter()
             .filter(|run| !run.has_succeeded_recently)
-            .map(|run| (run.request, run.started_at_ms))
+            .map(|run| (run.fingerprint, run.started_at_ms))
             .collect();
-        let upstream = upstream_hash(&end.instance);
+        let upstream = upstream_hash(&crash.instance);
         let change = self.suspects.borrow_mut().record_crash(
             upstream,
-            end.broke_at_ms,
+            crash.broke_at_ms,
             &runs,
             self.now_ms(),
         );
-        self.tell_all_of(&change.changed);
-        self.log_held(&change.newly_quarantined);
+        self.send_updates_to_all(&change.changed);
+        self.log_quarantined(&change.newly_quarantined);
     }
 
-    fn log_end(&self, end: &UpstreamCrash) {
-        if end.is_first_report {
-            let ends = &self.metrics.upstream_ends;
-            ends.with_label_values(&[&*end.service]).inc();
+    fn log_crash(&self, crash: &UpstreamCrash) {
+        if crash.is_first_report {
+            let crashes = &self.metrics.upstream_ends;
+            crashes.with_label_values(&[&*crash.service]).inc();
         }
         self.log(
             Level::Warn,
@@ -248,24 +252,23 @@
                 let run = |run: &BrokenRun| {
                     json!({
                         "request": run.request_id,
-                        "fingerprint": run.request.to_string(),
-                        "held_ms": end.broke_at_ms.saturating_sub(run.started_at_ms),
+                        "fingerprint": run.fingerprint.to_string(),
+                        "held_ms": crash.broke_at_ms.saturating_sub(run.started_at_ms),
                         "ran_whole_lately": run.has_succeeded_recently,
                     })
                 };
-                line.field("upstream", &end.instance)
-                    .field("service", &end.service)
-                    .field("proof", end.evidence.log_name())
-                    .field("runs", end.runs.iter().map(run).collect::<Vec<_>>())
+                line.field("upstream", &crash.instance)
+                    .field("service", &crash.service)
+                    .field("proof", crash.evidence.log_name())
+                    .field("runs", crash.runs.iter().map(run).collect::<Vec<_>>())
             },
         );
     }
 }
 
-/// Sees whether anybody listens at an upstream's address. A connection that comes of it is kept, in
-/// place of the one that broke.
+/// Probes an upstream's address. Keeps a connection that succeeds, in place of the broken one.
 async fn probe(traffic: Rc<TrafficState>, upstream: Arc<Upstream>) {
-    for pause_ms in PROBE_PAUSES_MS {
+    for pause_ms in PROBE_DELAYS_MS {
         sleep(Duration::from_millis(pause_ms)).await;
         if !traffic
             .crash_detector
@@ -285,12 +288,16 @@
                     .put(&upstream.instance, connection, None);
             }
             Err(ConnectError::Refused) => traffic.record_refused_connection(&upstream.instance),
-            // It proves neither an end nor that the upstream lives.
+            // This confirms neither that the upstream crashed nor that it is alive.
             Err(error @ (ConnectError::TimedOut | ConnectError::Unusable)) => {
-                traffic.log(Level::Info, "broken upstream can't be reached", |line| {
-                    line.field("upstream", &upstream.instance)
-                        .field("error", error.name())
-                });
+                traffic.log(
+                    Level::Info,
+                    "probe of an upstream with broken connections failed",
+                    |line| {
+                        line.field("upstream", &upstream.instance)
+                            .field("error", error.name())
+                    },
+                );
             }
         }
     }
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -360,7 +360,7 @@
     id: Option<&HeaderValue>,
 ) -> Refusal {
     let inputs = json!({
-        "fingerprint": held.request.to_string(),
+        "fingerprint": held.fingerprint.to_string(),
         "route": route.name,
         "customer": customer.map(|customer| &customer.name),
     });
--- a/lib/src/direct/request/quarantine_page.rs
+++ b/lib/src/direct/request/quarantine_page.rs
@@ -33,7 +33,7 @@
             .quarantine
             .and_then(|quarantine| u64::try_from(quarantine.left_ms).ok());
         Self {
-            fingerprint: told.request.to_string(),
+            fingerprint: told.fingerprint.to_string(),
             held_for_ms: left_ms.filter(|left_ms| *left_ms > 0),
             times_held: told.quarantine.map_or(0, |quarantine| quarantine.times),
             is_being_tried: told
--- a/lib/tests/test_direct_crash_detector.rs
+++ b/lib/tests/test_direct_crash_detector.rs
@@ -1,4 +1,5 @@
-//! Which broken connections prove that an upstream has ended.
+//! Tests of which broken connections confirm that an upstream has crashed, of fingerprints, and of
+//! recent successes.
 
 use std::sync::Arc;
 
@@ -15,7 +16,7 @@
 use crate::direct_fixture::born;
 use crate::direct_fixture::upstream;
 
-fn asked(body: &[u8]) -> FingerprintInput<'_> {
+fn input(body: &[u8]) -> FingerprintInput<'_> {
     FingerprintInput {
         method: "POST",
         path: "/notes/1",
@@ -26,15 +27,15 @@
 
 fn run(body: &str, started_at_ms: u64) -> BrokenRun {
     BrokenRun {
-        request: Fingerprint::of(asked(body.as_bytes())),
+        fingerprint: Fingerprint::of(input(body.as_bytes())),
         request_id: body.into(),
         started_at_ms,
         has_succeeded_recently: false,
     }
 }
 
-/// One run on `i-1` that broke at 100 ms.
-fn one_broken() -> (CrashDetector, Arc<Upstream>) {
+/// Returns a detector with one run on `i-1` that broke at 100 ms.
+fn one_broken_run() -> (CrashDetector, Arc<Upstream>) {
     let mut crash_detector = CrashDetector::default();
     let one = upstream("i-1", 4);
     assert_eq!(
@@ -45,19 +46,19 @@
 }
 
 #[test]
-fn broken_connection_alone_proves_no_end() {
-    // A run is cut by the network, and the upstream answers the next one. It was taken for no end,
-    // so what ran there is not held against any request.
-    let (mut crash_detector, one) = one_broken();
+fn broken_connection_alone_confirms_no_crash() {
+    // The network breaks a run's connection, and the upstream answers the next run. That is no crash,
+    // so no request becomes suspect.
+    let (mut crash_detector, one) = one_broken_run();
     crash_detector.on_answer(&one.instance, 150);
     assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
 #[test]
-fn answer_on_its_way_at_the_break_proves_no_life() {
-    // An answer of a run that began before the break may be read after it. The upstream may have
-    // ended all the same.
-    let (mut crash_detector, one) = one_broken();
+fn answer_in_flight_at_the_break_rules_out_no_crash() {
+    // The answer of a run that started before the break may be read after it. The upstream may have
+    // crashed nevertheless.
+    let (mut crash_detector, one) = one_broken_run();
     crash_detector.on_answer(&one.instance, 50);
     assert!(
         crash_detector
@@ -67,41 +68,44 @@
 }
 
 #[test]
-fn refused_connection_proves_the_end_once() {
-    let (mut crash_detector, one) = one_broken();
+fn refused_connection_confirms_the_crash_once() {
+    let (mut crash_detector, one) = one_broken_run();
     assert_eq!(
         crash_detector.on_broken_run(&one, run("b", 20), 101),
         BreakAction::ProbeRunning
     );
-    let end = crash_detector
+    let crash = crash_detector
         .on_connection_refused(&one.instance)
-        .expect("an end");
-    assert_eq!(end.runs, [run("a", 10), run("b", 20)]);
+        .expect("a crash");
+    assert_eq!(crash.runs, [run("a", 10), run("b", 20)]);
     assert_eq!(
-        (end.evidence, end.is_first_report),
+        (crash.evidence, crash.is_first_report),
         (CrashEvidence::ConnectionRefused, true)
     );
     assert_eq!(crash_detector.on_connection_refused(&one.instance), None);
 }
 
 #[test]
-fn run_whose_break_is_seen_after_the_proof_counts() {
-    // Connections of one upstream break one after the other, and the first refusal may come between.
-    let (mut crash_detector, one) = one_broken();
+fn run_that_breaks_after_the_confirmation_counts() {
+    // Connections to one upstream break one after the other, and a probe may be refused in between.
+    let (mut crash_detector, one) = one_broken_run();
     crash_detector
         .on_connection_refused(&one.instance)
-        .expect("an end");
-    let BreakAction::Crashed(end) = crash_detector.on_broken_run(&one, run("b", 20), 102) else {
-        panic!("the end is known");
+        .expect("a crash");
+    let BreakAction::Crashed(crash) = crash_detector.on_broken_run(&one, run("b", 20), 102) else {
+        panic!("the crash is confirmed");
     };
-    assert_eq!((end.runs, end.is_first_report), (vec![run("b", 20)], false));
+    assert_eq!(
+        (crash.runs, crash.is_first_report),
+        (vec![run("b", 20)], false)
+    );
 }
 
 #[test]
-fn run_sent_after_the_break_was_never_there() {
-    // A kept connection of an upstream that has ended takes one more request before anybody sees
-    // that it is dead. That request had no part in the end.
-    let (mut crash_detector, one) = one_broken();
+fn run_sent_after_the_break_is_ignored() {
+    // A pooled connection to a crashed upstream takes one more request before the break is noticed.
+    // That request has no part in the crash.
+    let (mut crash_detector, one) = one_broken_run();
     assert_eq!(
         crash_detector.on_broken_run(&one, run("late", 101), 103),
         BreakAction::Ignore
@@ -109,7 +113,7 @@
     assert_eq!(
         crash_detector
             .on_connection_refused(&one.instance)
-            .expect("an end")
+            .expect("a crash")
             .runs
             .len(),
         1
@@ -117,51 +121,51 @@
 }
 
 #[test]
-fn another_incarnation_in_its_place_proves_the_end() {
-    // A host that loses power refuses nothing: its address is silent. The list tells of the end when
-    // another incarnation stands at the address, or under the name.
+fn another_incarnation_in_its_place_confirms_the_crash() {
+    // A host that loses power does not refuse connections: its address does not respond. The upstream
+    // list shows the crash when another incarnation has the address or the name.
     let other_name = upstream("i-2", 4);
     let same_name = Arc::new(Upstream {
         address: "127.0.0.1:81".parse().expect("an address"),
         ..born("i-1", 7)
     });
     for next in [other_name, same_name] {
-        let (mut crash_detector, one) = one_broken();
+        let (mut crash_detector, one) = one_broken_run();
         assert!(
             crash_detector.on_upstreams_listed(&[one]).is_empty(),
             "it is still there"
         );
-        let ends = crash_detector.on_upstreams_listed(&[next]);
-        assert_eq!(ends.len(), 1);
-        assert_eq!(ends[0].evidence, CrashEvidence::NewIncarnation);
+        let crashes = crash_detector.on_upstreams_listed(&[next]);
+        assert_eq!(crashes.len(), 1);
+        assert_eq!(crashes[0].evidence, CrashEvidence::NewIncarnation);
     }
 }
 
 #[test]
-fn vanished_entry_alone_proves_no_end() {
-    // A cut takes an upstream out of the list although it runs on.
-    let (mut crash_detector, _) = one_broken();
+fn missing_list_entry_alone_confirms_no_crash() {
+    // A network partition removes an upstream from the list although it keeps running.
+    let (mut crash_detector, _) = one_broken_run();
     assert!(crash_detector.on_upstreams_listed(&[]).is_empty());
 }
 
 #[test]
-fn peers_word_proves_the_end() {
-    let (mut crash_detector, one) = one_broken();
+fn peer_report_confirms_the_crash() {
+    let (mut crash_detector, one) = one_broken_run();
     assert!(
         crash_detector
             .on_peer_crash_reports(&[upstream_hash("i-7")])
             .is_empty()
     );
-    let ends = crash_detector.on_peer_crash_reports(&[upstream_hash(&one.instance)]);
-    assert_eq!(ends[0].evidence, CrashEvidence::PeerReport);
+    let crashes = crash_detector.on_peer_crash_reports(&[upstream_hash(&one.instance)]);
+    assert_eq!(crashes[0].evidence, CrashEvidence::PeerReport);
 }
 
 #[test]
-fn upstream_that_listens_has_likely_not_ended() {
-    // A network resets connections of a popular request at several upstreams. Each counted as a likely end,
-    // its callers' streams would not go on elsewhere.
-    let (mut crash_detector, one) = one_broken();
-    let request = run("a", 10).request;
+fn upstream_that_listens_has_probably_not_crashed() {
+    // The network resets connections of a popular request at several upstreams. If each counted as a
+    // probable crash, its callers' streams would not be resumed elsewhere.
+    let (mut crash_detector, one) = one_broken_run();
+    let request = run("a", 10).fingerprint;
     assert_eq!(crash_detector.unconfirmed_crashes(request), 1);
     crash_detector.on_connection_accepted(&one.instance);
     assert_eq!(crash_detector.unconfirmed_crashes(request), 0);
@@ -169,14 +173,15 @@
         crash_detector
             .on_connection_refused(&one.instance)
             .is_some(),
-        "it may end yet"
+        "it may crash later"
     );
 }
 
 #[test]
-fn break_of_long_ago_forgotten() {
-    // An upstream that is replaced a minute after a reset did not end by what ran there then.
-    let (mut crash_detector, one) = one_broken();
+fn old_break_expires() {
+    // An upstream that is replaced a minute after a connection reset was not crashed by what ran there
+    // then.
+    let (mut crash_detector, one) = one_broken_run();
     crash_detector.expire(10_099);
     assert!(crash_detector.is_undecided(&one.instance));
     crash_detector.expire(10_100);
@@ -184,27 +189,27 @@
 }
 
 #[test]
-fn fingerprint_same_for_tries_of_one_request_only() {
-    let one = Fingerprint::of(asked(b"text"));
-    assert_eq!(one, Fingerprint::of(asked(b"text")));
+fn fingerprint_same_for_retries_of_one_request_only() {
+    let one = Fingerprint::of(input(b"text"));
+    assert_eq!(one, Fingerprint::of(input(b"text")));
     let others = [
-        asked(b"texts"),
+        input(b"texts"),
         FingerprintInput {
             method: "GET",
-            ..asked(b"text")
+            ..input(b"text")
         },
         FingerprintInput {
             path: "/notes/1t",
             body: b"ext",
-            ..asked(b"")
+            ..input(b"")
         },
         FingerprintInput {
             customer: Some("oshi"),
-            ..asked(b"text")
+            ..input(b"text")
         },
         FingerprintInput {
             customer: None,
-            ..asked(b"text")
+            ..input(b"text")
         },
     ];
     for other in others {
@@ -213,23 +218,23 @@
 }
 
 #[test]
-fn whole_run_trusted_for_a_moment_only() {
-    // What ran whole long ago may have become deadly since, with a new version of the upstreams.
+fn success_counts_for_a_short_time_only() {
+    // A request that succeeded long ago may crash a new version of the upstreams.
     let mut recent = RecentSuccesses::new(1);
-    recent.insert(asked(b"text"), 5_000);
-    assert!(recent.contains(asked(b"text"), 14_999));
-    assert!(!recent.contains(asked(b"text"), 15_000));
-    assert!(!recent.contains(asked(b"texts"), 5_000));
+    recent.insert(input(b"text"), 5_000);
+    assert!(recent.contains(input(b"text"), 14_999));
+    assert!(!recent.contains(input(b"text"), 15_000));
+    assert!(!recent.contains(input(b"texts"), 5_000));
 }
 
 #[test]
-fn requests_without_end_trusted_in_bounded_memory() {
+fn endless_requests_take_bounded_memory() {
     let mut recent = RecentSuccesses::new(1);
     for number in 0..20_000_u32 {
-        recent.insert(asked(&number.to_be_bytes()), 1_000);
+        recent.insert(input(&number.to_be_bytes()), 1_000);
     }
-    let trusted = |number: &u32| recent.contains(asked(&number.to_be_bytes()), 1_000);
-    let remembered = (0..20_000).filter(trusted).count();
+    let is_remembered = |number: &u32| recent.contains(input(&number.to_be_bytes()), 1_000);
+    let remembered = (0..20_000).filter(is_remembered).count();
     assert!((2_000..=4_096).contains(&remembered), "{remembered}");
-    assert!(trusted(&19_999), "the newest");
+    assert!(is_remembered(&19_999), "the newest");
 }
--- a/lib/tests/test_direct_suspect_requests.rs
+++ b/lib/tests/test_direct_suspect_requests.rs
@@ -1,4 +1,4 @@
-//! Which requests are held since upstreams ended under them, without a network.
+//! Tests of which requests are quarantined after crashes of upstreams, without a network.
 
 use proptest::prelude::*;
 use rand::Rng;
@@ -24,8 +24,8 @@
     })
 }
 
-/// An end of an upstream under a run that began half a tenth of a second before.
-fn end(suspects: &mut SuspectRequests, upstream: u32, at_ms: u64, requests: &[u32]) {
+/// Records a crash of an upstream during runs that started 50 ms earlier.
+fn crash(suspects: &mut SuspectRequests, upstream: u32, at_ms: u64, requests: &[u32]) {
     let runs: Vec<(Fingerprint, u64)> = requests
         .iter()
         .map(|number| (request(*number), at_ms - 50))
@@ -33,104 +33,104 @@
     suspects.record_crash(upstream, at_ms, &runs, at_ms);
 }
 
-fn is_held(suspects: &SuspectRequests, number: u32, now_ms: u64) -> bool {
+fn is_quarantined(suspects: &SuspectRequests, number: u32, now_ms: u64) -> bool {
     matches!(
         suspects.decide(request(number), now_ms),
         QuarantineDecision::Refuse { .. }
     )
 }
 
-/// A request under which three upstreams ended, at 1, 2 and 3 s.
-fn held() -> SuspectRequests {
+/// Returns a state in which request 1 is quarantined after three crashes, at 1, 2 and 3 s.
+fn quarantined() -> SuspectRequests {
     let mut suspects = SuspectRequests::default();
     for upstream in 1..=3 {
-        end(&mut suspects, upstream, u64::from(upstream) * 1_000, &[1]);
+        crash(&mut suspects, upstream, u64::from(upstream) * 1_000, &[1]);
     }
     suspects
 }
 
-fn tell(from: &SuspectRequests, to: &mut SuspectRequests, now_ms: u64) {
+fn send_updates(from: &SuspectRequests, to: &mut SuspectRequests, now_ms: u64) {
     to.merge(&from.all_updates(now_ms), now_ms);
 }
 
 #[test]
-fn third_end_holds() {
+fn third_crash_quarantines() {
     let mut suspects = SuspectRequests::default();
     for upstream in 1..=3 {
-        assert!(!is_held(&suspects, 1, 3_000));
-        end(&mut suspects, upstream, u64::from(upstream) * 1_000, &[1]);
+        assert!(!is_quarantined(&suspects, 1, 3_000));
+        crash(&mut suspects, upstream, u64::from(upstream) * 1_000, &[1]);
     }
-    assert!(is_held(&suspects, 1, 3_000));
-    assert!(!is_held(&suspects, 2, 3_000));
+    assert!(is_quarantined(&suspects, 1, 3_000));
+    assert!(!is_quarantined(&suspects, 2, 3_000));
 }
 
 #[test]
-fn same_end_seen_twice_counts_once() {
-    // Two copies of a request run on one upstream, and one connection breaks after the other.
+fn same_crash_seen_twice_counts_once() {
+    // Two copies of a request run on one upstream, and their connections break one after the other.
     let mut suspects = SuspectRequests::default();
     for at_ms in [1_000, 1_001, 1_002, 1_003] {
-        end(&mut suspects, 1, at_ms, &[1, 1]);
+        crash(&mut suspects, 1, at_ms, &[1, 1]);
     }
-    assert!(!is_held(&suspects, 1, 1_003));
+    assert!(!is_quarantined(&suspects, 1, 1_003));
 }
 
 #[test]
 fn rack_lost_under_a_popular_request_is_one_coincidence() {
-    // Callers of a popular request run it on all upstreams of a rack, which loses power. It would be
-    // refused to all of them, although nothing but the power ended the upstreams.
+    // A popular request runs on all upstreams of a rack, which loses power. Its callers must not be
+    // refused, since the request did not cause the crashes.
     let mut suspects = SuspectRequests::default();
     for upstream in 1..=5 {
-        end(&mut suspects, upstream, 1_000, &[1]);
+        crash(&mut suspects, upstream, 1_000, &[1]);
     }
-    assert!(!is_held(&suspects, 1, 1_000));
+    assert!(!is_quarantined(&suspects, 1, 1_000));
 }
 
 #[test]
-fn copies_in_flight_hold_with_the_next_end() {
-    // A deadly request that comes in several copies at once ends as many upstreams. The first end of
-    // the next copies is enough, or each round of copies would cost as many again.
+fn copies_in_flight_quarantined_with_the_next_crash() {
+    // Several concurrent copies of a request that crashes upstreams crash as many of them. The first
+    // crash by a later copy is enough; otherwise each round of copies would cost as many again.
     let mut suspects = SuspectRequests::default();
     for upstream in 1..=8 {
-        end(&mut suspects, upstream, 1_000, &[1]);
+        crash(&mut suspects, upstream, 1_000, &[1]);
     }
-    end(&mut suspects, 9, 1_500, &[1]);
-    assert!(is_held(&suspects, 1, 1_500));
+    crash(&mut suspects, 9, 1_500, &[1]);
+    assert!(is_quarantined(&suspects, 1, 1_500));
 }
 
 #[test]
-fn whole_run_clears() {
-    // An innocent request loses its upstream twice and then runs whole. What was seen before must not
-    // count with what comes later.
+fn success_clears() {
+    // A harmless request loses its upstream twice and then succeeds. Crashes from before the success
+    // must not count together with later ones.
     let mut suspects = SuspectRequests::default();
-    end(&mut suspects, 1, 1_000, &[1]);
-    end(&mut suspects, 2, 2_000, &[1]);
+    crash(&mut suspects, 1, 1_000, &[1]);
+    crash(&mut suspects, 2, 2_000, &[1]);
     assert!(suspects.clear(request(1), 2_500));
-    end(&mut suspects, 3, 3_000, &[1]);
-    end(&mut suspects, 4, 4_000, &[1]);
-    assert!(!is_held(&suspects, 1, 4_000));
-    end(&mut suspects, 5, 5_000, &[1]);
-    assert!(is_held(&suspects, 1, 5_000));
+    crash(&mut suspects, 3, 3_000, &[1]);
+    crash(&mut suspects, 4, 4_000, &[1]);
+    assert!(!is_quarantined(&suspects, 1, 4_000));
+    crash(&mut suspects, 5, 5_000, &[1]);
+    assert!(is_quarantined(&suspects, 1, 5_000));
 }
 
 #[test]
-fn cleared_request_not_suspected_again_by_an_old_word() {
-    // An entry clears a request; a peer that has not heard of it tells its ends once more.
-    let before = held();
+fn cleared_request_not_suspected_again_by_an_old_update() {
+    // An entry clears a request; a peer that does not know this yet sends its crashes again.
+    let before = quarantined();
     let mut suspects = before.clone();
     suspects.clear(request(1), 3_500);
-    tell(&before, &mut suspects, 3_600);
+    send_updates(&before, &mut suspects, 3_600);
     assert_eq!(
         suspects.decide(request(1), 3_600),
         QuarantineDecision::Allow
     );
     let mut peer = before;
-    tell(&suspects, &mut peer, 3_700);
+    send_updates(&suspects, &mut peer, 3_700);
     assert_eq!(peer.decide(request(1), 3_700), QuarantineDecision::Allow);
 }
 
 #[test]
-fn ends_seen_by_three_entries_are_one_verdict() {
-    // A caller tries at another entry each time, so that each of them sees one end only.
+fn crashes_seen_by_three_entries_are_one_decision() {
+    // A caller retries at a different entry each time, so that each entry sees only one crash.
     let mut entries = [
         SuspectRequests::default(),
         SuspectRequests::default(),
@@ -139,38 +139,38 @@
     for upstream in 1..=3_u32 {
         let at_ms = u64::from(upstream) * 1_000;
         let number = upstream as usize - 1;
-        end(&mut entries[number], upstream, at_ms, &[1]);
-        let told = entries[number].all_updates(at_ms);
+        crash(&mut entries[number], upstream, at_ms, &[1]);
+        let updates = entries[number].all_updates(at_ms);
         for entry in &mut entries {
-            entry.merge(&told, at_ms + 5);
+            entry.merge(&updates, at_ms + 5);
         }
     }
     for entry in &entries {
-        assert!(is_held(entry, 1, 3_010));
+        assert!(is_quarantined(entry, 1, 3_010));
     }
 }
 
 #[test]
-fn neighbours_of_a_deadly_request_not_held() {
-    // Other requests run beside a deadly one, each at one of its upstreams or two.
+fn neighbours_of_a_deadly_request_not_quarantined() {
+    // Other requests run beside one that crashes upstreams, each on one or two of these upstreams.
     let mut suspects = SuspectRequests::default();
-    end(&mut suspects, 1, 1_000, &[1, 7, 10, 11]);
-    end(&mut suspects, 2, 2_000, &[1, 7, 12, 13]);
-    end(&mut suspects, 3, 3_000, &[1, 14]);
-    assert!(is_held(&suspects, 1, 4_000));
+    crash(&mut suspects, 1, 1_000, &[1, 7, 10, 11]);
+    crash(&mut suspects, 2, 2_000, &[1, 7, 12, 13]);
+    crash(&mut suspects, 3, 3_000, &[1, 14]);
+    assert!(is_quarantined(&suspects, 1, 4_000));
     assert_eq!(suspects.counts(4_000).quarantined, 1);
 }
 
 #[test]
 fn neighbour_that_loses_a_third_upstream_tried_soon() {
-    // One was beside a deadly request twice and then loses an upstream by chance. Two of its three ends were
-    // the deadly one's as well, so it is tried within three seconds.
+    // A request runs beside one that crashes upstreams twice and then loses an upstream by chance. It
+    // shares two of its three crashes with the other, so its trial is due within three seconds.
     let mut suspects = SuspectRequests::default();
-    end(&mut suspects, 1, 1_000, &[1, 7]);
-    end(&mut suspects, 2, 2_000, &[1, 7]);
-    end(&mut suspects, 3, 3_000, &[1]);
-    end(&mut suspects, 4, 4_000, &[7]);
-    assert!(is_held(&suspects, 7, 4_000));
+    crash(&mut suspects, 1, 1_000, &[1, 7]);
+    crash(&mut suspects, 2, 2_000, &[1, 7]);
+    crash(&mut suspects, 3, 3_000, &[1]);
+    crash(&mut suspects, 4, 4_000, &[7]);
+    assert!(is_quarantined(&suspects, 7, 4_000));
     assert_eq!(
         suspects.decide(request(7), 7_000),
         QuarantineDecision::AllowTrial
@@ -178,19 +178,19 @@
 }
 
 #[test]
-fn request_always_beside_a_deadly_one_held_until_its_trial() {
-    // Nothing tells two requests apart that ran together each time, so both are held, and tried soon, each
-    // at its own moment. The trial tells: the one that runs whole is cleared.
+fn request_always_beside_a_deadly_one_quarantined_until_its_trial() {
+    // Two requests that ran together each time can't be distinguished, so both are quarantined, with
+    // trials soon and at different times. The one whose trial succeeds is cleared.
     let mut suspects = SuspectRequests::default();
     for upstream in 1..=3 {
-        end(
+        crash(
             &mut suspects,
             upstream,
             u64::from(upstream) * 1_000,
             &[1, 2],
         );
     }
-    assert!(is_held(&suspects, 1, 3_000) && is_held(&suspects, 2, 3_000));
+    assert!(is_quarantined(&suspects, 1, 3_000) && is_quarantined(&suspects, 2, 3_000));
     let due_ms = 3_000 + 3_000;
     for number in [1, 2] {
         assert_eq!(
@@ -200,8 +200,8 @@
         suspects.begin_trial(request(number), due_ms);
     }
     suspects.clear(request(2), due_ms + 300);
-    end(&mut suspects, 9, due_ms + 300, &[1]);
-    assert!(is_held(&suspects, 1, due_ms + 5 * MINUTE_MS));
+    crash(&mut suspects, 9, due_ms + 300, &[1]);
+    assert!(is_quarantined(&suspects, 1, due_ms + 5 * MINUTE_MS));
     assert_eq!(
         suspects.decide(request(2), due_ms + 300),
         QuarantineDecision::Allow
@@ -210,51 +210,56 @@
 
 #[test]
 fn popular_request_beside_several_deadly_ones_tried_soon() {
-    // A popular request runs on every upstream, so it is there at the ends of three deadly ones and is the
-    // first to have three. Its callers were refused for a minute, at every entry. When the deadly ones are held
-    // as well, each of its ends was also one of theirs, and it is tried within three seconds.
+    // A popular request runs on every upstream, so it collects the crashes of three requests that cause
+    // them and is the first to have three. Its callers were refused for a minute, at every entry. Once
+    // the other three are quarantined as well, it shares each of its crashes with one of them, and its
+    // trial is due within three seconds.
     let mut suspects = SuspectRequests::default();
     let mut at_ms = 0;
     for round in 0..3 {
         for deadly in 1..=3 {
             at_ms += 200;
-            // While it is held, it is not there.
-            let popular = if is_held(&suspects, 9, at_ms) {
+            // While the popular request is quarantined, it does not run.
+            let popular = if is_quarantined(&suspects, 9, at_ms) {
                 deadly
             } else {
                 9
             };
-            end(&mut suspects, round * 3 + deadly, at_ms, &[deadly, popular]);
+            crash(&mut suspects, round * 3 + deadly, at_ms, &[deadly, popular]);
         }
     }
     for deadly in 1..=3 {
-        assert!(is_held(&suspects, deadly, at_ms), "{deadly}");
+        assert!(is_quarantined(&suspects, deadly, at_ms), "{deadly}");
     }
     let tried_at_ms = at_ms + 3_000;
     assert_eq!(
         suspects.decide(request(9), tried_at_ms),
         QuarantineDecision::AllowTrial
     );
-    // Whichever of the deadly ones is tried as soon is held for long after it.
+    // Those of the other three whose trials are due as early are quarantined for long after them.
     for deadly in 1..=3 {
         if suspects.decide(request(deadly), tried_at_ms) == QuarantineDecision::AllowTrial {
             suspects.begin_trial(request(deadly), tried_at_ms);
-            end(&mut suspects, 90 + deadly, tried_at_ms + 60, &[deadly]);
+            crash(&mut suspects, 90 + deadly, tried_at_ms + 60, &[deadly]);
         }
-        assert!(is_held(&suspects, deadly, tried_at_ms + 30_000), "{deadly}");
+        assert!(
+            is_quarantined(&suspects, deadly, tried_at_ms + 30_000),
+            "{deadly}"
+        );
     }
 }
 
 #[test]
-fn trial_at_one_entry_holds_the_others() {
-    // The time is over at all entries at once. Each would try it, and lose an upstream each.
-    let mut first = held();
-    let mut second = held();
+fn trial_at_one_entry_holds_back_the_others() {
+    // The quarantine expires at all entries at once. Without coordination, each would run a trial and
+    // lose an upstream.
+    let mut first = quarantined();
+    let mut second = quarantined();
     let due_ms = 3_000 + MINUTE_MS;
     first.begin_trial(request(1), due_ms);
-    tell(&first, &mut second, due_ms + 5);
-    assert!(is_held(&second, 1, due_ms + 10));
-    // Nothing came of the trial: its caller left. Somebody else may try.
+    send_updates(&first, &mut second, due_ms + 5);
+    assert!(is_quarantined(&second, 1, due_ms + 10));
+    // The trial has no outcome, since its caller left. Another entry may run one.
     let later_ms = due_ms + 2_100;
     assert_eq!(
         second.decide(request(1), later_ms),
@@ -263,17 +268,17 @@
 }
 
 #[test]
-fn failed_trial_holds_longer_everywhere() {
-    let mut first = held();
-    let mut second = held();
+fn failed_trial_quarantines_longer_everywhere() {
+    let mut first = quarantined();
+    let mut second = quarantined();
     let due_ms = 3_000 + MINUTE_MS;
     first.begin_trial(request(1), due_ms);
-    end(&mut first, 9, due_ms + 100, &[1]);
-    tell(&first, &mut second, due_ms + 105);
-    // The peer's earlier word does not bring the shorter time back.
-    tell(&held(), &mut second, due_ms + 110);
+    crash(&mut first, 9, due_ms + 100, &[1]);
+    send_updates(&first, &mut second, due_ms + 105);
+    // An older update of the peer does not restore the shorter quarantine.
+    send_updates(&quarantined(), &mut second, due_ms + 110);
     for entry in [&first, &second] {
-        assert!(is_held(entry, 1, due_ms + 9 * MINUTE_MS));
+        assert!(is_quarantined(entry, 1, due_ms + 9 * MINUTE_MS));
         let late_ms = due_ms + 11 * MINUTE_MS;
         assert_eq!(
             entry.decide(request(1), late_ms),
@@ -284,8 +289,8 @@
 
 #[test]
 fn deadly_request_costs_few_upstreams_in_a_day() {
-    // A caller that insists all day gets one trial after a minute, ten minutes, two hours and a day, and each
-    // costs one upstream.
+    // A caller that retries all day gets one trial after a minute, ten minutes, two hours and a day, and
+    // each costs one upstream.
     let mut suspects = SuspectRequests::default();
     let mut crashes = 0;
     let day_ms = 24 * 60 * MINUTE_MS;
@@ -296,33 +301,34 @@
             QuarantineDecision::Allow => {}
         }
         crashes += 1;
-        end(&mut suspects, crashes, at_ms + 60, &[1]);
+        crash(&mut suspects, crashes, at_ms + 60, &[1]);
         suspects.expire(at_ms + 60);
     }
     assert_eq!(crashes, 3 + 3);
 }
 
 #[test]
-fn broken_connections_count_before_they_are_proven() {
-    // A stream goes on at the next upstream milliseconds after the first one ended, and a proof takes
-    // longer. Without this, a route of many attempts would end as many upstreams in one try.
+fn broken_connections_count_before_crashes_are_confirmed() {
+    // A stream is resumed at the next upstream milliseconds after the first one crashed, and confirming
+    // the crash takes longer. If broken connections did not count, a single request to a route with
+    // many attempts would crash as many upstreams.
     let mut suspects = SuspectRequests::default();
     assert!(suspects.may_retry(request(1), 2));
     assert!(!suspects.may_retry(request(1), 3));
-    end(&mut suspects, 1, 1_000, &[1]);
+    crash(&mut suspects, 1, 1_000, &[1]);
     assert!(suspects.may_retry(request(1), 1));
     assert!(!suspects.may_retry(request(1), 2));
-    let held = held();
-    assert!(!held.may_retry(request(1), 0), "a trial is one run");
+    let quarantined = quarantined();
+    assert!(!quarantined.may_retry(request(1), 0), "a trial is one run");
 }
 
 #[test]
-fn new_bodies_without_end_cost_bounded_memory_and_free_nobody() {
-    // A caller ends upstreams with a new body each time. What is held stays, since it is known to be
-    // deadly, and the oldest of the others make room.
-    let mut suspects = held();
+fn endless_new_bodies_take_bounded_memory_and_release_nothing() {
+    // A caller crashes upstreams with a new body each time. Quarantined requests stay tracked, since they
+    // are known to crash upstreams, and the oldest of the others are evicted.
+    let mut suspects = quarantined();
     for number in 0..5_000 {
-        end(
+        crash(
             &mut suspects,
             number,
             4_000 + u64::from(number),
@@ -330,30 +336,30 @@
         );
     }
     assert!(suspects.counts(9_000).tracked <= 1_024);
-    assert!(is_held(&suspects, 1, 9_000));
+    assert!(is_quarantined(&suspects, 1, 9_000));
 }
 
 #[test]
-fn ends_of_long_ago_forgotten_whoever_tells_them() {
-    // Two entries tell each other what they know. Were it new to each in turn, neither would ever
-    // forget it, and two ends of last week would count with one of today.
+fn old_crashes_expire_despite_updates() {
+    // Two entries keep exchanging updates. If each update refreshed the state, neither entry would ever
+    // drop it, and two crashes of last week would count together with one of today.
     let mut first = SuspectRequests::default();
-    end(&mut first, 1, 1_000, &[1]);
+    crash(&mut first, 1, 1_000, &[1]);
     let mut second = first.clone();
     for now_ms in (1_000..40 * MINUTE_MS).step_by(500) {
         first.expire(now_ms);
-        tell(&first, &mut second, now_ms + 3);
+        send_updates(&first, &mut second, now_ms + 3);
         second.expire(now_ms + 200);
-        tell(&second, &mut first, now_ms + 203);
+        send_updates(&second, &mut first, now_ms + 203);
     }
     assert!(first.is_empty() && second.is_empty());
 }
 
 #[test]
-fn entry_that_has_just_started_forgets_when_the_others_do() {
-    // Its clock began long after what it is told of.
+fn new_entry_expires_state_with_the_others() {
+    // The clock of a new entry starts long after the crashes that peers report.
     let mut old = SuspectRequests::default();
-    end(&mut old, 1, 1_000, &[1]);
+    crash(&mut old, 1, 1_000, &[1]);
     let mut young = SuspectRequests::default();
     young.merge(&old.all_updates(9 * MINUTE_MS), 100);
     assert!(!young.is_empty());
@@ -367,7 +373,7 @@
     let day_ms = 24 * 60 * MINUTE_MS;
     for number in 0..40 {
         for upstream in 0..9 {
-            end(
+            crash(
                 &mut suspects,
                 u32::MAX - upstream,
                 day_ms + u64::from(upstream) * 1_000,
@@ -375,47 +381,54 @@
             );
         }
     }
-    let told = suspects.next_updates(2 * day_ms);
-    assert!(told.len() > 5, "{}", told.len());
-    assert!(PeerMessage::SuspectRequests(told).encode().is_some());
+    let updates = suspects.next_updates(2 * day_ms);
+    assert!(updates.len() > 5, "{}", updates.len());
+    assert!(PeerMessage::SuspectRequests(updates).encode().is_some());
     let all: Vec<Fingerprint> = (0..40).map(request).collect();
-    let told = suspects.updates_for(&all, 2 * day_ms);
-    assert!(PeerMessage::SuspectRequests(told).encode().is_some());
+    let updates = suspects.updates_for(&all, 2 * day_ms);
+    assert!(PeerMessage::SuspectRequests(updates).encode().is_some());
 }
 
 #[test]
-fn all_that_is_known_told_in_turn() {
-    let mut suspects = held();
+fn next_updates_take_turns() {
+    let mut suspects = quarantined();
     for number in 0..100 {
-        end(&mut suspects, number, 4_000, &[100 + number]);
+        crash(&mut suspects, number, 4_000, &[100 + number]);
     }
     let mut peer = SuspectRequests::default();
     for round in 0..20 {
-        let told = suspects.next_updates(5_000);
+        let updates = suspects.next_updates(5_000);
         assert!(
-            told.iter().any(|told| told.request == request(1)),
+            updates
+                .iter()
+                .any(|update| update.fingerprint == request(1)),
             "{round}"
         );
-        peer.merge(&told, 5_000);
+        peer.merge(&updates, 5_000);
     }
     assert_eq!(peer.counts(5_000).tracked, 101);
 }
 
-/// A caller that tries up to six times, each run `run_ms` long, while one of so many upstreams ends every
-/// `every_ms`. Whether it was held at some time.
-fn is_held_by_chance(random: &mut StdRng, upstreams: u32, every_ms: u64, run_ms: u64) -> bool {
+/// Simulates a caller that sends a request up to six times, with runs of `run_ms`, while one of the
+/// upstreams crashes every `every_ms`. Returns whether the request was quarantined at some time.
+fn is_quarantined_by_chance(
+    random: &mut StdRng,
+    upstreams: u32,
+    every_ms: u64,
+    run_ms: u64,
+) -> bool {
     let mut suspects = SuspectRequests::default();
     let mut now_ms = 1_000;
     for _ in 0..6 {
         let own = random.random_range(0..upstreams);
-        let ends_at = (now_ms..now_ms + run_ms)
+        let crashed_at = (now_ms..now_ms + run_ms)
             .filter(|at_ms| at_ms % every_ms == 0)
             .find(|_| random.random_range(0..upstreams) == own);
-        let Some(at_ms) = ends_at else {
+        let Some(at_ms) = crashed_at else {
             return false;
         };
         suspects.record_crash(random.random(), at_ms, &[(request(1), now_ms)], at_ms);
-        if is_held(&suspects, 1, at_ms) {
+        if is_quarantined(&suspects, 1, at_ms) {
             return true;
         }
         now_ms = at_ms + 150;
@@ -424,26 +437,27 @@
 }
 
 #[test]
-fn flapping_upstreams_hold_hardly_anyone() {
-    // Upstreams end all the time for reasons of their own: one of eight every half second, with runs of
-    // a tenth of a second and of a whole one. Whoever is held has lost three upstreams in a row.
+fn flapping_upstreams_quarantine_few_requests() {
+    // Upstreams keep crashing for reasons unrelated to requests: one of eight every half second, with
+    // runs of 100 ms and of 1 s. A request is quarantined only if it loses three upstreams in a row.
     let mut random = StdRng::seed_from_u64(33);
     let mut share = |run_ms| {
         const CALLERS: u32 = 20_000;
-        let is_held = |_: &u32| is_held_by_chance(&mut random, 8, 500, run_ms);
-        f64::from(u32::try_from((0..CALLERS).filter(is_held).count()).unwrap()) / f64::from(CALLERS)
+        let is_quarantined = |_: &u32| is_quarantined_by_chance(&mut random, 8, 500, run_ms);
+        f64::from(u32::try_from((0..CALLERS).filter(is_quarantined).count()).unwrap())
+            / f64::from(CALLERS)
     };
     let short = share(100);
     let long = share(1_000);
-    println!("held by chance: {short} of short runs, {long} of long ones");
+    println!("quarantined by chance: {short} of short runs, {long} of long ones");
     assert!(short < 0.001, "{short}");
     assert!(long < 0.02, "{long}");
 }
 
-/// What may happen at one of three entries.
+/// An event at one of three entries.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    End {
+    Crash {
         entry: usize,
         upstream: u32,
         request: u32,
@@ -456,7 +470,7 @@
         entry: usize,
         request: u32,
     },
-    Tell {
+    SendUpdates {
         from: usize,
         to: usize,
     },
@@ -466,22 +480,21 @@
     let entry = 0..3_usize;
     prop_oneof![
         4 => (entry.clone(), 0..20_u32, 0..2_u32)
-            .prop_map(|(entry, upstream, request)| Step::End { entry, upstream, request }),
+            .prop_map(|(entry, upstream, request)| Step::Crash { entry, upstream, request }),
         1 => (entry.clone(), 0..2_u32).prop_map(|(entry, request)| Step::Clear { entry, request }),
         1 => (entry.clone(), 0..2_u32).prop_map(|(entry, request)| Step::Trial { entry, request }),
-        4 => (entry.clone(), entry).prop_map(|(from, to)| Step::Tell { from, to }),
+        4 => (entry.clone(), entry).prop_map(|(from, to)| Step::SendUpdates { from, to }),
     ]
 }
 
-fn nonsense() -> impl Strategy<Value = SuspectUpdate> {
-    let end =
-        (any::<u32>(), any::<i64>(), any::<u8>()).prop_map(|(upstream, ago_ms, generation)| {
-            CrashUpdate {
-                upstream,
-                ago_ms,
-                generation,
-            }
-        });
+fn arbitrary_update() -> impl Strategy<Value = SuspectUpdate> {
+    let crash = (any::<u32>(), any::<i64>(), any::<u8>()).prop_map(
+        |(upstream, ago_ms, consecutive_runs)| CrashUpdate {
+            upstream,
+            ago_ms,
+            consecutive_runs,
+        },
+    );
     let quarantine =
         (any::<i64>(), any::<u8>(), any::<bool>()).prop_map(|(left_ms, times, is_trial)| {
             QuarantineUpdate {
@@ -494,13 +507,13 @@
         0..4_u32,
         any::<u32>(),
         any::<i64>(),
-        prop::collection::vec(end, 0..20),
+        prop::collection::vec(crash, 0..20),
         prop::option::of(quarantine),
     )
         .prop_map(
-            |(number, clears, ago_ms, crashes, quarantine)| SuspectUpdate {
-                request: request(number),
-                clears,
+            |(number, clear_count, ago_ms, crashes, quarantine)| SuspectUpdate {
+                fingerprint: request(number),
+                clear_count,
                 ago_ms,
                 crashes,
                 quarantine,
@@ -512,18 +525,19 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn peer_that_tells_nonsense_breaks_nothing(told in prop::collection::vec(nonsense(), 1..40)) {
-        // A peer of another version, or with a broken clock, tells times and counts of any size. The entry
-        // goes on, tells nothing that does not fit into a datagram, and an operator can let all of it go.
+    fn arbitrary_updates_break_nothing(updates in prop::collection::vec(arbitrary_update(), 1..40)) {
+        // A peer of another version, or with a broken clock, sends arbitrary times and counts. The entry
+        // keeps working, sends only messages that fit into a datagram, and an operator can clear all of
+        // these requests.
         let mut suspects = SuspectRequests::default();
-        suspects.merge(&told, 5_000);
+        suspects.merge(&updates, 5_000);
         for number in 0..4 {
-            end(&mut suspects, 7, 6_000, &[number]);
-            let _verdict = suspects.decide(request(number), 6_000);
+            crash(&mut suspects, 7, 6_000, &[number]);
+            let _decision = suspects.decide(request(number), 6_000);
             suspects.begin_trial(request(number), 6_000);
         }
-        let told = suspects.next_updates(6_000);
-        prop_assert!(PeerMessage::SuspectRequests(told).encode().is_some());
+        let updates = suspects.next_updates(6_000);
+        prop_assert!(PeerMessage::SuspectRequests(updates).encode().is_some());
         for number in 0..4 {
             suspects.clear(request(number), 7_000);
             prop_assert_eq!(suspects.decide(request(number), 7_000), QuarantineDecision::Allow);
@@ -533,16 +547,16 @@
     }
 
     #[test]
-    fn entries_that_have_told_each_other_agree(steps in prop::collection::vec(step(), 1..60)) {
-        // Whatever was lost or came late: once each has heard the others, all refuse the same requests,
-        // and nobody has news for anybody.
+    fn entries_that_exchanged_updates_agree(steps in prop::collection::vec(step(), 1..60)) {
+        // Whichever updates were lost or late: once each entry has merged those of the others, all refuse
+        // the same requests, and no entry has anything new for another.
         let mut entries = [SuspectRequests::default(), SuspectRequests::default(), SuspectRequests::default()];
         let mut now_ms = 1_000;
         for step in steps {
             now_ms += 7_000;
             match step {
-                Step::End { entry, upstream, request } => {
-                    end(&mut entries[entry], upstream, now_ms, &[request]);
+                Step::Crash { entry, upstream, request } => {
+                    crash(&mut entries[entry], upstream, now_ms, &[request]);
                 }
                 Step::Clear { entry, request: number } => {
                     entries[entry].clear(request(number), now_ms);
@@ -552,31 +566,31 @@
                         entries[entry].begin_trial(request(number), now_ms);
                     }
                 }
-                Step::Tell { from, to } => {
-                    let told = entries[from].all_updates(now_ms);
-                    entries[to].merge(&told, now_ms);
+                Step::SendUpdates { from, to } => {
+                    let updates = entries[from].all_updates(now_ms);
+                    entries[to].merge(&updates, now_ms);
                 }
             }
         }
         for _ in 0..3 {
             let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all_updates(now_ms)).collect();
             for entry in &mut entries {
-                for told in &all {
-                    entry.merge(told, now_ms);
+                for updates in &all {
+                    entry.merge(updates, now_ms);
                 }
             }
         }
         let all: Vec<Vec<SuspectUpdate>> = entries.iter().map(|entry| entry.all_updates(now_ms)).collect();
         for entry in &mut entries {
-            for told in &all {
-                let change = entry.merge(told, now_ms);
+            for updates in &all {
+                let change = entry.merge(updates, now_ms);
                 prop_assert!(change.changed.is_empty(), "{:?}", change);
             }
         }
         for number in 0..2 {
-            let verdicts: Vec<bool> =
-                entries.iter().map(|entry| is_held(entry, number, now_ms)).collect();
-            prop_assert!(verdicts.iter().all(|held| *held == verdicts[0]), "{verdicts:?}");
+            let decisions: Vec<bool> =
+                entries.iter().map(|entry| is_quarantined(entry, number, now_ms)).collect();
+            prop_assert!(decisions.iter().all(|is_quarantined| *is_quarantined == decisions[0]), "{decisions:?}");
         }
     }
 }
