--- a/lib/src/direct/notices.rs
+++ b/lib/src/direct/notices.rs
@@ -1,6 +1,7 @@
-//! What upstreams say of themselves in their answers, beside what they answer.
+//! Notices: what upstreams state about themselves in the headers of their answers.
 //!
-//! [`notice`] is what one answer says, [`upstream_state`] what is known of one upstream, and [`upstream_notices`] of all.
+//! [`notice`] holds the notice of one answer, [`upstream_state`] the state of one upstream by its
+//! notices, and [`upstream_notices`] the states of all upstreams.
 
 pub mod notice;
 pub mod upstream_notices;
--- a/lib/src/direct/notices/notice.rs
+++ b/lib/src/direct/notices/notice.rs
@@ -1,26 +1,26 @@
-//! What one answer says of the upstream that gave it.
+//! The notice that one answer carries.
 
 use std::sync::Arc;
 
-/// A figure that an answer may name.
+/// A value that an answer may state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum NoticeField<T> {
-    /// It is not named.
+    /// The answer does not state it.
     #[default]
     Absent,
-    /// It is named.
+    /// The stated value.
     Value(T),
-    /// What stands in its place is no such figure.
+    /// The text in its place, which is not a valid value.
     Invalid(Arc<str>),
 }
 
-/// What an answer says of the upstream that gave it.
+/// What one answer states about the upstream that gave it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamNotice {
-    /// Requests in 1,000 seconds that the upstream takes from all entries together.
+    /// Limit of requests in 1,000 seconds that the upstream accepts from all entries together.
     pub limit_per_1000_s: NoticeField<u32>,
-    /// How long the upstream wants nothing from the entry that it has turned away.
+    /// Time for which the upstream wants no requests from the entry whose request it declined.
     pub backoff_ms: NoticeField<u32>,
-    /// Whether it says that it will end.
+    /// Whether the upstream announces that it is shutting down.
     pub is_leaving: bool,
 }
--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -1,4 +1,4 @@
-//! What holds of each upstream by its answers so far, at this entry and at the others.
+//! The states of all upstreams by their notices, merged from this entry's answers and from peers.
 
 use std::sync::Arc;
 
@@ -7,50 +7,51 @@
 
 use crate::direct::notices::notice::NoticeField;
 use crate::direct::notices::notice::UpstreamNotice;
-use crate::direct::notices::upstream_state::LimitNews;
-use crate::direct::notices::upstream_state::MomentMs;
+use crate::direct::notices::upstream_state::InstantMs;
+use crate::direct::notices::upstream_state::LimitChange;
 use crate::direct::notices::upstream_state::NoticeUpdate;
-use crate::direct::notices::upstream_state::Record;
-use crate::direct::notices::upstream_state::Shown;
+use crate::direct::notices::upstream_state::NoticeView;
+use crate::direct::notices::upstream_state::UpstreamState;
 use crate::direct::placement::dispatch::upstream_hash;
 use crate::numbers::signed;
 
-/// Upstreams of which something is known, at most, and how many of them by peers alone: what an
-/// upstream tells this entry itself finds room whatever peers tell.
+/// Maximum number of tracked upstreams.
 const MAX_UPSTREAMS: usize = 4_096;
-const MAX_HEARD: usize = 3_072;
-/// Upstreams in one message: each takes 23 bytes at most.
-const MAX_TOLD: usize = 50;
-/// The longest rest that an upstream is given if no setting says otherwise.
+/// Number of tracked upstreams from which on peers can't add more, so that notices to this entry
+/// itself find room whatever peers send.
+const MAX_UPSTREAMS_FOR_PEERS: usize = 3_072;
+/// Maximum number of upstreams in one message. Each takes at most 23 bytes.
+const MAX_UPDATES: usize = 50;
+/// Default for the longest backoff that an upstream is granted.
 pub const DEFAULT_MAX_BACKOFF_MS: u64 = 600_000;
-/// Time between two repetitions of what answers say to the keeper of an upstream's door.
-const REPEAT_MS: MomentMs = 1_000;
-/// How long it is remembered of an upstream that is not listed, which may be one that this entry
-/// does not know yet.
-const UNLISTED_MS: MomentMs = 60_000;
-/// How long it is remembered that a limit has ended: until entries that were cut off no longer
-/// tell of it as if it stood.
-const ENDED_MS: MomentMs = 60_000;
+/// Minimum time between two resends of an upstream's state to the owner of its admission queue.
+const RESEND_INTERVAL_MS: InstantMs = 1_000;
+/// How long the state of an upstream that is not listed is kept. This entry may not know the
+/// upstream yet.
+const UNLISTED_RETENTION_MS: InstantMs = 60_000;
+/// How long it is remembered that a limit was lifted, until entries that were disconnected no longer
+/// send it as if it were in force.
+const LIFTED_RETENTION_MS: InstantMs = 60_000;
 
-/// What an answer has changed.
+/// What a notice changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NoticeChange {
-    /// The upstream takes no more than so many requests in 1,000 seconds.
+    /// The upstream limits its requests to this number in 1,000 seconds.
     Limited(u32),
-    /// It no longer names a limit.
+    /// The upstream no longer states a limit.
     Unlimited,
-    /// It names a limit that can't be read. What held before holds on.
+    /// The upstream states an invalid limit. The previous limit stays in force.
     InvalidLimit(Arc<str>),
-    /// It will end.
+    /// The upstream is shutting down.
     Leaving,
-    /// It wants nothing from this entry for so long, in milliseconds.
+    /// The upstream wants no requests from this entry for this time, in milliseconds.
     BackingOff(u64),
-    /// It asks for rest of a length that can't be read.
+    /// The upstream asks for a backoff of invalid length.
     InvalidBackoff(Arc<str>),
 }
 
 impl NoticeChange {
-    /// Whether the other entries have to know it.
+    /// Returns whether the change has to be sent to the other entries.
     ///
     /// ```
     /// use sardinewood::direct::notices::upstream_notices::NoticeChange;
@@ -63,9 +64,9 @@
     }
 }
 
-/// What upstreams have said of themselves, by incarnation.
+/// What upstreams have stated about themselves, by incarnation.
 ///
-/// Entries merge what they have heard in any order: the latest answer holds.
+/// Entries merge updates in any order: the latest answer is in force.
 ///
 /// ```
 /// use sardinewood::direct::notices::upstream_notices::{NoticeChange, UpstreamNotices};
@@ -84,37 +85,38 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct UpstreamNotices {
-    by_upstream: IndexMap<u32, Record>,
-    longest_rest_ms: u64,
-    /// Which record the next repetition begins with.
-    next: usize,
+    /// States by upstream hash.
+    by_upstream: IndexMap<u32, UpstreamState>,
+    max_backoff_ms: u64,
+    /// Index at which the next resent message starts.
+    resend_cursor: usize,
 }
 
 impl Default for UpstreamNotices {
     fn default() -> Self {
         Self {
             by_upstream: IndexMap::new(),
-            longest_rest_ms: DEFAULT_MAX_BACKOFF_MS,
-            next: 0,
+            max_backoff_ms: DEFAULT_MAX_BACKOFF_MS,
+            resend_cursor: 0,
         }
     }
 }
 
 impl UpstreamNotices {
-    /// Takes the longest rest that an upstream is given, whatever it asks for.
+    /// Sets the longest backoff that an upstream is granted, whatever it asks for.
     ///
     /// ```
     /// # use sardinewood::direct::notices::{upstream_notices::{NoticeChange, UpstreamNotices}, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = UpstreamNotices::default();
     /// notices.set_max_backoff_ms(5_000);
-    /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
-    /// assert_eq!(notices.record("i-1", &rest, 0), [NoticeChange::BackingOff(5_000)]);
+    /// let backoff = UpstreamNotice { backoff_ms: NoticeField::Value(u32::MAX), ..UpstreamNotice::default() };
+    /// assert_eq!(notices.record("i-1", &backoff, 0), [NoticeChange::BackingOff(5_000)]);
     /// ```
-    pub fn set_max_backoff_ms(&mut self, longest_rest_ms: u64) {
-        self.longest_rest_ms = longest_rest_ms;
+    pub fn set_max_backoff_ms(&mut self, max_backoff_ms: u64) {
+        self.max_backoff_ms = max_backoff_ms;
     }
 
-    /// Until when upstreams want nothing from this entry, by short name.
+    /// Returns until when upstreams want no requests from this entry, by upstream hash.
     ///
     /// ```
     /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().backoffs(0).is_empty());
@@ -123,69 +125,73 @@
     pub fn backoffs(&self, now_ms: u64) -> IndexMap<u32, u64> {
         self.by_upstream
             .iter()
-            .map(|(name, record)| (*name, record.rests_until_ms))
+            .map(|(hash, state)| (*hash, state.backoff_until_ms))
             .filter(|(_, until_ms)| now_ms < *until_ms)
             .collect()
     }
 
-    /// Takes what an answer says; see [`UpstreamNotices`].
+    /// Records the notice of an answer, and returns what it changed. See [`UpstreamNotices`].
     pub fn record(
         &mut self,
         instance: &str,
         notice: &UpstreamNotice,
         now_ms: u64,
     ) -> Vec<NoticeChange> {
-        let name = upstream_hash(instance);
-        // Nearly all answers say nothing, of upstreams that never said anything.
-        if *notice == UpstreamNotice::default() && !self.by_upstream.contains_key(&name) {
+        let hash = upstream_hash(instance);
+        // Nearly all answers carry no notice and come from upstreams without any.
+        if *notice == UpstreamNotice::default() && !self.by_upstream.contains_key(&hash) {
             return Vec::new();
         }
-        let longest_rest_ms = self.longest_rest_ms;
-        let Some(record) = self.get_or_insert(name, MAX_UPSTREAMS) else {
+        let max_backoff_ms = self.max_backoff_ms;
+        let Some(state) = self.get_or_insert(hash, MAX_UPSTREAMS) else {
             return Vec::new();
         };
-        let limit = match record.limit_said(&notice.limit_per_1000_s, signed(now_ms)) {
-            LimitNews::Same => None,
-            LimitNews::Changed(limit) => {
+        let limit = match state.record_limit(&notice.limit_per_1000_s, signed(now_ms)) {
+            LimitChange::Unchanged => None,
+            LimitChange::Changed(limit) => {
                 Some(limit.map_or(NoticeChange::Unlimited, NoticeChange::Limited))
             }
-            LimitNews::Unreadable(text) => Some(NoticeChange::InvalidLimit(text)),
+            LimitChange::Invalid(text) => Some(NoticeChange::InvalidLimit(text)),
         };
-        let rest = match &notice.backoff_ms {
+        let backoff = match &notice.backoff_ms {
             NoticeField::Absent => None,
             NoticeField::Value(backoff_ms) => {
-                let backoff_ms = u64::from(*backoff_ms).min(longest_rest_ms);
-                record
-                    .rest(backoff_ms, now_ms)
+                let backoff_ms = u64::from(*backoff_ms).min(max_backoff_ms);
+                state
+                    .record_backoff(backoff_ms, now_ms)
                     .then_some(NoticeChange::BackingOff(backoff_ms))
             }
             NoticeField::Invalid(text) => Some(NoticeChange::InvalidBackoff(Arc::clone(text))),
         };
-        let leaves =
-            (notice.is_leaving && record.leave(signed(now_ms))).then_some(NoticeChange::Leaving);
-        limit.into_iter().chain(rest).chain(leaves).collect()
+        let is_newly_leaving = (notice.is_leaving && state.record_leaving(signed(now_ms)))
+            .then_some(NoticeChange::Leaving);
+        limit
+            .into_iter()
+            .chain(backoff)
+            .chain(is_newly_leaving)
+            .collect()
     }
 
-    /// Takes what a peer tells; the short names of the upstreams of which it was news. See
+    /// Merges a peer's updates. Returns the hashes of the upstreams whose state changed. See
     /// [`UpstreamNotices`].
-    pub fn merge(&mut self, told: &[NoticeUpdate], now_ms: u64) -> Vec<u32> {
+    pub fn merge(&mut self, updates: &[NoticeUpdate], now_ms: u64) -> Vec<u32> {
         let mut changed = Vec::new();
-        for told in told {
-            let Some(record) = self.get_or_insert(told.upstream, MAX_HEARD) else {
+        for update in updates {
+            let Some(state) = self.get_or_insert(update.upstream, MAX_UPSTREAMS_FOR_PEERS) else {
                 continue;
             };
-            let is_other_limit = told
+            let is_limit_changed = update
                 .limit
-                .is_some_and(|limit| record.limit_told(limit, signed(now_ms)));
-            let leaves = told.is_leaving && record.leave(signed(now_ms));
-            if is_other_limit || leaves {
-                changed.push(told.upstream);
+                .is_some_and(|limit| state.merge_limit(limit, signed(now_ms)));
+            let is_newly_leaving = update.is_leaving && state.record_leaving(signed(now_ms));
+            if is_limit_changed || is_newly_leaving {
+                changed.push(update.upstream);
             }
         }
         changed
     }
 
-    /// What peers are told of upstreams, by their short names.
+    /// Returns the updates to send to peers for some upstreams, given by hash.
     ///
     /// ```
     /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().updates_for(&[7], 0).is_empty());
@@ -194,53 +200,53 @@
     pub fn updates_for(&self, upstreams: &[u32], now_ms: u64) -> Vec<NoticeUpdate> {
         let known = upstreams
             .iter()
-            .filter_map(|name| Some((name, self.by_upstream.get(name)?)));
+            .filter_map(|hash| Some((hash, self.by_upstream.get(hash)?)));
         known
-            .take(MAX_TOLD)
-            .filter_map(|(name, record)| record.told(*name, signed(now_ms)))
+            .take(MAX_UPDATES)
+            .filter_map(|(hash, state)| state.to_update(*hash, signed(now_ms)))
             .collect()
     }
 
-    /// Whether the keeper of an upstream's door is to be told again what its answers say, which
-    /// counts as done.
+    /// Returns whether an upstream's state is due to be resent to the owner of its admission queue. If
+    /// so, counts it as resent.
     ///
     /// ```
     /// assert!(!sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().take_due_resend("i-1", 0));
     /// ```
     pub fn take_due_resend(&mut self, instance: &str, now_ms: u64) -> bool {
-        let Some(record) = self.by_upstream.get_mut(&upstream_hash(instance)) else {
+        let Some(state) = self.by_upstream.get_mut(&upstream_hash(instance)) else {
             return false;
         };
-        let is_due = signed(now_ms) >= record.repeated_at_ms + REPEAT_MS;
+        let is_due = signed(now_ms) >= state.resent_at_ms + RESEND_INTERVAL_MS;
         if is_due {
-            record.repeated_at_ms = signed(now_ms);
+            state.resent_at_ms = signed(now_ms);
         }
         is_due
     }
 
-    /// What peers are told of an upstream; see [`UpstreamNotices`].
+    /// Returns the updates to send to peers for one upstream, at most one. See [`UpstreamNotices`].
     #[must_use]
     pub fn updates_for_instance(&self, instance: &str, now_ms: u64) -> Vec<NoticeUpdate> {
         self.updates_for(&[upstream_hash(instance)], now_ms)
     }
 
-    /// What is told in the next repetition: as much as fits into a message, others each time.
+    /// Returns the updates of the next resend: as many as fit into a message, different ones each time.
     ///
     /// ```
     /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().next_updates(0).is_empty());
     /// ```
     pub fn next_updates(&mut self, now_ms: u64) -> Vec<NoticeUpdate> {
         let count = self.by_upstream.len();
-        let first = self.next.checked_rem(count).unwrap_or_default();
-        self.next = first + MAX_TOLD.min(count);
-        let records = self.by_upstream.iter().cycle().skip(first);
-        records
-            .take(count.min(MAX_TOLD))
-            .filter_map(|(name, record)| record.told(*name, signed(now_ms)))
+        let first = self.resend_cursor.checked_rem(count).unwrap_or_default();
+        self.resend_cursor = first + MAX_UPDATES.min(count);
+        let states = self.by_upstream.iter().cycle().skip(first);
+        states
+            .take(count.min(MAX_UPDATES))
+            .filter_map(|(hash, state)| state.to_update(*hash, signed(now_ms)))
             .collect()
     }
 
-    /// The limits that hold, by short name, in requests in 1,000 seconds.
+    /// Returns the limits in force by upstream hash, in requests in 1,000 seconds.
     ///
     /// ```
     /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().limits().is_empty());
@@ -249,12 +255,12 @@
     pub fn limits(&self) -> IndexMap<u32, u32> {
         self.by_upstream
             .iter()
-            .filter_map(|(name, record)| Some((*name, record.limit_per_1000_s()?)))
+            .filter_map(|(hash, state)| Some((*hash, state.limit_per_1000_s()?)))
             .collect()
     }
 
-    /// Whether an upstream has said that it will end. It holds for as long as that start of it is
-    /// listed: what ends does not come back.
+    /// Returns whether an upstream has announced that it is shutting down. This is final for the
+    /// incarnation, for as long as it is listed.
     ///
     /// ```
     /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::UpstreamNotice};
@@ -266,28 +272,28 @@
     /// ```
     #[must_use]
     pub fn is_leaving(&self, instance: &str) -> bool {
-        let record = self.by_upstream.get(&upstream_hash(instance));
-        record.is_some_and(|record| record.is_leaving)
+        let state = self.by_upstream.get(&upstream_hash(instance));
+        state.is_some_and(|state| state.is_leaving)
     }
 
-    /// All that holds, by short name, for operators.
+    /// Returns what is in force for operators, by upstream hash.
     ///
     /// ```
     /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::{UpstreamNotice, NoticeField}};
     /// let mut notices = UpstreamNotices::default();
-    /// let rest = UpstreamNotice { backoff_ms: NoticeField::Value(3_000), ..UpstreamNotice::default() };
-    /// notices.record("i-1", &rest, 0);
-    /// let (_, shown) = notices.shown(1_000).next().unwrap();
-    /// assert_eq!(shown.rests_for_ms, 2_000);
-    /// assert_eq!(notices.shown(3_000).count(), 0);
+    /// let backoff = UpstreamNotice { backoff_ms: NoticeField::Value(3_000), ..UpstreamNotice::default() };
+    /// notices.record("i-1", &backoff, 0);
+    /// let (_, view) = notices.views(1_000).next().unwrap();
+    /// assert_eq!(view.rests_for_ms, 2_000);
+    /// assert_eq!(notices.views(3_000).count(), 0);
     /// ```
-    pub fn shown(&self, now_ms: u64) -> impl Iterator<Item = (u32, Shown)> {
+    pub fn views(&self, now_ms: u64) -> impl Iterator<Item = (u32, NoticeView)> {
         self.by_upstream
             .iter()
-            .filter_map(move |(name, record)| Some((*name, record.shown(now_ms)?)))
+            .filter_map(move |(hash, state)| Some((*hash, state.to_view(now_ms)?)))
     }
 
-    /// How many upstreams limit their requests.
+    /// Returns the number of upstreams that limit their requests.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().limited_count(), 0);
@@ -297,18 +303,18 @@
         self.limits().len()
     }
 
-    /// How many upstreams have said that they will end.
+    /// Returns the number of upstreams that have announced that they are shutting down.
     ///
     /// ```
     /// assert_eq!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().leaving_count(), 0);
     /// ```
     #[must_use]
     pub fn leaving_count(&self) -> usize {
-        let records = self.by_upstream.values();
-        records.filter(|record| record.is_leaving).count()
+        let states = self.by_upstream.values();
+        states.filter(|state| state.is_leaving).count()
     }
 
-    /// Whether nothing is known of any upstream.
+    /// Returns whether no upstream is tracked.
     ///
     /// ```
     /// assert!(sardinewood::direct::notices::upstream_notices::UpstreamNotices::default().is_empty());
@@ -318,32 +324,32 @@
         self.by_upstream.is_empty()
     }
 
-    /// Forgets what concerns no upstream any more. `listed` has the short names of all that are in
-    /// the list.
+    /// Drops states that have expired. `listed` contains the hashes of all listed upstreams.
     ///
     /// ```
     /// # use sardinewood::direct::notices::upstream_notices::UpstreamNotices;
     /// UpstreamNotices::default().expire(&[7].into_iter().collect(), 0);
     /// ```
     pub fn expire(&mut self, listed: &IndexSet<u32>, now_ms: u64) {
-        self.by_upstream.retain(|name, record| {
-            if now_ms < record.rests_until_ms {
+        self.by_upstream.retain(|hash, state| {
+            if now_ms < state.backoff_until_ms {
                 return true;
             }
-            let age_ms = record.age_ms(signed(now_ms));
-            if listed.contains(name) {
-                record.holds() || age_ms < ENDED_MS
+            let age_ms = state.age_ms(signed(now_ms));
+            if listed.contains(hash) {
+                state.is_in_force() || age_ms < LIFTED_RETENTION_MS
             } else {
-                age_ms < UNLISTED_MS
+                age_ms < UNLISTED_RETENTION_MS
             }
         });
     }
 
-    fn get_or_insert(&mut self, name: u32, most: usize) -> Option<&mut Record> {
-        let has_room = self.by_upstream.len() < most;
-        if !has_room && !self.by_upstream.contains_key(&name) {
+    /// Returns the state of an upstream. Adds it if fewer than `most` upstreams are tracked.
+    fn get_or_insert(&mut self, hash: u32, most: usize) -> Option<&mut UpstreamState> {
+        let has_capacity = self.by_upstream.len() < most;
+        if !has_capacity && !self.by_upstream.contains_key(&hash) {
             return None;
         }
-        Some(self.by_upstream.entry(name).or_default())
+        Some(self.by_upstream.entry(hash).or_default())
     }
 }
--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -1,5 +1,7 @@
-//! Takes what upstreams say of themselves out of their answers, acts on it, and tells the other
-//! entries and operators.
+//! Drives [`notices`]: records the notices of answers, applies them to admission and placement, and
+//! sends them to the other entries and to operators.
+//!
+//! [`notices`]: crate::direct::notices
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,81 +27,85 @@
 use crate::logging::Level;
 use crate::numbers;
 
-/// Limits are told in requests in so many seconds.
-const LIMIT_S: f64 = 1_000.0;
+/// Number of seconds to which a limit refers.
+const LIMIT_PERIOD_S: f64 = 1_000.0;
 
 impl TrafficState {
-    /// Takes the longest rest that an upstream is given, whatever it asks for.
+    /// Sets the longest backoff that an upstream is granted, whatever it asks for.
     pub fn set_max_backoff(&self, longest: Duration) {
         let longest_ms = u64::try_from(longest.as_millis()).unwrap_or(u64::MAX);
         let mut notices = self.notices.borrow_mut();
         notices.set_max_backoff_ms(longest_ms);
     }
 
-    /// Takes what an answer says of the upstream that gave it.
+    /// Records the notice of an answer, and acts on what it changed.
     pub fn record_notice(
         self: &Rc<Self>,
         call: &Call,
         upstream: &Upstream,
         answer: &ResponseHeaders,
     ) {
-        let says_nothing = answer.notice == UpstreamNotice::default();
-        if says_nothing && self.notices.borrow().is_empty() || !speaks_for_itself(call, answer) {
+        let is_empty = answer.notice == UpstreamNotice::default();
+        if is_empty && self.notices.borrow().is_empty() || !is_from_upstream(call, answer) {
             return;
         }
         let now_ms = self.now_ms();
         let instance = &upstream.instance;
         let mut notices = self.notices.borrow_mut();
         let changes = notices.record(instance, &answer.notice, now_ms);
-        let is_repeat_due = notices.take_due_resend(instance, now_ms);
+        let is_resend_due = notices.take_due_resend(instance, now_ms);
         drop(notices);
         if changes.iter().any(NoticeChange::is_shared) {
-            self.tell_some_notices(self.notices_of(instance), usize::MAX);
+            self.send_updates_to(self.updates_for_instance(instance), usize::MAX);
             self.update_eligible_upstreams();
             self.grant_slots();
         } else if !changes.is_empty() {
             self.apply_notices();
-        } else if !says_nothing && is_repeat_due {
-            self.tell_keeper(instance);
+        } else if !is_empty && is_resend_due {
+            self.resend_to_owner(instance);
         }
         for change in changes {
             self.log_notice(call, upstream, &change);
         }
     }
 
-    /// Takes a peer's word of what upstreams have said.
-    pub fn merge_notice_updates(self: &Rc<Self>, from: SocketAddr, told: &[NoticeUpdate]) {
+    /// Merges a peer's updates of notices, acts on what changed, and forwards it.
+    pub fn merge_notice_updates(self: &Rc<Self>, from: SocketAddr, updates: &[NoticeUpdate]) {
         let now_ms = self.now_ms();
         let mut notices = self.notices.borrow_mut();
-        let changed = notices.merge(told, now_ms);
-        let news = notices.updates_for(&changed, now_ms);
+        let changed = notices.merge(updates, now_ms);
+        let changed_updates = notices.updates_for(&changed, now_ms);
         drop(notices);
-        if news.is_empty() {
+        if changed_updates.is_empty() {
             return;
         }
-        self.log(Level::Info, "peer tells what upstreams say", |line| {
-            let names = changed.iter().map(|name| self.upstream_name(*name));
-            line.field("peer", from)
-                .field("upstreams", names.collect::<Vec<_>>())
-        });
-        self.tell_some_notices(news, gossip::FORWARD_PEERS);
+        self.log(
+            Level::Info,
+            "received upstream notices from a peer",
+            |line| {
+                let names = changed.iter().map(|hash| self.upstream_name(*hash));
+                line.field("peer", from)
+                    .field("upstreams", names.collect::<Vec<_>>())
+            },
+        );
+        self.send_updates_to(changed_updates, gossip::FORWARD_PEERS);
         self.update_eligible_upstreams();
         self.grant_slots();
     }
 
-    /// Tells a peer what is known that has started, or was silent.
+    /// Sends the known notices to a peer that has started or was silent.
     pub fn sync_notices_to(&self, peer: SocketAddr) {
         if self.notices.borrow().is_empty() || !self.should_sync_peer() {
             return;
         }
-        let told = self.notices.borrow_mut().next_updates(self.now_ms());
-        if !told.is_empty() {
-            self.send_to_peer(peer, &PeerMessage::UpstreamNotices(told));
+        let updates = self.notices.borrow_mut().next_updates(self.now_ms());
+        if !updates.is_empty() {
+            self.send_to_peer(peer, &PeerMessage::UpstreamNotices(updates));
         }
     }
 
-    /// Forgets what concerns no upstream any more, and tells one peer a part of the rest: it makes
-    /// up for lost datagrams and for what an entry missed that was cut off.
+    /// Drops expired state, and resends a part of the rest to one peer. That makes up for lost
+    /// datagrams and for updates that a disconnected entry missed.
     pub fn maintain_notices(&self) {
         if self.notices.borrow().is_empty() {
             return;
@@ -107,12 +113,12 @@
         let listed = self.rollouts.borrow().upstream_names();
         let mut notices = self.notices.borrow_mut();
         notices.expire(&listed, self.now_ms());
-        let told = notices.next_updates(self.now_ms());
+        let updates = notices.next_updates(self.now_ms());
         drop(notices);
-        self.tell_some_notices(told, gossip::RESEND_PEERS);
+        self.send_updates_to(updates, gossip::RESEND_PEERS);
     }
 
-    /// Lets doors and placement go by what upstreams say.
+    /// Applies limits and backoffs to admission and placement.
     pub fn apply_notices(&self) {
         let notices = self.notices.borrow();
         let limits = notices.limits();
@@ -125,25 +131,25 @@
         admission.set_limits(limits, self.now_ms());
     }
 
-    /// What operators see of what upstreams say, by the upstreams' names.
+    /// Returns the states of upstreams for operators, by the upstreams' names.
     #[must_use]
     pub fn notices_json(&self) -> Vec<Value> {
         let notices = self.notices.borrow();
-        let shown = notices.shown(self.now_ms());
-        shown
-            .map(|(name, shown)| json!({"upstream": self.upstream_name(name), "says": shown}))
+        let views = notices.views(self.now_ms());
+        views
+            .map(|(hash, view)| json!({"upstream": self.upstream_name(hash), "says": view}))
             .collect()
     }
 
-    /// The name of an upstream as logs give it; its short name if it is not listed.
-    fn upstream_name(&self, short: u32) -> String {
+    /// Returns the name of an upstream for logs, or its hash if it is not listed.
+    fn upstream_name(&self, hash: u32) -> String {
         let book = self.rollouts.borrow();
         let mut listed = book.upstreams().iter();
-        let upstream = listed.find(|upstream| upstream_hash(&upstream.instance) == short);
-        upstream.map_or_else(|| short.to_string(), |found| found.instance.to_string())
+        let upstream = listed.find(|upstream| upstream_hash(&upstream.instance) == hash);
+        upstream.map_or_else(|| hash.to_string(), |found| found.instance.to_string())
     }
 
-    /// Grants again when the rate of a limited upstream allows it.
+    /// Schedules the next grant for the time at which the rate limit of an upstream allows it.
     pub fn schedule_rate_limited_grant(self: &Rc<Self>) {
         let now_ms = self.now_ms();
         let Some(after_ms) = self.admission.borrow().next_grant_in_ms(now_ms) else {
@@ -168,24 +174,24 @@
         });
     }
 
-    fn tell_some_notices(&self, told: Vec<NoticeUpdate>, most: usize) {
-        if !told.is_empty() {
-            self.send_to_random_peers(&PeerMessage::UpstreamNotices(told), most);
+    fn send_updates_to(&self, updates: Vec<NoticeUpdate>, most: usize) {
+        if !updates.is_empty() {
+            self.send_to_random_peers(&PeerMessage::UpstreamNotices(updates), most);
         }
     }
 
-    /// Tells the keeper of an upstream's door, which may have missed it.
-    fn tell_keeper(&self, instance: &str) {
-        let told = self.notices_of(instance);
-        if !told.is_empty()
-            && let EntryRef::Peer(keeper) = self.owner(upstream_hash(instance))
+    /// Resends an upstream's notices to the owner of its admission queue, which may have missed them.
+    fn resend_to_owner(&self, instance: &str) {
+        let updates = self.updates_for_instance(instance);
+        if !updates.is_empty()
+            && let EntryRef::Peer(owner) = self.owner(upstream_hash(instance))
         {
-            self.send_to_peer(keeper, &PeerMessage::UpstreamNotices(told));
+            self.send_to_peer(owner, &PeerMessage::UpstreamNotices(updates));
         }
     }
 
-    /// What peers are told of an upstream.
-    fn notices_of(&self, instance: &str) -> Vec<NoticeUpdate> {
+    /// Returns the updates to send to peers for one upstream.
+    fn updates_for_instance(&self, instance: &str) -> Vec<NoticeUpdate> {
         self.notices
             .borrow()
             .updates_for_instance(instance, self.now_ms())
@@ -208,9 +214,10 @@
                 .field("service", &upstream.service)
                 .field("request", call.name());
             match change {
-                NoticeChange::Limited(limit) => {
-                    line.field("requests_per_s", numbers::as_f64((*limit).into()) / LIMIT_S)
-                }
+                NoticeChange::Limited(limit) => line.field(
+                    "requests_per_s",
+                    numbers::as_f64((*limit).into()) / LIMIT_PERIOD_S,
+                ),
                 NoticeChange::Unlimited | NoticeChange::Leaving => line,
                 NoticeChange::BackingOff(backoff_ms) => line.field("rest_ms", backoff_ms),
                 NoticeChange::InvalidLimit(text) | NoticeChange::InvalidBackoff(text) => {
@@ -221,9 +228,9 @@
     }
 }
 
-/// Whether an answer comes from the upstream that was asked, and belongs to the request. One that
-/// turns a request away before it has read it may not name it.
-fn speaks_for_itself(call: &Call, answer: &ResponseHeaders) -> bool {
+/// Returns whether an answer comes from the intended upstream and belongs to the request. An answer
+/// that declines a request before reading it may lack the request ID.
+fn is_from_upstream(call: &Call, answer: &ResponseHeaders) -> bool {
     let is_unnamed = answer.is_not_run && answer.request_id.is_none();
     !answer.is_misdirected && (is_unnamed || answer.request_id == call.request_id)
 }
--- a/lib/tests/test_direct_notices.rs
+++ b/lib/tests/test_direct_notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, as entries remember it and tell each other.
+//! Tests of upstream notices, as entries remember them and exchange updates.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -19,7 +19,7 @@
     }
 }
 
-fn told(upstream: u32, per_1000_s: Option<u32>, ago_ms: i64) -> NoticeUpdate {
+fn update(upstream: u32, per_1000_s: Option<u32>, ago_ms: i64) -> NoticeUpdate {
     NoticeUpdate {
         upstream,
         limit: Some(LimitUpdate { per_1000_s, ago_ms }),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn said_another_limit() {
+fn record_another_limit() {
     let mut notices = UpstreamNotices::default();
     notices.record("i-1", &limited(1_400), 0);
     assert_eq!(
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn said_by_another_incarnation() {
-    // Guards against a limit that outlives the process that named it.
+fn record_for_another_incarnation() {
+    // Guards against a limit that outlives the process that stated it.
     let mut notices = UpstreamNotices::default();
     notices.record("i-1@5", &limited(1_400), 0);
     assert_eq!(notices.record("i-1@6", &UpstreamNotice::default(), 10), []);
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn said_unreadable_keeps_what_held_and_is_told_once() {
-    // Guards against a limit that is lifted, or a log that is flooded, by a header that is no number.
+fn record_invalid_limit_keeps_the_previous_and_reports_once() {
+    // Guards against a header that is not a number lifting a limit or flooding the log.
     let mut notices = UpstreamNotices::default();
     notices.record("i-1", &limited(1_400), 0);
     let unreadable = UpstreamNotice {
@@ -66,26 +66,26 @@
 }
 
 #[test]
-fn hear_older_answer_changes_nothing() {
-    // Guards against an entry that was cut off and brings back a limit that has ended.
+fn merge_older_answer_changes_nothing() {
+    // Guards against a limit that was lifted and comes back from an entry that was disconnected.
     let mut notices = UpstreamNotices::default();
     notices.record("i-1", &limited(1_400), 1_000);
     notices.record("i-1", &UpstreamNotice::default(), 5_000);
-    let old = told(upstream_hash("i-1"), Some(1_400), 3_000);
+    let old = update(upstream_hash("i-1"), Some(1_400), 3_000);
     assert!(notices.merge(&[old], 6_000).is_empty());
     assert_eq!(notices.limited_count(), 0);
 }
 
 #[test]
-fn hear_in_any_order_the_latest_answer_holds() {
+fn merge_in_any_order_the_latest_answer_wins() {
     let name = upstream_hash("i-1");
     for seed in 0..50 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut all = [
-            told(name, Some(1_400), 400),
-            told(name, None, 300),
-            told(name, Some(700), 200),
-            told(name, Some(900), 100),
+            update(name, Some(1_400), 400),
+            update(name, None, 300),
+            update(name, Some(700), 200),
+            update(name, Some(900), 100),
         ];
         all.shuffle(&mut random);
         let mut notices = UpstreamNotices::default();
@@ -97,39 +97,43 @@
 }
 
 #[test]
-fn hear_before_the_process_began() {
+fn merge_from_before_the_process_started() {
     let mut notices = UpstreamNotices::default();
-    let heard = notices.merge(&[told(7, Some(1_400), 60_000)], 20);
-    assert_eq!(heard, [7]);
+    let changed = notices.merge(&[update(7, Some(1_400), 60_000)], 20);
+    assert_eq!(changed, [7]);
 }
 
 #[test]
-fn hear_absurd_times() {
-    // Guards against an overflow that ends the traffic thread.
+fn merge_absurd_times() {
+    // Guards against an overflow that panics the traffic thread.
     let mut notices = UpstreamNotices::default();
     for ago_ms in [i64::MIN, i64::MAX, -1, 0] {
-        notices.merge(&[told(7, Some(u32::MAX), ago_ms)], 20);
+        notices.merge(&[update(7, Some(u32::MAX), ago_ms)], 20);
     }
     assert_eq!(notices.next_updates(30).len(), 1);
 }
 
 #[test]
-fn hear_without_end_bounded() {
-    // Guards against a peer, or a fleet that is replaced again and again, that fills the memory.
+fn merge_of_endless_upstreams_bounded() {
+    // Guards against unbounded memory use by a peer, or by upstreams that are replaced again and again.
     let mut notices = UpstreamNotices::default();
     for upstream in 0..100_000 {
-        notices.merge(&[told(upstream, Some(1_400), 0)], 10);
+        notices.merge(&[update(upstream, Some(1_400), 0)], 10);
     }
     assert!(notices.limited_count() <= 4_096);
     notices.record("i-1", &limited(700), 20);
-    assert_eq!(notices.limits()[&upstream_hash("i-1")], 700, "its own word");
+    assert_eq!(
+        notices.limits()[&upstream_hash("i-1")],
+        700,
+        "stated to this entry"
+    );
     notices.expire(&[7].into_iter().collect(), 70_000);
     assert_eq!(notices.limited_count(), 1);
 }
 
 #[test]
-fn sweep_keeps_the_limit_of_a_listed_upstream() {
-    // Guards against a limit that is forgotten since no answer came for some time.
+fn expire_keeps_the_limit_of_a_listed_upstream() {
+    // Guards against a limit that is forgotten because no answer arrived for some time.
     let mut notices = UpstreamNotices::default();
     notices.record("i-1", &limited(400), 0);
     let listed = [upstream_hash("i-1")].into_iter().collect();
@@ -138,30 +142,30 @@
 }
 
 #[test]
-fn next_told_fits_into_a_datagram() {
-    // Guards against news that are never sent, since their message is too long.
+fn next_updates_fit_into_a_datagram() {
+    // Guards against updates that are never sent because their message is too long.
     let mut notices = UpstreamNotices::default();
     for upstream in 0..200 {
-        let one = told(u32::MAX - upstream, Some(u32::MAX), i64::MAX);
+        let one = update(u32::MAX - upstream, Some(u32::MAX), i64::MAX);
         notices.merge(&[one], u64::MAX);
     }
-    let told = notices.next_updates(u64::MAX);
-    assert!(told.len() >= 50);
-    assert!(PeerMessage::UpstreamNotices(told).encode().is_some());
+    let updates = notices.next_updates(u64::MAX);
+    assert!(updates.len() >= 50);
+    assert!(PeerMessage::UpstreamNotices(updates).encode().is_some());
     let changed: Vec<u32> = (0..200).map(|number| u32::MAX - number).collect();
-    let passed_on = notices.updates_for(&changed, u64::MAX);
-    assert!(PeerMessage::UpstreamNotices(passed_on).encode().is_some());
+    let forwarded = notices.updates_for(&changed, u64::MAX);
+    assert!(PeerMessage::UpstreamNotices(forwarded).encode().is_some());
 }
 
 #[test]
-fn next_told_takes_turns() {
+fn next_updates_take_turns() {
     let mut notices = UpstreamNotices::default();
     for upstream in 0..100 {
-        notices.merge(&[told(upstream, Some(1_400), 0)], 10);
+        notices.merge(&[update(upstream, Some(1_400), 0)], 10);
     }
     let mut names: Vec<u32> = (0..2)
         .flat_map(|_| notices.next_updates(20))
-        .map(|told| told.upstream)
+        .map(|update| update.upstream)
         .collect();
     names.sort_unstable();
     names.dedup();
@@ -169,8 +173,8 @@
 }
 
 #[test]
-fn repeat_due_once_a_second() {
-    // Guards against an entry that tells the keeper of a door with every answer.
+fn resend_due_once_a_second() {
+    // Guards against a resend to the owner of an admission queue with every answer.
     let mut notices = UpstreamNotices::default();
     notices.record("i-1", &limited(1_400), 5_000);
     let due = (5_000..9_000).filter(|now_ms| notices.take_due_resend("i-1", *now_ms));
@@ -185,8 +189,9 @@
 }
 
 #[test]
-fn said_leaving_once() {
-    // Guards against a log line, and a datagram to every entry, with each answer of one that leaves.
+fn record_leaving_once() {
+    // Guards against a log line, and a datagram to every entry, for each answer of an upstream that is
+    // shutting down.
     let mut notices = UpstreamNotices::default();
     assert_eq!(
         notices.record("i-1", &leaving(), 0),
@@ -196,8 +201,8 @@
 }
 
 #[test]
-fn hear_leaving_in_any_order() {
-    // Guards against a word of the limit that takes the leaving back.
+fn merge_leaving_in_any_order() {
+    // Guards against an update of the limit that revokes the shutdown.
     let (mut one, mut other) = (UpstreamNotices::default(), UpstreamNotices::default());
     one.record("i-1", &limited(700), 0);
     other.record("i-1", &leaving(), 5);
@@ -206,13 +211,13 @@
         1
     );
     other.merge(&one.updates_for_instance("i-1", 20), 20);
-    one.merge(&[told(upstream_hash("i-1"), None, 0)], 30);
+    one.merge(&[update(upstream_hash("i-1"), None, 0)], 30);
     assert!(one.is_leaving("i-1") && other.is_leaving("i-1"));
 }
 
 #[test]
-fn sweep_remembers_one_that_leaves_while_it_is_listed() {
-    // Guards against an upstream that is used again since nobody has asked it for some time.
+fn expire_keeps_a_leaving_upstream_while_it_is_listed() {
+    // Guards against an upstream that is used again because it answered nothing for some time.
     let mut notices = UpstreamNotices::default();
     notices.record("i-1", &leaving(), 0);
     notices.expire(&[upstream_hash("i-1")].into_iter().collect(), 3_600_000);
@@ -221,7 +226,7 @@
     assert!(!notices.is_leaving("i-1"));
 }
 
-fn rest(backoff_ms: u32) -> UpstreamNotice {
+fn backoff(backoff_ms: u32) -> UpstreamNotice {
     UpstreamNotice {
         backoff_ms: NoticeField::Value(backoff_ms),
         ..UpstreamNotice::default()
@@ -229,18 +234,18 @@
 }
 
 #[test]
-fn said_rest_again_longer() {
-    // Guards against a later, shorter rest that ends the one before.
+fn record_longer_backoff() {
+    // Guards against a later, shorter backoff that replaces the previous one.
     let mut notices = UpstreamNotices::default();
     let name = upstream_hash("i-1");
     assert_eq!(
-        notices.record("i-1", &rest(3_000), 0),
+        notices.record("i-1", &backoff(3_000), 0),
         [NoticeChange::BackingOff(3_000)]
     );
-    assert_eq!(notices.record("i-1", &rest(500), 1_000), []);
+    assert_eq!(notices.record("i-1", &backoff(500), 1_000), []);
     assert_eq!(notices.backoffs(1_000)[&name], 3_000);
     assert_eq!(
-        notices.record("i-1", &rest(3_000), 2_000),
+        notices.record("i-1", &backoff(3_000), 2_000),
         [NoticeChange::BackingOff(3_000)]
     );
     assert_eq!(notices.backoffs(4_999)[&name], 5_000);
@@ -248,28 +253,28 @@
 }
 
 #[test]
-fn said_rest_without_end_bounded() {
-    // Guards against an upstream that is lost for the life of an entry by one header.
+fn record_endless_backoff_bounded() {
+    // Guards against a single header that makes an upstream unusable for the lifetime of an entry.
     let mut notices = UpstreamNotices::default();
-    notices.record("i-1", &rest(u32::MAX), 0);
+    notices.record("i-1", &backoff(u32::MAX), 0);
     assert!(notices.backoffs(600_000).is_empty());
     assert_eq!(notices.backoffs(599_999).len(), 1);
 }
 
 #[test]
-fn rest_not_told_to_other_entries() {
-    // They were not asked, and what one entry may not use is room for the others.
+fn backoff_not_sent_to_other_entries() {
+    // The other entries were not asked to back off, and can use the capacity that this one may not.
     let mut notices = UpstreamNotices::default();
-    notices.record("i-1", &rest(3_000), 0);
+    notices.record("i-1", &backoff(3_000), 0);
     assert!(notices.updates_for_instance("i-1", 10).is_empty());
     assert!(notices.next_updates(10).is_empty());
 }
 
 #[test]
-fn sweep_keeps_a_rest_of_an_unlisted_upstream() {
-    // Guards against a rest that ends since the store has lost the upstream's entry for a moment.
+fn expire_keeps_a_backoff_of_an_unlisted_upstream() {
+    // Guards against a backoff that ends because the upstream is briefly missing from the store.
     let mut notices = UpstreamNotices::default();
-    notices.record("i-1", &rest(300_000), 0);
+    notices.record("i-1", &backoff(300_000), 0);
     notices.expire(&[7].into_iter().collect(), 200_000);
     assert_eq!(notices.backoffs(200_000).len(), 1);
 }
