--- a/lib/src/direct/notices/upstream_notices.rs
+++ b/lib/src/direct/notices/upstream_notices.rs
@@ -259,8 +259,8 @@
             .collect()
     }
 
-    /// Returns whether an upstream has announced that it is shutting down. This is final for the
-    /// incarnation, for as long as it is listed.
+    /// Returns whether an upstream has announced that it is shutting down. This applies to the
+    /// incarnation for as long as it is listed, since a process that exits does not come back.
     ///
     /// ```
     /// # use sardinewood::direct::notices::{upstream_notices::UpstreamNotices, notice::UpstreamNotice};
