--- a/lib/src/direct/notices_driver.rs
+++ b/lib/src/direct/notices_driver.rs
@@ -56,13 +56,13 @@
         let is_resend_due = notices.take_due_resend(instance, now_ms);
         drop(notices);
         if changes.iter().any(NoticeChange::is_shared) {
-            self.send_updates_to(self.updates_for_instance(instance), usize::MAX);
+            self.send_notice_updates(self.notice_updates_for(instance), usize::MAX);
             self.update_eligible_upstreams();
             self.grant_slots();
         } else if !changes.is_empty() {
             self.apply_notices();
         } else if !is_empty && is_resend_due {
-            self.resend_to_owner(instance);
+            self.resend_notices_to_owner(instance);
         }
         for change in changes {
             self.log_notice(call, upstream, &change);
@@ -88,7 +88,7 @@
                     .field("upstreams", names.collect::<Vec<_>>())
             },
         );
-        self.send_updates_to(changed_updates, gossip::FORWARD_PEERS);
+        self.send_notice_updates(changed_updates, gossip::FORWARD_PEERS);
         self.update_eligible_upstreams();
         self.grant_slots();
     }
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Drops expired state, and resends a part of the rest to one peer. That makes up for lost
-    /// datagrams and for updates that a disconnected entry missed.
+    /// Drops expired state, and resends a part of the remaining state to one peer. That makes up for
+    /// lost datagrams and for updates that a disconnected entry missed.
     pub fn maintain_notices(&self) {
         if self.notices.borrow().is_empty() {
             return;
@@ -115,7 +115,7 @@
         notices.expire(&listed, self.now_ms());
         let updates = notices.next_updates(self.now_ms());
         drop(notices);
-        self.send_updates_to(updates, gossip::RESEND_PEERS);
+        self.send_notice_updates(updates, gossip::RESEND_PEERS);
     }
 
     /// Applies limits and backoffs to admission and placement.
@@ -174,15 +174,16 @@
         });
     }
 
-    fn send_updates_to(&self, updates: Vec<NoticeUpdate>, most: usize) {
+    /// Sends updates to up to `most` random peers.
+    fn send_notice_updates(&self, updates: Vec<NoticeUpdate>, most: usize) {
         if !updates.is_empty() {
             self.send_to_random_peers(&PeerMessage::UpstreamNotices(updates), most);
         }
     }
 
     /// Resends an upstream's notices to the owner of its admission queue, which may have missed them.
-    fn resend_to_owner(&self, instance: &str) {
-        let updates = self.updates_for_instance(instance);
+    fn resend_notices_to_owner(&self, instance: &str) {
+        let updates = self.notice_updates_for(instance);
         if !updates.is_empty()
             && let EntryRef::Peer(owner) = self.owner(upstream_hash(instance))
         {
@@ -191,7 +192,7 @@
     }
 
     /// Returns the updates to send to peers for one upstream.
-    fn updates_for_instance(&self, instance: &str) -> Vec<NoticeUpdate> {
+    fn notice_updates_for(&self, instance: &str) -> Vec<NoticeUpdate> {
         self.notices
             .borrow()
             .updates_for_instance(instance, self.now_ms())
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -1,4 +1,8 @@
-//! Requests that end the upstreams that run them: how an end is proven, and which request it was.
+//! Quarantine of requests that crash the upstreams that run them.
+//!
+//! [`crash_detector`] confirms crashes, [`suspect_requests`] decides from them which requests are
+//! quarantined, [`suspect`] is the state of one request, [`fingerprint`] recognizes a repeated request,
+//! and [`recent_successes`] exempts requests that recently succeeded.
 
 pub mod crash_detector;
 pub mod fingerprint;
--- a/lib/src/direct/quarantine_driver.rs
+++ b/lib/src/direct/quarantine_driver.rs
@@ -68,7 +68,7 @@
             BreakAction::Probe => {
                 spawn_local(probe(Rc::clone(self), Arc::clone(upstream)));
             }
-            BreakAction::Crashed(crash) => self.record_crash(&crash),
+            BreakAction::Crashed(crash) => self.record_upstream_crash(&crash),
             BreakAction::ProbeRunning | BreakAction::Ignore => {}
         }
     }
@@ -80,7 +80,7 @@
             .borrow_mut()
             .on_connection_refused(instance);
         if let Some(crash) = crash {
-            self.record_crash(&crash);
+            self.record_upstream_crash(&crash);
         }
     }
 
@@ -91,7 +91,7 @@
             .borrow_mut()
             .on_upstreams_listed(upstreams);
         for crash in &crashes {
-            self.record_crash(crash);
+            self.record_upstream_crash(crash);
         }
     }
 
@@ -109,7 +109,7 @@
     pub fn clear_suspicion(&self, fingerprint: Fingerprint) -> bool {
         let is_cleared = self.suspects.borrow_mut().clear(fingerprint, self.now_ms());
         if is_cleared {
-            self.send_updates_to_all(&[fingerprint]);
+            self.send_suspect_updates_to_all(&[fingerprint]);
         }
         is_cleared
     }
@@ -146,7 +146,7 @@
             QuarantineDecision::Allow => Ok(()),
             QuarantineDecision::AllowTrial => {
                 self.suspects.borrow_mut().begin_trial(fingerprint, now_ms);
-                self.send_updates_to_all(&[fingerprint]);
+                self.send_suspect_updates_to_all(&[fingerprint]);
                 self.log(
                     Level::Warn,
                     "running a trial of a quarantined request",
@@ -169,20 +169,20 @@
                 .suspects
                 .borrow()
                 .updates_for(&change.changed, self.now_ms());
-            self.send_updates(known, gossip::FORWARD_PEERS);
+            self.send_suspect_updates(known, gossip::FORWARD_PEERS);
         }
-        self.log_quarantined(&change.newly_quarantined);
+        self.log_quarantined_requests(&change.newly_quarantined);
         let crashes = self
             .crash_detector
             .borrow_mut()
             .on_peer_crash_reports(&change.crashed_upstreams);
         for crash in &crashes {
-            self.record_crash(crash);
+            self.record_upstream_crash(crash);
         }
     }
 
-    /// Drops expired state, and resends a part of the rest to one peer. That makes up for lost
-    /// datagrams and for updates that a disconnected entry missed.
+    /// Drops expired state, and resends a part of the remaining state to one peer. That makes up for
+    /// lost datagrams and for updates that a disconnected entry missed.
     pub fn maintain_quarantine(&self) {
         let now_ms = self.now_ms();
         self.crash_detector.borrow_mut().expire(now_ms);
@@ -190,7 +190,7 @@
         suspects.expire(now_ms);
         let updates = suspects.next_updates(now_ms);
         drop(suspects);
-        self.send_updates(updates, gossip::RESEND_PEERS);
+        self.send_suspect_updates(updates, gossip::RESEND_PEERS);
     }
 
     /// Sends the known suspects to a peer that has started or was silent.
@@ -202,18 +202,20 @@
         self.send_to_peer(peer, &PeerMessage::SuspectRequests(updates));
     }
 
-    fn send_updates_to_all(&self, requests: &[Fingerprint]) {
+    /// Sends the states of some requests to all peers.
+    fn send_suspect_updates_to_all(&self, requests: &[Fingerprint]) {
         let updates = self.suspects.borrow().updates_for(requests, self.now_ms());
-        self.send_updates(updates, usize::MAX);
+        self.send_suspect_updates(updates, usize::MAX);
     }
 
-    fn send_updates(&self, updates: Vec<SuspectUpdate>, most: usize) {
+    /// Sends updates to up to `most` random peers.
+    fn send_suspect_updates(&self, updates: Vec<SuspectUpdate>, most: usize) {
         if !updates.is_empty() {
             self.send_to_random_peers(&PeerMessage::SuspectRequests(updates), most);
         }
     }
 
-    fn log_quarantined(&self, quarantined: &[Fingerprint]) {
+    fn log_quarantined_requests(&self, quarantined: &[Fingerprint]) {
         for fingerprint in quarantined {
             self.log(Level::Warn, "request is held", |line| {
                 line.field("fingerprint", fingerprint.to_string())
@@ -221,8 +223,9 @@
         }
     }
 
-    fn record_crash(&self, crash: &UpstreamCrash) {
-        self.log_crash(crash);
+    /// Logs a crash, adds the interrupted runs to the suspects, and sends the changes to all peers.
+    fn record_upstream_crash(&self, crash: &UpstreamCrash) {
+        self.log_upstream_crash(crash);
         let runs: Vec<(Fingerprint, u64)> = crash
             .runs
             .iter()
@@ -236,11 +239,11 @@
             &runs,
             self.now_ms(),
         );
-        self.send_updates_to_all(&change.changed);
-        self.log_quarantined(&change.newly_quarantined);
+        self.send_suspect_updates_to_all(&change.changed);
+        self.log_quarantined_requests(&change.newly_quarantined);
     }
 
-    fn log_crash(&self, crash: &UpstreamCrash) {
+    fn log_upstream_crash(&self, crash: &UpstreamCrash) {
         if crash.is_first_report {
             let crashes = &self.metrics.upstream_ends;
             crashes.with_label_values(&[&*crash.service]).inc();
@@ -268,8 +271,8 @@
 
 /// Probes an upstream's address. Keeps a connection that succeeds, in place of the broken one.
 async fn probe(traffic: Rc<TrafficState>, upstream: Arc<Upstream>) {
-    for pause_ms in PROBE_DELAYS_MS {
-        sleep(Duration::from_millis(pause_ms)).await;
+    for delay_ms in PROBE_DELAYS_MS {
+        sleep(Duration::from_millis(delay_ms)).await;
         if !traffic
             .crash_detector
             .borrow()
