--- a/lib/tests/test_whole_once.rs
+++ b/lib/tests/test_whole_once.rs
@@ -1,5 +1,5 @@
-//! Named and ordered requests through two entries on real sockets, judged by the
-//! upstreams' own counts.
+//! Requests with idempotency keys and order keys, sent through two entries over real sockets. The
+//! upstreams count how often each request ran.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::fleet_fixture::engine;
 use crate::fleet_fixture::models;
 
-/// Two entries before a store and a service that gives refunds.
+/// Two entries with a store and a service that gives refunds.
 struct Scene {
     fleet: Fleet,
     service: ServiceStandIn,
@@ -54,22 +54,22 @@
 
 #[tokio::test]
 async fn refund_repeated_through_other_entry_runs_once() {
-    // The caller's first try is answered by one entry, but the caller does not see the
-    // answer and repeats the refund through the other entry, with the same key. It gets
-    // the first answer; the service has seen one call.
+    // One entry responds to the caller's first attempt, but the caller misses the response and
+    // repeats the refund through both entries with the same key. It must get the first response,
+    // and the service must have received one call.
     let scene = Scene::start().await;
     let key = ("idempotency-key", "refund-17");
     let first = scene.refund(0, 100).header(key.0, key.1).send().await;
-    let first = first.expect("an answer").text().await.expect("a body");
+    let first = first.expect("a response").text().await.expect("a body");
     for entry in [0, 1] {
         let again = scene.refund(entry, 100).header(key.0, key.1).send().await;
-        let again = again.expect("an answer");
+        let again = again.expect("a response");
         assert_eq!(again.status(), StatusCode::OK);
         assert_eq!(again.text().await.expect("a body"), first);
     }
     assert_eq!(scene.service.calls().len(), 1);
     let other = scene.refund(1, 900).header(key.0, key.1).send().await;
-    let (status, code, outcome) = error_code(other.expect("an answer")).await;
+    let (status, code, outcome) = error_code(other.expect("a response")).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY);
     assert_eq!((&*code, &*outcome), ("idempotency_key_reused", "not_run"));
     assert_eq!(scene.service.calls().len(), 1);
@@ -78,8 +78,8 @@
 
 #[tokio::test]
 async fn refunds_sent_at_once_through_both_entries_run_once() {
-    // Both entries get the same refund at the same time. One of them has the claim; the
-    // other one reads the answer of that run, while it runs.
+    // Both entries get the same refund at the same time. One of them holds the claim, and the other
+    // one must return the response of that run.
     let scene = Scene::start().await;
     scene.service.set_delay(Duration::from_millis(100));
     let tries: Vec<_> = [0, 1, 0, 1]
@@ -92,7 +92,7 @@
     let mut bodies = Vec::new();
     for one in tries {
         let response = timeout(CAP, one).await.expect("in time").expect("a task");
-        let response = response.expect("an answer");
+        let response = response.expect("a response");
         assert_eq!(response.status(), StatusCode::OK);
         bodies.push(response.text().await.expect("a body"));
     }
@@ -104,10 +104,10 @@
 
 #[tokio::test]
 async fn refund_while_store_is_down_is_not_dispatched() {
-    // The store is gone. A named refund can't be claimed, so it is refused, and the service
-    // has seen nothing. An earlier try may have run through another entry, and only the
-    // store could tell; so the caller does not hear "not run". A refund without a name has
-    // no claim and runs.
+    // The store is down. A refund with an idempotency key can't be claimed, so it is refused
+    // without a call to the service. An earlier attempt may have run through another entry, which
+    // only the store knows, so the outcome must be "unknown" and not "not_run". A refund without a
+    // key needs no claim and runs.
     let Scene {
         fleet,
         service,
@@ -120,23 +120,23 @@
         .body("100");
     let unnamed = request.try_clone().expect("a request");
     let named = request.header("idempotency-key", "refund-19").send().await;
-    let (status, code, outcome) = error_code(named.expect("an answer")).await;
+    let (status, code, outcome) = error_code(named.expect("a response")).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!((&*code, &*outcome), ("store_down", "unknown"));
     assert!(service.calls().is_empty());
-    let unnamed = unnamed.send().await.expect("an answer");
+    let unnamed = unnamed.send().await.expect("a response");
     assert_eq!(unnamed.status(), StatusCode::OK);
     assert_eq!(service.calls().len(), 1);
     fleet.assert_nothing_left().await;
 }
 
 #[tokio::test]
-async fn letters_of_one_order_run_one_after_another() {
-    // A counsellor's second letter comes through another entry while the first one is
-    // being written. It waits there until the first has its answer, and then runs.
+async fn requests_with_one_order_key_run_in_sequence() {
+    // The second request with an order key arrives at another entry while the first one runs. It
+    // must wait there until the first one has its response.
     let scene = Scene::start().await;
     scene.service.set_delay(Duration::from_millis(150));
-    let letter = |entry, cents| {
+    let send = |entry, cents| {
         let request = scene.refund(entry, cents);
         tokio::spawn(
             request
@@ -144,12 +144,12 @@
                 .send(),
         )
     };
-    let first = letter(0, 1);
+    let first = send(0, 1);
     while scene.service.calls().is_empty() {
         assert!(!first.is_finished());
         tokio::task::yield_now().await;
     }
-    let second = letter(1, 2);
+    let second = send(1, 2);
     loop {
         let calls = scene.service.calls().len();
         if first.is_finished() {
@@ -158,12 +158,9 @@
         assert_eq!(calls, 1, "the second began before the first was over");
         tokio::task::yield_now().await;
     }
-    for letter in [first, second] {
-        let response = timeout(CAP, letter)
-            .await
-            .expect("in time")
-            .expect("a task");
-        assert_eq!(response.expect("an answer").status(), StatusCode::OK);
+    for task in [first, second] {
+        let response = timeout(CAP, task).await.expect("in time").expect("a task");
+        assert_eq!(response.expect("a response").status(), StatusCode::OK);
     }
     let bodies: Vec<_> = scene
         .service
@@ -177,10 +174,10 @@
 
 #[tokio::test]
 async fn chat_repeated_mid_stream_through_other_entry_is_whole() {
-    // The caller's connection breaks in the middle of a stream, and it asks again through
-    // another entry with the same key. The run goes on for it: the second stream is whole
-    // from its start, and the engine has got one request. Asked once more with the last
-    // event that it has, it gets the rest alone.
+    // The caller's connection breaks in the middle of a stream, and the caller repeats the request
+    // through another entry with the same key. The run must have continued: the second stream is
+    // whole from its start, and the engine has received one request. Another repetition with the id
+    // of the last event must return only the rest of the stream.
     let engine = engine().await;
     let store = StoreStandIn::spawn().await.expect("a store");
     let (url, serves) = models(&engine);
@@ -189,12 +186,12 @@
         let request = fleet.chat_through(entry, 200, true);
         request.header("idempotency-key", "draft-1").send()
     };
-    let mut first = chat(0).await.expect("an answer");
+    let mut first = chat(0).await.expect("a response");
     assert!(first.chunk().await.is_ok_and(|chunk| chunk.is_some()));
     drop(first);
     let again = timeout(CAP, chat(1)).await.expect("in time");
     let body = again
-        .expect("an answer")
+        .expect("a response")
         .text()
         .await
         .expect("a whole body");
@@ -204,7 +201,7 @@
     let rest = rest
         .header("idempotency-key", "draft-1")
         .header("last-event-id", "150");
-    let rest = rest.send().await.expect("an answer").text().await;
+    let rest = rest.send().await.expect("a response").text().await;
     let rest = rest.expect("a whole body");
     assert!(rest.starts_with("id: 151\n"), "{rest}");
     assert!(body.ends_with(&rest), "{rest}");
--- a/lib/tests/test_whole_path.rs
+++ b/lib/tests/test_whole_path.rs
@@ -1,5 +1,5 @@
-//! Caller, entry, agent, upstream and back on real sockets, judged by the upstreams' own
-//! counts.
+//! Requests from a caller through an entry and an agent to an upstream and back, over real sockets.
+//! The upstreams count how often each request ran.
 
 use futures_util::StreamExt;
 use reqwest::Method;
@@ -24,7 +24,7 @@
     let (url, serves) = models(&engine);
     let fleet = Fleet::start(&[("lang-1", url, serves)]).await;
     for stream in [false, true] {
-        let response = fleet.chat(20, stream).send().await.expect("an answer");
+        let response = fleet.chat(20, stream).send().await.expect("a response");
         assert_eq!(response.status(), StatusCode::OK);
         let id = response.headers()["x-sardinewood-request-id"].clone();
         let body = response.text().await.expect("a whole body");
@@ -53,7 +53,7 @@
         .body(body.clone())
         .send()
         .await
-        .expect("an answer");
+        .expect("a response");
     let id = response.headers()["x-sardinewood-request-id"].clone();
     let calls = service.calls();
     assert_eq!(calls.len(), 1);
@@ -68,14 +68,14 @@
 
 #[tokio::test]
 async fn agent_restarted_mid_stream_answer_is_whole() {
-    // The agent is killed while a stream runs through it, and a new one starts beside the
-    // living engine. The caller sees a pause and then the rest: the new agent picks the
-    // run up from the engine, the entry resumes from the byte that it has, and the engine
-    // has seen one dispatch.
+    // The agent is killed while it relays a stream, and a new agent starts for the same running
+    // engine. The caller must get the rest of the stream after a pause: the new agent picks up the
+    // run from the engine, the entry resumes after the last byte that it has, and the engine has
+    // received one dispatch.
     let engine = engine().await;
     let (url, serves) = models(&engine);
     let mut fleet = Fleet::start(&[("lang-1", url, serves)]).await;
-    let response = fleet.chat(200, true).send().await.expect("an answer");
+    let response = fleet.chat(200, true).send().await.expect("a response");
     let id = response.headers()["x-sardinewood-request-id"].clone();
     let mut parts = response.bytes_stream();
     let first = parts.next().await.expect("a part").expect("bytes");
@@ -94,12 +94,12 @@
 
 #[tokio::test]
 async fn caller_gone_mid_stream_frees_the_engine() {
-    // The caller leaves while its stream runs. The cancel goes through to the engine, so
-    // that its slot is free again long before the answer would have ended.
+    // The caller disconnects during a stream. The cancellation must reach the engine, so that its
+    // slot is free long before the response would have ended.
     let engine = engine().await;
     let (url, serves) = models(&engine);
     let fleet = Fleet::start(&[("lang-1", url, serves)]).await;
-    let response = fleet.chat(5_000, true).send().await.expect("an answer");
+    let response = fleet.chat(5_000, true).send().await.expect("a response");
     let mut parts = response.bytes_stream();
     assert!(parts.next().await.is_some_and(|part| part.is_ok()));
     drop(parts);
@@ -114,16 +114,16 @@
 
 #[tokio::test]
 async fn engine_broken_moves_to_the_other() {
-    // One of two engines breaks every connection that it gets. A plain answer that was
-    // under way there is made by the other one; the caller sees one whole answer, and
-    // neither engine has got the request twice.
+    // One of two engines stops while it runs a request without streaming. The other engine must run
+    // the request again, the caller must get one whole response, and neither engine may receive the
+    // request twice.
     let (first, second) = (engine().await, engine().await);
     let fleet = {
         let (url, serves) = models(&first);
         let (other_url, other_serves) = models(&second);
         Fleet::start(&[("lang-1", url, serves), ("lang-2", other_url, other_serves)]).await
     };
-    let answer = tokio::spawn(fleet.chat(400, false).send());
+    let response = tokio::spawn(fleet.chat(400, false).send());
     let running = async {
         loop {
             if first.load().running == 1 {
@@ -137,11 +137,11 @@
     };
     let hit = timeout(CAP, running).await.expect("a running request");
     hit.stop();
-    let response = timeout(CAP, answer)
+    let response = timeout(CAP, response)
         .await
         .expect("in time")
         .expect("a task");
-    let response = response.expect("an answer");
+    let response = response.expect("a response");
     let id = response.headers()["x-sardinewood-request-id"].clone();
     assert_eq!(response.status(), StatusCode::OK);
     let body: Value = response.json().await.expect("JSON");
