--- a/lib/src/direct.rs
+++ b/lib/src/direct.rs
@@ -1,14 +1,17 @@
-//! The entry's direct mode: requests go straight to upstreams that have no agent.
+//! Direct mode of an entry: requests go straight to upstreams that have no agent.
 //!
-//! The entry knows the upstreams from the platform's list, holds what waits, and keeps one
-//! request at a time on each connection. Entries tell each other by datagram what they have
-//! running and what customers have spent, so that no process in the middle is needed.
+//! The entry reads the list of upstreams from the platform's store, queues requests until an
+//! upstream has a slot, and sends one request at a time over each connection. Entries exchange
+//! datagrams about the slots that they use and the quotas that customers have spent, so no central
+//! process is needed.
 //!
-//! Parts that decide and know no socket: [`placement`], [`sharing`], [`membership`], [`view`],
-//! [`quarantine`], [`rollout`] and [`notices`].
-//! [`request`] and [`replication`] carry bytes. [`traffic`] is what all requests of an entry have in
-//! common; [`rooms`] and [`charging`] carry out what placement and sharing decide for one of them.
-//! The direct mode uses the library's store client, headers and logs, and no claims, agents or
+//! [`placement`], [`sharing`], [`membership`], [`store_view`], [`quarantine`], [`rollout`] and
+//! [`notices`] make decisions and do no I/O. The modules [`slot_driver`], [`quota_driver`],
+//! [`quarantine_driver`], [`notices_driver`] and [`rollout_driver`] carry their decisions out.
+//! [`request`] and [`replication`] transfer data over the network, and [`traffic`] holds the state
+//! that all requests of an entry share.
+//!
+//! Direct mode uses the library's store client, headers and logs, but no claims, agents or
 //! operators.
 
 pub mod log_rate_limit;
--- a/lib/src/direct/metrics.rs
+++ b/lib/src/direct/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of an entry, and their page as text.
+//! Counters, gauges and latency histograms of an entry in the Prometheus format.
 
 use prometheus::Encoder;
 use prometheus::Histogram;
@@ -11,12 +11,12 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Upper bounds of the histograms in milliseconds: from a local call to the longest request.
+/// Upper bounds of the histogram buckets in milliseconds, from a local call to the longest request.
 const BUCKETS_MS: [f64; 12] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0, 6_400.0, 12_800.0,
 ];
 
-/// The figures of one process. `docs/OPERATIONS.md` says what each tells.
+/// Metrics of one entry, described in `docs/OPERATIONS.md`.
 ///
 /// ```
 /// let metrics = sardinewood::direct::metrics::DirectMetrics::new().unwrap();
@@ -26,59 +26,59 @@
 #[derive(Clone, Debug)]
 pub struct DirectMetrics {
     registry: Registry,
-    /// Requests that were read.
+    /// Requests received.
     pub requests: IntCounter,
-    /// Requests answered, by status.
+    /// Responses of upstreams that were passed on, by status.
     pub answers: IntCounterVec,
-    /// Answers of our own, by reason.
+    /// Responses that the entry made itself, by reason.
     pub refusals: IntCounterVec,
-    /// How requests ended for their callers, by service, tier, and size among those of their kind.
+    /// Requests by how they ended for their callers, with service, tier and size class.
     pub ended: IntCounterVec,
-    /// Attempts at upstreams that failed, by reason.
+    /// Failed attempts at upstreams, by reason.
     pub failed_attempts: IntCounterVec,
-    /// Tokens of the prompts that were sent, by service.
+    /// Prompt tokens sent to upstreams, by service.
     pub prompt_tokens: IntCounterVec,
-    /// Tokens of them that the upstream was likely to keep, by service.
+    /// Prompt tokens that the upstream probably had in its cache, by service.
     pub cached_tokens: IntCounterVec,
-    /// Upstreams that ended in the middle of this entry's runs, by service.
+    /// Upstreams that crashed while they ran requests of this entry, by service.
     pub upstream_ends: IntCounterVec,
-    /// Changes of what upstreams say of themselves, by kind.
+    /// Changed notices of upstreams, by kind.
     pub notices: IntCounterVec,
-    /// Requests that judged a new version, by service.
+    /// Canary requests sent to a new version, by service.
     pub trials: IntCounterVec,
-    /// Roll-outs that left a phase, as this entry decided, by service and reason.
+    /// Rollouts that left a phase by this entry's decision, by service and reason.
     pub rollouts_decided: IntCounterVec,
-    /// Requests sent to a second upstream.
+    /// Requests retried at another upstream.
     pub second_attempts: IntCounter,
-    /// Streams that went on at a second upstream.
+    /// Streams resumed at another upstream.
     pub resumed: IntCounter,
     /// Streams that were cut short.
     pub cut: IntCounter,
-    /// Log lines that were left out.
+    /// Log lines suppressed by the rate limit.
     pub left_out_lines: IntCounter,
-    /// Time that requests waited for room at an upstream.
+    /// Time that requests waited for a slot at an upstream.
     pub wait_ms: Histogram,
-    /// Time from a request's arrival to the first part of its answer, by tier.
+    /// Time from a request's arrival to the first part of its response, by tier.
     pub first_ms: HistogramVec,
-    /// Requests that have no answer yet.
+    /// Requests whose response has not ended yet.
     pub open_requests: IntGauge,
-    /// Questions to doors that have no grant yet.
+    /// Slot requests without a grant yet.
     pub open_asks: IntGauge,
-    /// Other entries that are heard.
+    /// Other entries that have sent a heartbeat recently.
     pub peers: IntGauge,
     /// Upstreams that take new work.
     pub upstreams: IntGauge,
-    /// Upstreams that limit their requests.
+    /// Upstreams with a request rate limit.
     pub limited_upstreams: IntGauge,
-    /// Upstreams that have said that they will end.
+    /// Upstreams that have announced that they will leave.
     pub leaving_upstreams: IntGauge,
-    /// Upstreams that want nothing from this entry for a time.
+    /// Upstreams that have asked for a backoff that is not over.
     pub upstreams_at_rest: IntGauge,
-    /// Requests under which upstreams ended, or that were cleared of it lately.
+    /// Requests that may have crashed upstreams, or were cleared of the suspicion recently.
     pub suspects: IntGauge,
-    /// Requests that are not run, since upstreams ended under them.
+    /// Quarantined requests.
     pub held_requests: IntGauge,
-    /// Version of the configuration in force.
+    /// Version of the configuration that is in force.
     pub catalog_version: IntGauge,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl DirectMetrics {
-    /// Figures that are all zero.
+    /// Creates and registers metrics that are all zero.
     ///
     /// ```
     /// assert!(sardinewood::direct::metrics::DirectMetrics::new().is_ok());
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// When the library refuses a name, which would be a mistake here.
+    /// Returns an error if the Prometheus library rejects a name, which would be a bug here.
     pub fn new() -> prometheus::Result<Self> {
         let metrics = Self {
             registry: Registry::new(),
@@ -209,7 +209,7 @@
         self.registry.register(Box::new(self.first_ms.clone()))
     }
 
-    /// All figures as text, one a line.
+    /// Returns all metrics as text, one sample a line.
     ///
     /// ```
     /// let text = sardinewood::direct::metrics::DirectMetrics::new().unwrap().text();
@@ -220,7 +220,7 @@
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => String::from_utf8_lossy(&text).into_owned(),
-            Err(error) => format!("# the figures can't be written: {error}\n"),
+            Err(error) => format!("# the metrics can't be encoded: {error}\n"),
         }
     }
 }
