--- a/lib/src/direct/log_rate_limit.rs
+++ b/lib/src/direct/log_rate_limit.rs
@@ -1,84 +1,89 @@
-//! How many log lines may be written in a second, and whose go first.
+//! Limits how many log lines with the same message are written in a second.
 
 use indexmap::IndexMap;
 
-/// Lines of one kind of failure in one second. Ten kinds at this rate cost about a hundredth
-/// of a small host's processor.
+/// Lines per second of one failure message. Ten messages at this rate cost about 1% of a small
+/// host's processor.
 const FAILURES_PER_S: u32 = 40;
-/// Lines of one kind of success in one second: a sample, since counters and histograms tell
-/// the rest.
+/// Lines per second of one success message. A sample is enough, since metrics cover all requests.
 const SUCCESSES_PER_S: u32 = 10;
 const SECOND_MS: u64 = 1_000;
 
-/// What a line tells of.
+/// Whether a log line reports a success or a failure, which have different limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogCategory {
-    /// A request that went well, of which a sample is enough.
+    /// A request that succeeded.
     Success,
-    /// A request that did not, or a change of what the process believes.
+    /// A request that failed, or a change of the process's state.
     Failure,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct MessageCount {
     second: u64,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-/// Counts the lines of each kind, so that a flood of one kind costs a bounded time and does
-/// not push out the others.
+/// Counts the lines of each message, so that a flood of one message takes a bounded time and
+/// doesn't displace the others.
 ///
-/// Whoever looks for a failed request must find it: while lines of failures are left out, no
-/// success is written at all, so a failure never gives way to a success beside it.
+/// A failed request must be found in the log if possible. So while failure lines are suppressed,
+/// and for one second after, no success lines are written.
 ///
 /// ```
 /// use sardinewood::direct::log_rate_limit::{LogRateLimiter, LogCategory};
 ///
-/// let mut budget = LogRateLimiter::default();
-/// assert_eq!(budget.take("request failed", LogCategory::Failure, 0), Some(0));
+/// let mut limiter = LogRateLimiter::default();
+/// assert_eq!(limiter.admit("request failed", LogCategory::Failure, 0), Some(0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LogRateLimiter {
-    kinds: IndexMap<&'static str, Used>,
-    failures_left_out_at: Option<u64>,
+    messages: IndexMap<&'static str, MessageCount>,
+    failures_suppressed_at: Option<u64>,
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be written; if so, how many of its kind were left out before it.
+    /// Returns none if a line must be suppressed, and otherwise how many lines with its message
+    /// were suppressed before it.
     ///
     /// ```
     /// # use sardinewood::direct::log_rate_limit::{LogRateLimiter, LogCategory};
-    /// let mut budget = LogRateLimiter::default();
-    /// let write = |budget: &mut LogRateLimiter, at| budget.take("k", LogCategory::Failure, at);
-    /// let written = (0..100).filter(|_| write(&mut budget, 0).is_some()).count();
-    /// assert_eq!(write(&mut budget, 1_000), Some(100 - written as u64));
+    /// let mut limiter = LogRateLimiter::default();
+    /// let write = |limiter: &mut LogRateLimiter, at| limiter.admit("k", LogCategory::Failure, at);
+    /// let written = (0..100).filter(|_| write(&mut limiter, 0).is_some()).count();
+    /// assert_eq!(write(&mut limiter, 1_000), Some(100 - written as u64));
     /// ```
-    pub fn take(&mut self, kind: &'static str, outcome: LogCategory, now_ms: u64) -> Option<u64> {
+    pub fn admit(
+        &mut self,
+        message: &'static str,
+        category: LogCategory,
+        now_ms: u64,
+    ) -> Option<u64> {
         let second = now_ms / SECOND_MS;
-        let most = match outcome {
+        let limit = match category {
             LogCategory::Failure => FAILURES_PER_S,
-            LogCategory::Success if self.leaves_out_failures(second) => 0,
+            LogCategory::Success if self.has_suppressed_failures(second) => 0,
             LogCategory::Success => SUCCESSES_PER_S,
         };
-        let used = self.kinds.entry(kind).or_default();
-        if used.second != second {
-            used.second = second;
-            used.lines = 0;
+        let count = self.messages.entry(message).or_default();
+        if count.second != second {
+            count.second = second;
+            count.lines = 0;
         }
-        if used.lines < most {
-            used.lines += 1;
-            return Some(std::mem::take(&mut used.left_out));
+        if count.lines < limit {
+            count.lines += 1;
+            return Some(std::mem::take(&mut count.suppressed));
         }
-        used.left_out += 1;
-        if outcome == LogCategory::Failure {
-            self.failures_left_out_at = Some(second);
+        count.suppressed += 1;
+        if category == LogCategory::Failure {
+            self.failures_suppressed_at = Some(second);
         }
         None
     }
 
-    fn leaves_out_failures(&self, second: u64) -> bool {
-        self.failures_left_out_at
-            .is_some_and(|left_out| second <= left_out + 1)
+    fn has_suppressed_failures(&self, second: u64) -> bool {
+        self.failures_suppressed_at
+            .is_some_and(|suppressed| second <= suppressed + 1)
     }
 }
--- a/lib/src/direct/request.rs
+++ b/lib/src/direct/request.rs
@@ -1,5 +1,6 @@
-//! One request from its caller's connection to an upstream, and its answer back. It carries bytes
-//! and asks the other parts what to do.
+//! Transfers requests from callers' connections to upstreams, and responses back.
+//!
+//! Other modules make the decisions, such as which upstream gets a request.
 
 pub mod call;
 pub mod connection_pool;
--- a/lib/src/direct/request/call.rs
+++ b/lib/src/direct/request/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request: reading it whole, and what the configuration says of it.
+//! Reads a caller's request and checks it against the configuration.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -28,10 +28,10 @@
 use crate::direct::quarantine_driver::QuarantinedRequest;
 use crate::direct::quota_driver;
 use crate::direct::request::headers::CallerHeaders;
-use crate::direct::request::outcome_recorder::Counted;
+use crate::direct::request::outcome_recorder::OutcomeLabels;
 use crate::direct::request::outcome_recorder::OutcomeRecorder;
 use crate::direct::request::refusal::Refusal;
-use crate::direct::request::refusal::name_of;
+use crate::direct::request::refusal::request_id_text;
 use crate::direct::sharing::quota::ChargeOutcome;
 use crate::direct::sharing::quota::Contention;
 use crate::direct::sharing::quota::RequestCost;
@@ -45,75 +45,78 @@
 use crate::logging::Line;
 use crate::numbers;
 
-/// Longest body taken when the configuration sets no limit.
+/// Largest body that is accepted if the configuration sets no limit.
 const DEFAULT_MAX_BODY_BYTES: u64 = 4 << 20;
-/// How long a caller waits for an answer if neither it nor its route says.
+/// How long a caller waits for a response if its request doesn't say.
 const DEFAULT_REMAINING_MS: u64 = 30_000;
-/// Pause asked of callers while there is no configuration yet; it usually comes within this.
-const NO_CONFIG_RETRY_AFTER_MS: u64 = 300;
-/// Pause asked of callers of a process that is about to end: another one can take them now.
+/// Retry delay for callers while there is no configuration yet. It usually arrives within this
+/// time.
+const NO_CONFIGURATION_RETRY_AFTER_MS: u64 = 300;
+/// Retry delay for callers of a process that is about to stop. Other entries can serve them at
+/// once.
 const CLOSING_RETRY_AFTER_MS: u64 = 10;
-/// What the caller of a held request reads.
-const HELD: &str = "held: upstreams ended while they ran this request";
-/// Time kept back from the caller's so that our answer reaches it before it leaves.
-const ANSWER_MARGIN_MS: u64 = 20;
+/// Body of the response to a quarantined request.
+const QUARANTINED: &str = "held: upstreams ended while they ran this request";
+/// Subtracted from the time that a caller waits, so that the entry's response arrives before the
+/// caller gives up.
+const RESPONSE_MARGIN_MS: u64 = 20;
 
-/// A caller's request, read whole.
+/// A caller's request with its whole body, and the state of serving it.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Number of the request in this process.
+    /// Number of the request, unique within this process.
     pub id: u64,
-    /// Name of the request, as its caller gave it.
+    /// Id of the request that its caller set, if any.
     pub request_id: Option<HeaderValue>,
-    /// The route that it takes.
+    /// Route that the host and path of the request matched.
     pub route: Arc<Route>,
-    /// The service that the route led it to.
+    /// Service that was chosen from those of the route.
     pub service: Arc<str>,
-    /// Importance of its route, 0 the highest.
+    /// Tier of the route; 0 is the most important.
     pub tier: u8,
-    /// Importance of its customer, which goes before that of the route.
+    /// Tier of the customer, which takes precedence over the route's.
     pub customer_tier: u8,
-    /// Whoever its key belongs to.
+    /// Customer whose API key the request carries.
     pub customer: Option<Arc<Customer>>,
-    /// Its method, as its caller gave it.
+    /// Method, as received.
     pub method: Method,
-    /// Path and query, as its caller gave them.
+    /// Path and query, as received.
     pub uri: Uri,
-    /// Headers that go on to the upstream.
+    /// Headers that are forwarded to the upstream.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// Whole body.
     pub body: Bytes,
-    /// Read by [`Self::fingerprint`].
-    pub known_fingerprint: OnceCell<Fingerprint>,
-    /// Size of its prompt.
+    /// Cache of [`Self::fingerprint`].
+    pub cached_fingerprint: OnceCell<Fingerprint>,
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that its caller expects of the answer.
+    /// Number of output tokens that the caller expects.
     pub expected_output_tokens: Option<u32>,
-    /// Its size in relation to the mean of its route.
+    /// Ratio of the request's size to the mean of its route.
     pub relative_size: f64,
-    /// Its expected time at an engine in relation to the mean of its route.
+    /// Ratio of the request's expected hold time at an engine to the mean of its route.
     pub relative_hold: f64,
-    /// The start of its prompt, if other requests may have it as well.
+    /// Prefix of the prompt, if other requests may share it.
     pub shared_prefix: Option<SharedPrefix>,
-    /// The last event that its caller has.
+    /// Id of the last event that the caller has received, if it resumes a stream.
     pub last_event_id: Option<u64>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_ms: u64,
-    /// When its caller gets an answer in any case.
+    /// Latest time at which the caller gets a response.
     pub deadline_at_ms: u64,
-    /// Upstreams that were sent it.
+    /// Upstreams to which the request was sent.
     pub tried_upstreams: Vec<Arc<str>>,
-    /// Whether one of them may have run it.
+    /// Whether one of these upstreams may have run the request.
     pub may_have_run: bool,
-    /// How long it has waited for room, over all attempts.
+    /// How long the request has waited for slots, over all attempts.
     pub waited_ms: u64,
-    /// Counts how it ends.
-    pub ending: Rc<OutcomeRecorder>,
+    /// Counts how the request ends.
+    pub recorder: Rc<OutcomeRecorder>,
 }
 
 impl Call {
-    /// Notes that the first part of the answer has come.
-    pub fn note_first(&self, traffic: &TrafficState) {
+    /// Measures the time to the first part of the response, which has just arrived.
+    pub fn record_first_part(&self, traffic: &TrafficState) {
         let first_ms = traffic.now_ms() - self.arrived_ms;
         let tier = self.tier.to_string();
         traffic
@@ -123,47 +126,48 @@
             .observe(numbers::as_f64(first_ms));
     }
 
-    /// Whether an answer that begins so long after the request's arrival is worth most.
+    /// Returns whether a response that begins this long after the request's arrival meets the
+    /// route's objective.
     #[must_use]
     pub fn is_in_time(&self, after_ms: u64) -> bool {
         after_ms <= self.route.objective_ms
     }
 
-    /// Adds to a log line what decides a request's order and place, and what became of it so far.
-    pub fn fields(&self, line: Line) -> Line {
+    /// Adds the fields to a log line that describe the request and its attempts so far.
+    pub fn add_log_fields(&self, line: Line) -> Line {
         line.field("request", self.name())
             .field("route", &self.route.name)
             .field("tier", self.tier)
             .field("customer_tier", self.customer_tier)
-            .field("size", self.ending.size())
+            .field("size", self.recorder.size())
             .field("prompt_tokens", self.prompt_tokens)
             .field("expected_output_tokens", self.expected_output_tokens)
             .field("upstreams", &self.tried_upstreams)
             .field("waited_ms", self.waited_ms)
     }
 
-    /// The request as text, for logs.
+    /// Returns the request id as text for logs.
     #[must_use]
     pub fn name(&self) -> &str {
-        name_of(self.request_id.as_ref())
+        request_id_text(self.request_id.as_ref())
     }
 
-    /// What all tries of the same request have in common. It is worked out when it is first asked
-    /// for, since most requests never need it.
+    /// Returns the fingerprint, which is the same for all retries of a request by its caller. It is
+    /// computed at the first use, since most requests never need it.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         *self
-            .known_fingerprint
+            .cached_fingerprint
             .get_or_init(|| Fingerprint::of(self.fingerprint_input()))
     }
 
-    /// What it asks, and for whom.
+    /// Returns the parts of the request that its fingerprint is made of.
     #[must_use]
     pub fn fingerprint_input(&self) -> FingerprintInput<'_> {
         fingerprint_input(&self.method, &self.uri, self.customer.as_ref(), &self.body)
     }
 
-    /// What the dispatcher needs to know of it.
+    /// Returns what the dispatcher needs to know of the request.
     #[must_use]
     pub fn job(&self) -> Job {
         Job {
@@ -187,15 +191,15 @@
             tried_upstreams: self.tried_upstreams.clone(),
             shared_prefix: self.shared_prefix,
             cached_at: Vec::new(),
-            has_start_deficit: self.ending.has_start_deficit(),
+            has_start_deficit: self.recorder.has_start_deficit(),
             is_canary: false,
         }
     }
 
-    /// What the dispatcher needs to know to let another upstream go on with the stream: its
-    /// caller has begun to wait anew.
+    /// Returns what the dispatcher needs to know to resume the stream at another upstream. The
+    /// caller's wait starts anew, since it has received events before.
     #[must_use]
-    pub fn resume_job(&self, now_ms: u64) -> Job {
+    pub fn resumption_job(&self, now_ms: u64) -> Job {
         let job = self.job();
         let caller_patience_ms = job.caller_leaves_at_ms.saturating_sub(job.arrived_ms);
         Job {
@@ -207,27 +211,27 @@
     }
 }
 
-/// Reads a request whole and checks it against the configuration.
+/// Reads a request with its body, checks it against the configuration and charges its customer.
 ///
 /// # Errors
 ///
-/// When it can't be served; the error is what its caller hears.
-pub async fn read(
+/// Returns the response for the caller if the request can't be served.
+pub async fn read_call(
     traffic: &Rc<TrafficState>,
     request: Request<Incoming>,
     headers: CallerHeaders,
 ) -> Result<Call, Refusal> {
     let arrived_ms = traffic.now_ms();
     let id = headers.request_id.as_ref();
-    let is_configured = traffic.wait_configured().await;
+    let is_configured = traffic.wait_until_configured().await;
     if traffic.is_closing.get() {
         let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "about to end", id);
-        return Err(refusal.after(CLOSING_RETRY_AFTER_MS));
+        return Err(refusal.retry_after(CLOSING_RETRY_AFTER_MS));
     }
     let catalog = traffic.catalog.borrow().clone();
     let Some(catalog) = catalog.filter(|_| is_configured) else {
         let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet", id);
-        return Err(refusal.after(NO_CONFIG_RETRY_AFTER_MS));
+        return Err(refusal.retry_after(NO_CONFIGURATION_RETRY_AFTER_MS));
     };
     let (route, customer) = look_up(&catalog, &request, &headers)?;
     let (parts, body) = request.into_parts();
@@ -236,17 +240,22 @@
         let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "route has no service", id);
         return Err(refusal);
     };
-    let known_fingerprint = OnceCell::new();
-    let held = traffic.check_quarantine(|| {
+    let cached_fingerprint = OnceCell::new();
+    let quarantined = traffic.check_quarantine(|| {
         let fingerprint_input =
             fingerprint_input(&parts.method, &parts.uri, customer.as_ref(), &body);
-        *known_fingerprint.get_or_init(|| Fingerprint::of(fingerprint_input))
+        *cached_fingerprint.get_or_init(|| Fingerprint::of(fingerprint_input))
     });
-    if let Err(held) = held {
-        return Err(refuse_quarantined(&held, &route, customer.as_ref(), id));
+    if let Err(quarantined) = quarantined {
+        return Err(refuse_quarantined(
+            &quarantined,
+            &route,
+            customer.as_ref(),
+            id,
+        ));
     }
-    let counted = Counted {
-        kind: Arc::clone(&route.name),
+    let labels = OutcomeLabels {
+        route: Arc::clone(&route.name),
         service: Arc::clone(service),
         tier: route.tier,
         size: traffic
@@ -254,18 +263,18 @@
             .borrow_mut()
             .classify(&route.name, headers.size()),
     };
-    let ending = OutcomeRecorder::new(traffic, counted);
+    let recorder = OutcomeRecorder::new(traffic, labels);
     if let Some(customer) = &customer {
-        charge(traffic, customer, &route, service, &headers, &ending).await?;
+        charge(traffic, customer, &route, service, &headers, &recorder).await?;
     }
     if headers.has_invalid_prompt_parts {
-        traffic.log(Level::Warn, "parts of a prompt make no sense", |line| {
-            line.field("request", name_of(id))
+        traffic.log(Level::Warn, "parts of the prompt are invalid", |line| {
+            line.field("request", request_id_text(id))
         });
     }
     let remaining_ms = headers.remaining_ms.unwrap_or(DEFAULT_REMAINING_MS);
-    let answer_within_ms = remaining_ms
-        .saturating_sub(ANSWER_MARGIN_MS)
+    let timeout_ms = remaining_ms
+        .saturating_sub(RESPONSE_MARGIN_MS)
         .min(route.timeout_ms);
     traffic
         .retry_budget
@@ -283,24 +292,24 @@
         customer,
         method: parts.method,
         uri: origin_form(&parts.uri),
-        headers: end_to_end(parts.headers),
+        headers: without_connection_headers(parts.headers),
         body,
-        known_fingerprint,
+        cached_fingerprint,
         prompt_tokens: headers.prompt_tokens,
         expected_output_tokens: headers.expected_output_tokens,
         relative_size: traffic.relative_size(&route.name, headers.size()),
         relative_hold: traffic.relative_hold(&route.name, headers.hold()),
-        shared_prefix: headers.shared_prefix.map(|start| SharedPrefix {
-            share: traffic.prefix_popularity.borrow_mut().record(start.name),
-            ..start
+        shared_prefix: headers.shared_prefix.map(|prefix| SharedPrefix {
+            share: traffic.prefix_popularity.borrow_mut().record(prefix.name),
+            ..prefix
         }),
         last_event_id: headers.last_event_id,
         arrived_ms,
-        deadline_at_ms: arrived_ms + answer_within_ms,
+        deadline_at_ms: arrived_ms + timeout_ms,
         tried_upstreams: Vec::new(),
         may_have_run: false,
         waited_ms: 0,
-        ending,
+        recorder,
         route,
     })
 }
@@ -319,14 +328,14 @@
     }
 }
 
-/// Charges a request to its customer's allotment; the error is that nothing is left.
+/// Charges a request to its customer's quota. Returns the refusal if the quota is used up.
 async fn charge(
     traffic: &Rc<TrafficState>,
     customer: &Arc<Customer>,
     route: &Route,
     service: &str,
     headers: &CallerHeaders,
-    ending: &OutcomeRecorder,
+    recorder: &OutcomeRecorder,
 ) -> Result<(), Refusal> {
     let cost = RequestCost {
         tokens: headers.charged_tokens(),
@@ -336,11 +345,11 @@
     let ChargeOutcome::Exceeded { retry_after_ms } = charged else {
         return Ok(());
     };
-    ending.set(CallOutcome::QuotaExceeded);
+    recorder.set(CallOutcome::QuotaExceeded);
     let inputs = json!({
         "route": route.name,
         "tier": route.tier,
-        "size": ending.size(),
+        "size": recorder.size(),
         "customer": customer.name,
         "tokens": headers.charged_tokens(),
         "others_wait": traffic.contention(service) == Contention::Contended,
@@ -348,25 +357,25 @@
     });
     let id = headers.request_id.as_ref();
     let refusal = Refusal::new(StatusCode::TOO_MANY_REQUESTS, "allotment is spent", id);
-    Err(refusal.after(retry_after_ms).because(inputs))
+    Err(refusal.retry_after(retry_after_ms).with_inputs(inputs))
 }
 
-/// Says that the request has not run now, and when it may be tried. It is no mistake of its caller's
-/// that is certain, so no status is used that tells it never to come back.
+/// Refuses a quarantined request and tells its caller when to retry. The request is only suspected,
+/// so the status is not one that forbids a retry.
 fn refuse_quarantined(
-    held: &QuarantinedRequest,
+    quarantined: &QuarantinedRequest,
     route: &Route,
     customer: Option<&Arc<Customer>>,
     id: Option<&HeaderValue>,
 ) -> Refusal {
     let inputs = json!({
-        "fingerprint": held.fingerprint.to_string(),
+        "fingerprint": quarantined.fingerprint.to_string(),
         "route": route.name,
         "customer": customer.map(|customer| &customer.name),
     });
-    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, HELD, id)
-        .after(held.retry_after_ms)
-        .because(inputs)
+    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, QUARANTINED, id)
+        .retry_after(quarantined.retry_after_ms)
+        .with_inputs(inputs)
 }
 
 fn look_up(
@@ -379,14 +388,14 @@
         .get(header::HOST)
         .and_then(|host| host.to_str().ok())
         .unwrap_or_default();
-    let key = headers.key.as_ref().and_then(|key| key.to_str().ok());
+    let key = headers.api_key.as_ref().and_then(|key| key.to_str().ok());
     let id = headers.request_id.as_ref();
     match catalog.look_up(host, request.uri().path(), key) {
         RouteLookup::Found(route, customer) => Ok((route, customer)),
         RouteLookup::NoRoute => Err(Refusal::new(StatusCode::NOT_FOUND, "no route", id)
-            .because(json!({"catalog_version": catalog.version, "host": host}))),
+            .with_inputs(json!({"catalog_version": catalog.version, "host": host}))),
         RouteLookup::UnknownKey => Err(Refusal::new(StatusCode::UNAUTHORIZED, "unknown key", id)
-            .because(json!({"catalog_version": catalog.version, "has_key": key.is_some()}))),
+            .with_inputs(json!({"catalog_version": catalog.version, "has_key": key.is_some()}))),
     }
 }
 
@@ -417,9 +426,9 @@
     Uri::from(path.clone())
 }
 
-/// Headers without those that concern one connection only.
+/// Removes the headers that apply to one connection only.
 #[must_use]
-pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+pub fn without_connection_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in connection_names(&headers) {
         headers.remove(name.as_str());
     }
--- a/lib/src/direct/request/connection_pool.rs
+++ b/lib/src/direct/request/connection_pool.rs
@@ -1,7 +1,8 @@
-//! Connections to upstreams: one request at a time on each, nothing sent twice.
+//! Pool of connections to upstreams. Each connection carries one request at a time, and no request
+//! is sent twice.
 //!
-//! hyper's connection-level client is used because it never sends a request again by itself
-//! and tells whether a request had left when its connection broke.
+//! hyper's connection-level client is used because it never resends a request by itself and reports
+//! whether a request had been sent when its connection broke.
 
 use std::cell::RefCell;
 use std::io;
@@ -25,27 +26,27 @@
 
 use crate::direct::store_view::directory::Upstream;
 
-/// How long a new connection may take. A healthy one takes a few milliseconds; a lost first
-/// packet is repeated by the system after a second, so another try is the faster way.
+/// How long a new connection may take. A healthy one takes a few milliseconds. The system resends a
+/// lost first packet after one second, so another attempt is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a connection may stay idle if the upstream does not say.
+/// How long a connection may stay idle if the upstream announces no timeout.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// Part of the announced idle time after which a connection is not used any more, in percent.
+/// Percentage of the upstream's idle timeout after which a connection is no longer used.
 const IDLE_USED_PERCENT: u32 = 70;
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// Nobody listens at the address.
+    /// Nothing listens at the address.
     Refused,
-    /// Nobody answered in time.
+    /// The connection took too long.
     TimedOut,
-    /// The connection came and is of no use.
+    /// Another error, for example in the handshake.
     Unusable,
 }
 
 impl ConnectError {
-    /// Its name in logs.
+    /// Returns the name of the error in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -66,52 +67,52 @@
     }
 }
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// The request never left. It has not run.
+    /// The request was never sent, so it has not run.
     NotSent,
-    /// The connection broke after the request may have left. It may have run.
+    /// The connection broke after the request may have been sent, so it may have run.
     Broken,
 }
 
-/// Ends its connection's task when dropped, which closes the connection at once.
+/// Aborts the task of a connection when dropped, which closes the connection at once.
 #[derive(Debug)]
-struct Driver(AbortHandle);
+struct ConnectionTask(AbortHandle);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// A connection that is in use by one request.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    driver: Driver,
-    /// How many requests it carried before.
+    task: ConnectionTask,
+    /// Number of requests that the connection has carried, including the current one.
     pub uses: u32,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    usable_until: Instant,
 }
 
-/// The idle connections to all upstreams.
+/// Idle connections to all upstreams.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    idle: RefCell<IndexMap<Arc<str>, Vec<Idle>>>,
+    idle: RefCell<IndexMap<Arc<str>, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// An idle connection to an upstream, or a new one.
+    /// Returns an idle connection to an upstream, or opens a new one.
     ///
     /// # Errors
     ///
-    /// When none can be had in time; nothing was sent.
+    /// Returns an error if no connection could be opened in time; nothing was sent then.
     pub async fn get(&self, upstream: &Upstream) -> Result<Connection, ConnectError> {
         if let Some(connection) = self.take_idle(&upstream.instance) {
             return Ok(connection);
@@ -119,20 +120,24 @@
         connect(upstream).await
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Adds an idle connection, whose last response was read whole.
     pub fn put(self: &Rc<Self>, instance: &Arc<str>, connection: Connection, idle_ms: Option<u64>) {
         let announced = idle_ms.map_or(DEFAULT_IDLE, Duration::from_millis);
-        let until = Instant::now() + announced * IDLE_USED_PERCENT / 100;
+        let usable_until = Instant::now() + announced * IDLE_USED_PERCENT / 100;
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(Arc::clone(instance)).or_default();
-        list.push(Idle { connection, until });
+        list.push(IdleConnection {
+            connection,
+            usable_until,
+        });
     }
 
-    /// Closes what has been idle for too long, and all connections of upstreams that are gone.
+    /// Closes connections that have been idle for too long, and those of upstreams that are no
+    /// longer listed.
     pub fn sweep(&self, is_listed: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|instance, list| {
-            list.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+            list.retain(|idle| idle.usable_until > now && !idle.connection.sender.is_closed());
             !list.is_empty() && is_listed(instance)
         });
     }
@@ -142,9 +147,9 @@
         let list = idle.get_mut(instance)?;
         let now = Instant::now();
         while let Some(idle) = list.pop() {
-            // A connection that is not ready has more to read than its last answer: those
-            // bytes belong to no request.
-            if idle.until > now && idle.connection.sender.is_ready() {
+            // A connection that is not ready has bytes to read beyond its last response, which
+            // belong to no request.
+            if idle.usable_until > now && idle.connection.sender.is_ready() {
                 return Some(idle.connection);
             }
         }
@@ -152,11 +157,11 @@
     }
 }
 
-/// A new connection to an upstream.
+/// Opens a connection to an upstream.
 ///
 /// # Errors
 ///
-/// When none can be had in time.
+/// Returns an error if no connection could be opened in time.
 pub async fn connect(upstream: &Upstream) -> Result<Connection, ConnectError> {
     let connecting = TcpStream::connect(upstream.address);
     let stream = match timeout(CONNECT_TIMEOUT, connecting).await {
@@ -170,22 +175,22 @@
         .await
         .map_err(|_| ConnectError::Unusable)?;
     let task = tokio::task::spawn_local(async move {
-        // How it ended shows in the answer that was being read.
+        // An error also appears in the response that is being read.
         let _ = driver.await;
     });
     Ok(Connection {
         sender,
-        driver: Driver(task.abort_handle()),
+        task: ConnectionTask(task.abort_handle()),
         uses: 0,
     })
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// When there is no answer; it says whether the request may have run.
+    /// Returns an error if there is no response; it tells whether the request may have run.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -200,9 +205,9 @@
             })
     }
 
-    /// Whether the connection is open and has nothing left to read.
+    /// Returns whether the connection is open and has nothing left to read.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        !self.driver.0.is_finished() && self.sender.is_ready()
+        !self.task.0.is_finished() && self.sender.is_ready()
     }
 }
--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its caller to an upstream and its answer back.
+//! Serves one request: sends it to upstreams until one responds, and returns the response.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,13 +19,13 @@
 use crate::direct::log_rate_limit::LogCategory;
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::call::Call;
-use crate::direct::request::call::end_to_end;
-use crate::direct::request::call::read;
+use crate::direct::request::call::read_call;
+use crate::direct::request::call::without_connection_headers;
 use crate::direct::request::connection_pool::ConnectError;
 use crate::direct::request::connection_pool::Connection;
 use crate::direct::request::connection_pool::SendError;
-use crate::direct::request::failure_responses::refuse;
-use crate::direct::request::failure_responses::unknown;
+use crate::direct::request::failure_responses::slot_refusal_response;
+use crate::direct::request::failure_responses::unknown_outcome_response;
 use crate::direct::request::headers::ResponseHeaders;
 use crate::direct::request::headers::UpstreamHeaders;
 use crate::direct::request::relay::Relay;
@@ -38,56 +38,56 @@
 use crate::logging::Line;
 use crate::numbers;
 
-const NOT_REACHED: &str = "no connection to upstream";
+const NOT_CONNECTED: &str = "no connection to upstream";
 const DECLINED: &str = "upstream declined";
 const MISDIRECTED: &str = "another process answers in the upstream's place";
 
-/// How an attempt at an upstream ended.
+/// Result of one attempt at an upstream.
 #[derive(Debug)]
-pub enum Attempt {
-    /// The upstream answers.
-    Answer(Box<Answer>),
-    /// The request has not run there.
+pub enum AttemptResult {
+    /// The upstream has sent the head of a response.
+    Response(Box<UpstreamResponse>),
+    /// The request has not run at the upstream.
     NotRun,
-    /// Nobody knows whether it ran there.
+    /// The request may have run at the upstream.
     Unknown,
-    /// Its time is up.
-    TimeUp,
+    /// The request's time is up, and it may have run at the upstream.
+    TimedOut,
 }
 
-/// The beginning of an upstream's answer.
+/// Head of an upstream's response, with the body still to be read.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status and headers.
     pub parts: http::response::Parts,
-    /// What the headers say.
+    /// Headers that the entry interprets.
     pub headers: ResponseHeaders,
-    /// What follows.
+    /// Body that follows.
     pub body: Incoming,
-    /// The connection that it comes on.
+    /// Connection that carries the response.
     pub connection: Connection,
-    /// The room at its upstream.
+    /// Slot at the upstream.
     pub lease: SlotLease,
 }
 
-/// What to do after an attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send the request to another upstream.
-    TryAnother,
-    /// Say that the request has not run.
+    Retry,
+    /// Respond that the request has not run.
     RefuseNotRun,
-    /// Say that nobody knows.
-    AnswerUnknown,
-    /// Say that the time is up and that the request may have run.
-    AnswerTimeUp,
+    /// Respond that the outcome is unknown.
+    RespondUnknown,
+    /// Respond that the time is up and that the request may have run.
+    RespondTimedOut,
 }
 
-/// Answers one request of a caller.
+/// Serves one request of a caller.
 ///
 /// # Errors
 ///
-/// Never; what goes wrong becomes an answer.
+/// Never returns an error; every failure becomes a response.
 pub async fn handle(
     traffic: Rc<TrafficState>,
     request: Request<Incoming>,
@@ -96,7 +96,7 @@
     traffic.metrics.requests.inc();
     let headers = (traffic.header_codec.read_request)(request.headers());
     let request_id = headers.request_id.clone();
-    let mut response = match read(&traffic, request, headers).await {
+    let mut response = match read_call(&traffic, request, headers).await {
         Ok(call) => serve(&traffic, call, open).await,
         Err(refusal) => refusal.response(&traffic),
     };
@@ -110,7 +110,7 @@
     Ok(response)
 }
 
-/// Counts a request as open until its answer has left or its caller has.
+/// Counts a request as open until its response is sent or its caller disconnects.
 #[derive(Debug)]
 pub struct OpenRequest {
     traffic: Rc<TrafficState>,
@@ -137,59 +137,65 @@
     mut call: Call,
     open: OpenRequest,
 ) -> Response<ResponseBody> {
-    // What an upstream said of its failure, if another one may still do better. If none can,
-    // it is the truest answer that there is.
-    let mut failure: Option<WholeAnswer> = None;
+    // Error response of an upstream, cached while the request is retried. If no retry succeeds, it
+    // describes the failure best.
+    let mut error_response: Option<WholeResponse> = None;
     loop {
         let attempt = attempt(traffic, &mut call).await;
         let next = match attempt {
             Err(retry_after_ms) => {
-                return match failure {
-                    Some(answer) => answer.deliver(traffic, &call),
-                    None => refuse(traffic, &call, retry_after_ms),
+                return match error_response {
+                    Some(response) => response.deliver(traffic, &call),
+                    None => slot_refusal_response(traffic, &call, retry_after_ms),
                 };
             }
-            Ok(Attempt::Answer(answer)) => match finish(traffic, &mut call, *answer).await {
-                Finished::Whole(answer) => return answer.deliver(traffic, &call),
-                Finished::Stream(relay) => return stream_response(relay, open),
-                Finished::Failed(answer) => {
-                    failure = Some(answer);
-                    Next::TryAnother
+            Ok(AttemptResult::Response(response)) => {
+                match read_response(traffic, &mut call, *response).await {
+                    ReadResponse::Whole(response) => return response.deliver(traffic, &call),
+                    ReadResponse::Stream(relay) => return stream_response(relay, open),
+                    ReadResponse::Failed(response) => {
+                        error_response = Some(response);
+                        NextStep::Retry
+                    }
+                    ReadResponse::ReadFailed(next) => next,
                 }
-                Finished::Not(next) => next,
-            },
+            }
             Ok(failed) => next_step(traffic, &mut call, &failed),
         };
-        if next != Next::TryAnother
-            && let Some(answer) = failure
+        if next != NextStep::Retry
+            && let Some(response) = error_response
         {
-            return answer.deliver(traffic, &call);
+            return response.deliver(traffic, &call);
         }
         match next {
-            Next::TryAnother => traffic.metrics.second_attempts.inc(),
-            Next::RefuseNotRun => {
+            NextStep::Retry => traffic.metrics.second_attempts.inc(),
+            NextStep::RefuseNotRun => {
                 let retry_after_ms = traffic.retry_after_ms(&call.job());
-                return refuse(traffic, &call, retry_after_ms);
+                return slot_refusal_response(traffic, &call, retry_after_ms);
+            }
+            NextStep::RespondUnknown => {
+                return unknown_outcome_response(traffic, &call, StatusCode::BAD_GATEWAY);
+            }
+            NextStep::RespondTimedOut => {
+                return unknown_outcome_response(traffic, &call, StatusCode::GATEWAY_TIMEOUT);
             }
-            Next::AnswerUnknown => return unknown(traffic, &call, StatusCode::BAD_GATEWAY),
-            Next::AnswerTimeUp => return unknown(traffic, &call, StatusCode::GATEWAY_TIMEOUT),
         }
     }
 }
 
-/// Waits for room and sends the request there once. The error is when to come back, if
-/// there is no room.
-async fn attempt(traffic: &Rc<TrafficState>, call: &mut Call) -> Result<Attempt, u64> {
-    let asked_ms = traffic.now_ms();
-    let turn = if call.tried_upstreams.is_empty() {
+/// Waits for a slot and sends the request to its upstream once. If there is no slot, the error is
+/// the caller's retry delay in milliseconds.
+async fn attempt(traffic: &Rc<TrafficState>, call: &mut Call) -> Result<AttemptResult, u64> {
+    let wait_started_ms = traffic.now_ms();
+    let slot = if call.tried_upstreams.is_empty() {
         traffic.acquire_first_slot(call).await
     } else {
         traffic.acquire_slot(call.job()).await
     };
-    call.waited_ms += traffic.now_ms() - asked_ms;
-    let lease = match turn {
+    call.waited_ms += traffic.now_ms() - wait_started_ms;
+    let lease = match slot {
         SlotResult::Acquired(lease) => {
-            call.ending.set_started();
+            call.recorder.set_started();
             lease
         }
         SlotResult::Refused { retry_after_ms } => return Err(retry_after_ms),
@@ -197,65 +203,67 @@
     Ok(send(traffic, call, lease, call.last_event_id).await)
 }
 
-/// Sends a request to the upstream where it has room.
+/// Sends a request to the upstream where it holds a slot.
 pub async fn send(
     traffic: &Rc<TrafficState>,
     call: &mut Call,
     mut lease: SlotLease,
     last_event_id: Option<u64>,
-) -> Attempt {
+) -> AttemptResult {
     let until = traffic.instant_at(call.deadline_at_ms);
     let connection = timeout_at(until, traffic.connection_pool.get(&lease.upstream)).await;
     let mut connection = match connection {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
             lease.outcome = AttemptOutcome::Broken;
-            not_reached(traffic, call, &lease, error);
-            return Attempt::NotRun;
+            handle_connect_error(traffic, call, &lease, error);
+            return AttemptResult::NotRun;
         }
-        Err(_) => return Attempt::NotRun,
+        Err(_) => return AttemptResult::NotRun,
     };
-    // It may have asked for rest, or said that it leaves, while the connection was being opened.
+    // The upstream may have asked for a backoff, or announced that it leaves, while the connection
+    // was being opened.
     let instance = &lease.upstream.instance;
     if !traffic
         .dispatcher
         .borrow()
         .is_available(instance, traffic.now_ms())
     {
-        keep(traffic, &lease, connection, None);
-        return Attempt::NotRun;
+        keep_connection(traffic, &lease, connection, None);
+        return AttemptResult::NotRun;
     }
     let request = upstream_request(traffic, call, &lease, last_event_id);
     call.tried_upstreams
         .push(Arc::clone(&lease.upstream.instance));
-    lease.sent(call.prompt_tokens);
+    lease.record_sent(call.prompt_tokens);
     traffic.record_version_dispatch(call, &mut lease);
-    count_tokens(traffic, call, &lease);
+    count_prompt_tokens(traffic, call, &lease);
     match timeout_at(until, connection.send(request)).await {
         Err(_) => {
             lease.outcome = AttemptOutcome::Failed;
             traffic.record_version_outcome(call, &lease, RunOutcome::Failed);
-            log_attempt(traffic, call, &lease, "no answer from upstream in time");
-            Attempt::TimeUp
+            log_failed_attempt(traffic, call, &lease, "no answer from upstream in time");
+            AttemptResult::TimedOut
         }
         Ok(Err(SendError::NotSent)) => {
             call.tried_upstreams.pop();
-            Attempt::NotRun
+            AttemptResult::NotRun
         }
         Ok(Err(SendError::Broken)) => {
-            // A kept connection may just have been closed as idle, which says nothing.
+            // The upstream may just have closed a reused connection as idle, so only a new
+            // connection that breaks counts against its health.
             if connection.uses == 1 {
                 lease.outcome = AttemptOutcome::Broken;
             }
-            log_attempt(traffic, call, &lease, "connection to upstream broke");
+            log_failed_attempt(traffic, call, &lease, "connection to upstream broke");
             traffic.record_broken_run(call, &lease);
-            Attempt::Unknown
+            AttemptResult::Unknown
         }
-        Ok(Ok(response)) => judge(traffic, call, response, connection, lease),
+        Ok(Ok(response)) => classify_response(traffic, call, response, connection, lease),
     }
 }
 
-fn count_tokens(traffic: &TrafficState, call: &Call, lease: &SlotLease) {
+fn count_prompt_tokens(traffic: &TrafficState, call: &Call, lease: &SlotLease) {
     if call.prompt_tokens == 0 {
         return;
     }
@@ -263,12 +271,18 @@
     let service: &[&str] = &[&call.service];
     let sent = metrics.prompt_tokens.with_label_values(service);
     sent.inc_by(call.prompt_tokens.into());
-    let kept = metrics.cached_tokens.with_label_values(service);
-    kept.inc_by(lease.cached_tokens.into());
+    let cached = metrics.cached_tokens.with_label_values(service);
+    cached.inc_by(lease.cached_tokens.into());
 }
 
-fn not_reached(traffic: &Rc<TrafficState>, call: &Call, lease: &SlotLease, error: ConnectError) {
-    log_attempt_with(traffic, call, lease, NOT_REACHED, |line| {
+/// Logs that an upstream can't be reached, and records a refused connection.
+fn handle_connect_error(
+    traffic: &Rc<TrafficState>,
+    call: &Call,
+    lease: &SlotLease,
+    error: ConnectError,
+) {
+    log_failed_attempt_with(traffic, call, lease, NOT_CONNECTED, |line| {
         line.field("error", error.name())
     });
     if error == ConnectError::Refused {
@@ -276,11 +290,16 @@
     }
 }
 
-fn log_attempt(traffic: &TrafficState, call: &Call, lease: &SlotLease, message: &'static str) {
-    log_attempt_with(traffic, call, lease, message, |line| line);
+fn log_failed_attempt(
+    traffic: &TrafficState,
+    call: &Call,
+    lease: &SlotLease,
+    message: &'static str,
+) {
+    log_failed_attempt_with(traffic, call, lease, message, |line| line);
 }
 
-fn log_attempt_with(
+fn log_failed_attempt_with(
     traffic: &TrafficState,
     call: &Call,
     lease: &SlotLease,
@@ -296,7 +315,7 @@
             .field("attempt", call.tried_upstreams.len())
             .field(
                 "may_have_run",
-                ![NOT_REACHED, DECLINED, MISDIRECTED].contains(&message),
+                ![NOT_CONNECTED, DECLINED, MISDIRECTED].contains(&message),
             )
             .field(
                 "left_ms",
@@ -317,50 +336,51 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     let mut headers = call.headers.clone();
-    let ours = UpstreamHeaders {
+    let entry_headers = UpstreamHeaders {
         remaining_ms: call.deadline_at_ms.saturating_sub(traffic.now_ms()).max(1),
-        name: Arc::clone(&lease.upstream.name),
+        upstream_name: Arc::clone(&lease.upstream.name),
         customer: call
             .customer
             .as_ref()
             .map(|customer| Arc::clone(&customer.name)),
         last_event_id,
     };
-    (traffic.header_codec.write_upstream_request)(&mut headers, &ours);
+    (traffic.header_codec.write_upstream_request)(&mut headers, &entry_headers);
     *request.headers_mut() = headers;
     request
 }
 
-/// Sorts an answer by what it says of the request.
-fn judge(
+/// Decides by the head of a response whether the upstream has run the request.
+fn classify_response(
     traffic: &Rc<TrafficState>,
     call: &mut Call,
     response: Response<Incoming>,
     connection: Connection,
     mut lease: SlotLease,
-) -> Attempt {
+) -> AttemptResult {
     let (parts, body) = response.into_parts();
     let headers = (traffic.header_codec.read_response)(parts.status, &parts.headers);
     traffic.record_notice(call, &lease.upstream, &headers);
     if headers.is_not_run {
-        let (ended, why) = if headers.is_misdirected {
+        let (outcome, reason) = if headers.is_misdirected {
             (AttemptOutcome::Misdirected, MISDIRECTED)
         } else {
             (AttemptOutcome::Declined, DECLINED)
         };
-        lease.outcome = ended;
-        log_attempt(traffic, call, &lease, why);
-        return Attempt::NotRun;
+        lease.outcome = outcome;
+        log_failed_attempt(traffic, call, &lease, reason);
+        return AttemptResult::NotRun;
     }
-    // An extra answer to an earlier request may lie on a kept connection. It names that
-    // request; passed on, one caller would read another's answer.
+    // A reused connection may hold an extra response to an earlier request. That response carries
+    // the id of its own request; if it were passed on, a caller would get another caller's
+    // response.
     if !headers.is_authentic || headers.request_id != call.request_id {
         lease.outcome = AttemptOutcome::Failed;
-        log_attempt(traffic, call, &lease, "answer belongs to no request");
-        return Attempt::Unknown;
+        log_failed_attempt(traffic, call, &lease, "answer belongs to no request");
+        return AttemptResult::Unknown;
     }
     call.may_have_run = true;
-    Attempt::Answer(Box::new(Answer {
+    AttemptResult::Response(Box::new(UpstreamResponse {
         parts,
         headers,
         body,
@@ -369,27 +389,28 @@
     }))
 }
 
-/// What becomes of a request whose attempt failed.
-fn next_step(traffic: &TrafficState, call: &mut Call, failed: &Attempt) -> Next {
-    call.may_have_run |= !matches!(failed, Attempt::NotRun);
-    if matches!(failed, Attempt::TimeUp) {
-        return Next::AnswerTimeUp;
+/// Decides what to do with a request after a failed attempt.
+fn next_step(traffic: &TrafficState, call: &mut Call, failed: &AttemptResult) -> NextStep {
+    call.may_have_run |= !matches!(failed, AttemptResult::NotRun);
+    if matches!(failed, AttemptResult::TimedOut) {
+        return NextStep::RespondTimedOut;
     }
     if call.may_have_run && !call.route.retry_policy.is_idempotent() {
-        return Next::AnswerUnknown;
+        return NextStep::RespondUnknown;
     }
-    if may_try_another(traffic, call) {
-        return Next::TryAnother;
+    if allow_retry(traffic, call) {
+        return NextStep::Retry;
     }
     if call.may_have_run {
-        Next::AnswerUnknown
+        NextStep::RespondUnknown
     } else {
-        Next::RefuseNotRun
+        NextStep::RefuseNotRun
     }
 }
 
-/// Whether a request may be sent to one more upstream.
-pub fn may_try_another(traffic: &TrafficState, call: &Call) -> bool {
+/// Returns whether a request may be sent to one more upstream. If it was sent before, this takes a
+/// retry from the budget.
+pub fn allow_retry(traffic: &TrafficState, call: &Call) -> bool {
     if traffic.now_ms() >= call.deadline_at_ms {
         return false;
     }
@@ -405,38 +426,42 @@
             .try_take_retry(&call.service, traffic.now_ms())
 }
 
-enum Finished {
-    Whole(WholeAnswer),
-    /// A failure of the upstream's own, and another one may try.
-    Failed(WholeAnswer),
+/// Result of reading a response.
+enum ReadResponse {
+    /// The response for the caller.
+    Whole(WholeResponse),
+    /// An error response of the upstream, and the request may be retried at another one.
+    Failed(WholeResponse),
+    /// A stream of events.
     Stream(Box<Relay>),
-    Not(Next),
+    /// The body could not be read.
+    ReadFailed(NextStep),
 }
 
-/// An answer that was read whole, and has not been delivered yet.
-struct WholeAnswer {
+/// A response that was read whole and has not been returned to the caller yet.
+struct WholeResponse {
     response: Response<ResponseBody>,
     held_ms: u64,
 }
 
-impl WholeAnswer {
-    /// Counts and logs the answer as the one that the caller gets.
+impl WholeResponse {
+    /// Counts and logs the response, and returns it for the caller.
     fn deliver(self, traffic: &TrafficState, call: &Call) -> Response<ResponseBody> {
-        call.note_first(traffic);
+        call.record_first_part(traffic);
         let status = self.response.status();
         if !status.is_server_error() {
             let after_ms = traffic.now_ms() - call.arrived_ms;
-            call.ending.set_whole(call.is_in_time(after_ms));
+            call.recorder.set_whole(call.is_in_time(after_ms));
         }
         let answers = &traffic.metrics.answers;
         answers.with_label_values(&[status.as_str()]).inc();
-        let outcome = if status.is_server_error() {
+        let category = if status.is_server_error() {
             LogCategory::Failure
         } else {
             LogCategory::Success
         };
-        traffic.log_of(outcome, Level::Info, "answered", |line| {
-            call.fields(line)
+        traffic.log_with_category(category, Level::Info, "answered", |line| {
+            call.add_log_fields(line)
                 .field("status", status.as_u16())
                 .field("held_ms", self.held_ms)
         });
@@ -444,35 +469,39 @@
     }
 }
 
-/// Reads a short answer whole, or begins to pass a stream on.
-async fn finish(traffic: &Rc<TrafficState>, call: &mut Call, answer: Answer) -> Finished {
-    let is_stream = call.route.retry_policy.is_stream() && answer.parts.status.is_success();
+/// Reads the whole body of a response, or starts to relay a stream.
+async fn read_response(
+    traffic: &Rc<TrafficState>,
+    call: &mut Call,
+    response: UpstreamResponse,
+) -> ReadResponse {
+    let is_stream = call.route.retry_policy.is_stream() && response.parts.status.is_success();
     if is_stream {
-        return Finished::Stream(Box::new(Relay::new(traffic, call.clone(), answer)));
+        return ReadResponse::Stream(Box::new(Relay::new(traffic, call.clone(), response)));
     }
-    let Answer {
+    let UpstreamResponse {
         parts,
         headers,
         body,
         connection,
         mut lease,
-    } = answer;
+    } = response;
     let until = traffic.instant_at(call.deadline_at_ms);
     let body = match timeout_at(until, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
             lease.outcome = AttemptOutcome::Failed;
-            log_attempt(traffic, call, &lease, "answer broke off");
+            log_failed_attempt(traffic, call, &lease, "answer broke off");
             traffic.record_broken_run(call, &lease);
-            return Finished::Not(next_step(traffic, call, &Attempt::Unknown));
+            return ReadResponse::ReadFailed(next_step(traffic, call, &AttemptResult::Unknown));
         }
         Err(_) => {
             lease.outcome = AttemptOutcome::Failed;
-            return Finished::Not(Next::AnswerTimeUp);
+            return ReadResponse::ReadFailed(NextStep::RespondTimedOut);
         }
     };
-    keep(traffic, &lease, connection, headers.keep_alive_ms);
-    lease.answered();
+    keep_connection(traffic, &lease, connection, headers.keep_alive_ms);
+    lease.record_response();
     traffic.record_success(call);
     let has_failed = parts.status.is_server_error();
     lease.outcome = if has_failed {
@@ -481,29 +510,29 @@
         AttemptOutcome::Answered
     };
     let held_ms = traffic.now_ms() - lease.acquired_at_ms();
-    let came = if has_failed {
+    let run_outcome = if has_failed {
         RunOutcome::Failed
     } else {
         RunOutcome::Answered {
-            ms_per_event: numbers::as_f64(lease.worked_ms()),
+            ms_per_event: numbers::as_f64(lease.since_sent_ms()),
         }
     };
-    traffic.record_version_outcome(call, &lease, came);
+    traffic.record_version_outcome(call, &lease, run_outcome);
     if !has_failed {
-        lease.learn(|health| health.answered_after(numbers::as_f64(held_ms)));
+        lease.update_health(|health| health.answered_after(numbers::as_f64(held_ms)));
     }
     let mut response = Response::from_parts(parts, ResponseBody::Whole(body));
-    *response.headers_mut() = end_to_end(std::mem::take(response.headers_mut()));
-    let answer = WholeAnswer { response, held_ms };
-    if has_failed && call.route.retry_policy.is_idempotent() && may_try_another(traffic, call) {
-        log_attempt(traffic, call, &lease, "upstream answered with a failure");
-        return Finished::Failed(answer);
+    *response.headers_mut() = without_connection_headers(std::mem::take(response.headers_mut()));
+    let response = WholeResponse { response, held_ms };
+    if has_failed && call.route.retry_policy.is_idempotent() && allow_retry(traffic, call) {
+        log_failed_attempt(traffic, call, &lease, "upstream answered with a failure");
+        return ReadResponse::Failed(response);
     }
-    Finished::Whole(answer)
+    ReadResponse::Whole(response)
 }
 
-/// Keeps a connection for a next request if its answer was read whole.
-pub fn keep(
+/// Returns a connection to the pool, after its response was read whole or nothing was sent on it.
+pub fn keep_connection(
     traffic: &TrafficState,
     lease: &SlotLease,
     connection: Connection,
@@ -515,7 +544,7 @@
 
 fn stream_response(relay: Box<Relay>, open: OpenRequest) -> Response<ResponseBody> {
     let mut parts = relay.head();
-    parts.headers = end_to_end(parts.headers);
+    parts.headers = without_connection_headers(parts.headers);
     let chunks = stream::unfold((relay, open), |(mut relay, open)| async move {
         let chunk = relay.next().await?;
         Some((chunk, (relay, open)))
--- a/lib/src/direct/request/failure_responses.rs
+++ b/lib/src/direct/request/failure_responses.rs
@@ -1,5 +1,5 @@
-//! What a caller hears whose request no upstream has answered: that it has not run, or that nobody
-//! knows.
+//! Responses to requests that no upstream has responded to: either the request has not run, or its
+//! outcome is unknown.
 
 use http::Response;
 use http::StatusCode;
@@ -11,10 +11,15 @@
 use crate::direct::sharing::size_stats::CallOutcome;
 use crate::direct::traffic::TrafficState;
 
-/// Refuses a request that found no room. If an upstream may have run it, its outcome is unknown.
-pub fn refuse(traffic: &TrafficState, call: &Call, retry_after_ms: u64) -> Response<ResponseBody> {
+/// Responds to a request that got no slot: refused, or with an unknown outcome if an upstream may
+/// have run it.
+pub fn slot_refusal_response(
+    traffic: &TrafficState,
+    call: &Call,
+    retry_after_ms: u64,
+) -> Response<ResponseBody> {
     if !call.may_have_run {
-        call.ending.set(CallOutcome::NoSlot);
+        call.recorder.set(CallOutcome::NoSlot);
         let id = call.request_id.as_ref();
         let job = call.job();
         let counts = traffic
@@ -25,7 +30,7 @@
             "route": call.route.name,
             "service": call.service,
             "tier": call.tier,
-            "size": call.ending.size(),
+            "size": call.recorder.size(),
             "is_owed": job.has_start_deficit,
             "prompt_tokens": call.prompt_tokens,
             "expected_output_tokens": call.expected_output_tokens,
@@ -39,16 +44,21 @@
             "upstreams_limited": counts.limited,
         });
         return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no room in time", id)
-            .after(retry_after_ms)
-            .because(inputs)
+            .retry_after(retry_after_ms)
+            .with_inputs(inputs)
             .response(traffic);
     }
-    // An earlier upstream may have run it, so it can't be promised that it has not.
-    unknown(traffic, call, StatusCode::BAD_GATEWAY)
+    // An upstream may have run the request in an earlier attempt, so the entry can't say that it
+    // has not run.
+    unknown_outcome_response(traffic, call, StatusCode::BAD_GATEWAY)
 }
 
-/// Tells that a request may have run, and nobody knows.
-pub fn unknown(traffic: &TrafficState, call: &Call, status: StatusCode) -> Response<ResponseBody> {
+/// Responds that the outcome of a request is unknown.
+pub fn unknown_outcome_response(
+    traffic: &TrafficState,
+    call: &Call,
+    status: StatusCode,
+) -> Response<ResponseBody> {
     let id = call.request_id.as_ref();
     let inputs = json!({
         "route": call.route.name,
@@ -59,6 +69,6 @@
         "max_upstreams": call.route.max_upstreams,
     });
     Refusal::new(status, "outcome unknown", id)
-        .because(inputs)
+        .with_inputs(inputs)
         .response(traffic)
 }
--- a/lib/src/direct/request/headers.rs
+++ b/lib/src/direct/request/headers.rs
@@ -1,4 +1,5 @@
-//! What headers say, in the product's own words, and the functions that translate them.
+//! Contents of the headers that the entry reads and writes, and the functions by which a platform
+//! reads and writes them.
 
 use std::sync::Arc;
 
@@ -9,34 +10,35 @@
 use crate::direct::notices::notice::UpstreamNotice;
 use crate::direct::placement::shared_prefix::SharedPrefix;
 
-/// What a caller's headers say of its request.
+/// Contents of the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallerHeaders {
-    /// Names this attempt of the caller; a retry has another name.
+    /// Id of this attempt of the caller; a retry by the caller has another id.
     pub request_id: Option<HeaderValue>,
     /// How long the caller will wait.
     pub remaining_ms: Option<u64>,
-    /// The key that the caller shows.
-    pub key: Option<HeaderValue>,
-    /// Tokens of the prompt, 0 if nothing is said.
+    /// API key of the caller's customer.
+    pub api_key: Option<HeaderValue>,
+    /// Number of tokens in the prompt; 0 if not given.
     pub prompt_tokens: u32,
-    /// The most tokens that the answer may have, 0 if nothing is said.
+    /// Largest number of output tokens; 0 if not given.
     pub max_output_tokens: u32,
-    /// Tokens that the caller expects of the answer; right at the median, often far off.
+    /// Number of output tokens that the caller expects. It is right at the median, but often far
+    /// off.
     pub expected_output_tokens: Option<u32>,
-    /// The start of the prompt that other requests may have as well.
+    /// Prefix of the prompt that other requests may share.
     pub shared_prefix: Option<SharedPrefix>,
-    /// Whether the parts of the prompt were given and make no sense.
+    /// Whether the parts of the prompt were given but are invalid.
     pub has_invalid_prompt_parts: bool,
-    /// Whether the two counts of tokens were given.
+    /// Whether the counts of prompt tokens and output tokens were given.
     pub has_token_counts: bool,
-    /// The last event that the caller has, if it goes on with a stream.
+    /// Id of the last event that the caller has received, if it resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
 impl CallerHeaders {
-    /// How much work the request is, in tokens of a prompt: a token of the answer takes about
-    /// ten times as long as one of the prompt. None if nothing was said.
+    /// Returns the amount of work for the request in prompt tokens; none if the counts of tokens
+    /// were not given. An output token takes about ten times as long as a prompt token.
     ///
     /// ```
     /// let headers = sardinewood::direct::request::headers::CallerHeaders::default();
@@ -52,8 +54,8 @@
             .then(|| f64::from(self.prompt_tokens) + OUTPUT_WEIGHT * f64::from(output))
     }
 
-    /// How long the request keeps an engine's slot, in tokens of the answer: reading a prompt
-    /// takes about a hundredth of that for each token.
+    /// Returns the expected hold time of an engine's slot, in units of one output token. Reading a
+    /// prompt token takes about a hundredth of that.
     ///
     /// ```
     /// let headers = sardinewood::direct::request::headers::CallerHeaders::default();
@@ -66,7 +68,8 @@
         Some(f64::from(output) + PROMPT_WEIGHT * f64::from(self.prompt_tokens))
     }
 
-    /// What the request counts against an allotment in tokens, if that was said.
+    /// Returns the tokens that the request is charged against a quota; none if the counts of tokens
+    /// were not given.
     ///
     /// ```
     /// let headers = sardinewood::direct::request::headers::CallerHeaders::default();
@@ -79,47 +82,48 @@
     }
 }
 
-/// What the entry itself tells an upstream with a request.
+/// Headers that the entry adds to a request to an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamHeaders {
-    /// How long the upstream may work.
+    /// How long the upstream may work on the request.
     pub remaining_ms: u64,
-    /// The listed name of the upstream that is meant; another one must not run the request.
-    pub name: Arc<str>,
-    /// The customer that the key belongs to.
+    /// Listed name of the upstream that the request is for; another one must not run it.
+    pub upstream_name: Arc<str>,
+    /// Customer that the API key belongs to.
     pub customer: Option<Arc<str>>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has.
     pub last_event_id: Option<u64>,
 }
 
-/// What an upstream's headers say of its answer.
+/// Contents of the headers of an upstream's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHeaders {
-    /// The request that it answers.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<HeaderValue>,
-    /// Whether the upstream vouches for the answer.
+    /// Whether the upstream confirms that the response is its own.
     pub is_authentic: bool,
     /// Whether the upstream says that it has not run the request and never will.
     pub is_not_run: bool,
-    /// Whether the answer comes from somebody else than the upstream that was meant.
+    /// Whether the response comes from another process than the upstream that the request was for.
     pub is_misdirected: bool,
-    /// How long the connection may stay idle.
+    /// Idle timeout of the connection.
     pub keep_alive_ms: Option<u64>,
-    /// What the upstream says of itself.
+    /// Limit, backoff or leave notice that the upstream announces.
     pub notice: UpstreamNotice,
 }
 
-/// How headers are read and written. The platform brings its own; the entry knows no names.
+/// Functions that read and write headers. Each platform provides its own, since the entry knows no
+/// header names.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderCodec {
-    /// Reads a caller's request.
+    /// Reads the headers of a caller's request.
     pub read_request: fn(&HeaderMap) -> CallerHeaders,
-    /// Takes out what a caller may not set, and adds what the entry says.
+    /// Removes the headers that a caller may not set, and adds those of the entry.
     pub write_upstream_request: fn(&mut HeaderMap, &UpstreamHeaders),
-    /// Reads an upstream's answer.
+    /// Reads the headers of an upstream's response.
     pub read_response: fn(StatusCode, &HeaderMap) -> ResponseHeaders,
-    /// Writes when a refused caller should come back.
+    /// Writes the delay in milliseconds after which a refused caller should retry.
     pub write_retry_after: fn(&mut HeaderMap, u64),
-    /// Names the request in an answer of our own.
+    /// Writes the request id to a response.
     pub write_request_id: fn(&mut HeaderMap, &HeaderValue),
 }
--- a/lib/src/direct/request/listeners.rs
+++ b/lib/src/direct/request/listeners.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and the port that tells whether the entry takes them.
+//! Accepts connections of callers, of the readiness check, and of operators.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -27,15 +27,15 @@
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// Pause after a connection could not be accepted, for example for want of descriptors.
+/// Pause after a connection could not be accepted, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Path of the counters and histograms.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Path of what is known of requests under which upstreams ended.
+/// Path of the page about requests that may have crashed upstreams.
 const QUARANTINE_PATH: &str = "/quarantine";
-/// Path of what upstreams say of themselves.
+/// Path of the page about upstreams' notices.
 const NOTICES_PATH: &str = "/notices";
-/// Path of the roll-outs.
+/// Path of the page about rollouts.
 const ROLLOUTS_PATH: &str = "/rollouts";
 
 /// Serves callers until the process ends.
@@ -46,7 +46,7 @@
                 tokio::task::spawn_local(serve_caller(stream, Rc::clone(&traffic)));
             }
             Err(error) => {
-                traffic.log(Level::Error, "callers can't be accepted", |line| {
+                traffic.log(Level::Error, "can't accept callers' connections", |line| {
                     line.field("error", error.to_string())
                 });
                 sleep(ACCEPT_PAUSE).await;
@@ -55,9 +55,9 @@
     }
 }
 
-/// What a caller's connection does.
+/// Activity of a caller's connection, to find out whether it is idle.
 #[derive(Debug, Default)]
-struct Use {
+struct ConnectionActivity {
     open_requests: Cell<u32>,
     last_ms: Cell<u64>,
 }
@@ -69,16 +69,16 @@
         });
         return;
     }
-    let used = Rc::new(Use::default());
-    used.last_ms.set(traffic.now_ms());
+    let activity = Rc::new(ConnectionActivity::default());
+    activity.last_ms.set(traffic.now_ms());
     let service = service_fn(|request| {
         let traffic = Rc::clone(&traffic);
-        let used = Rc::clone(&used);
+        let activity = Rc::clone(&activity);
         async move {
-            used.open_requests.set(used.open_requests.get() + 1);
+            activity.open_requests.set(activity.open_requests.get() + 1);
             let response = exchange::handle(Rc::clone(&traffic), request).await;
-            used.open_requests.set(used.open_requests.get() - 1);
-            used.last_ms.set(traffic.now_ms());
+            activity.open_requests.set(activity.open_requests.get() - 1);
+            activity.last_ms.set(traffic.now_ms());
             response
         }
     });
@@ -89,13 +89,13 @@
     loop {
         let idle_ms = idle_timeout_ms(&traffic);
         tokio::select! {
-            // How it ended shows in the request that was being answered.
+            // The request being served sees an error as well.
             _ = connection.as_mut() => return,
             () = traffic.closing.notified() => {}
             () = sleep(Duration::from_millis(idle_ms)) => {}
         }
-        let is_idle = used.open_requests.get() == 0
-            && traffic.now_ms() >= used.last_ms.get() + idle_timeout_ms(&traffic);
+        let is_idle = activity.open_requests.get() == 0
+            && traffic.now_ms() >= activity.last_ms.get() + idle_timeout_ms(&traffic);
         if is_idle || traffic.is_closing.get() {
             connection.as_mut().graceful_shutdown();
         }
@@ -109,7 +109,7 @@
         .map_or(DEFAULT_IDLE_TIMEOUT_MS, |catalog| catalog.idle_timeout_ms())
 }
 
-/// Serves the readiness until the process ends.
+/// Serves the readiness check until the process ends.
 pub async fn serve_readiness(listener: TcpListener, traffic: Rc<TrafficState>) {
     serve_page(listener, traffic, |traffic, _| {
         status_only(if traffic.is_ready() {
@@ -121,23 +121,22 @@
     .await;
 }
 
-/// Serves the counters and histograms, what is known of requests under which upstreams ended, what
-/// upstreams say of themselves, and the roll-outs, until the process ends.
-pub async fn serve_figures(listener: TcpListener, traffic: Rc<TrafficState>) {
+/// Serves the metrics and the operators' pages until the process ends.
+pub async fn serve_metrics(listener: TcpListener, traffic: Rc<TrafficState>) {
     serve_page(listener, traffic, |traffic, request| {
         let path = request.uri().path();
         if path == METRICS_PATH {
-            traffic.set_gauges();
+            traffic.update_gauges();
             return Response::new(traffic.metrics.text().into());
         }
         if let Some(rest) = path.strip_prefix(QUARANTINE_PATH) {
-            return quarantine_page::answer(traffic, request.method(), rest);
+            return quarantine_page::respond(traffic, request.method(), rest);
         }
         if let Some(rest) = path.strip_prefix(NOTICES_PATH) {
-            return notices_page::answer(traffic, request.method(), rest);
+            return notices_page::respond(traffic, request.method(), rest);
         }
         match path.strip_prefix(ROLLOUTS_PATH) {
-            Some(rest) => rollout_page::answer(traffic, request.method(), rest),
+            Some(rest) => rollout_page::respond(traffic, request.method(), rest),
             None => status_only(StatusCode::NOT_FOUND),
         }
     })
@@ -159,7 +158,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                traffic.log(Level::Error, "page can't be served", |line| {
+                traffic.log(Level::Error, "can't accept connections for pages", |line| {
                     line.field("error", error.to_string())
                 });
                 sleep(ACCEPT_PAUSE).await;
@@ -172,7 +171,7 @@
                 let response = page(&traffic, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // Whoever asked asks again if its connection broke.
+            // The client repeats its request if the connection broke.
             let _ = http1::Builder::new()
                 .auto_date_header(false)
                 .serve_connection(TokioIo::new(stream), service)
--- a/lib/src/direct/request/operator_page.rs
+++ b/lib/src/direct/request/operator_page.rs
@@ -1,4 +1,4 @@
-//! Answers of the pages that operators ask for on the figures' port.
+//! Responses of the operators' pages on the metrics port.
 
 use bytes::Bytes;
 use http::Response;
@@ -6,18 +6,18 @@
 use http_body_util::Full;
 use serde::Serialize;
 
-/// A status with a line of text.
+/// Returns a response with a status and a line of text.
 #[must_use]
-pub fn said(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+pub fn text_response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(text.to_owned()));
     *response.status_mut() = status;
     response
 }
 
-/// Something as JSON.
-pub fn shown(what: &impl Serialize) -> Response<Full<Bytes>> {
+/// Returns a response with a value as JSON.
+pub fn json_response(what: &impl Serialize) -> Response<Full<Bytes>> {
     match serde_json::to_string_pretty(what) {
         Ok(text) => Response::new(format!("{text}\n").into()),
-        Err(error) => said(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
--- a/lib/src/direct/request/outcome_recorder.rs
+++ b/lib/src/direct/request/outcome_recorder.rs
@@ -1,4 +1,4 @@
-//! How a request ended for its caller, counted once whichever way it ends.
+//! Counts how each request ended for its caller, exactly once.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,101 +8,103 @@
 use crate::direct::sharing::size_stats::SizeClass;
 use crate::direct::traffic::TrafficState;
 
-/// What shares by size are counted by.
+/// Properties of a request by which its outcome is counted.
 #[derive(Clone, Debug)]
-pub struct Counted {
-    /// The route's name.
-    pub kind: Arc<str>,
-    /// The service that it is for.
+pub struct OutcomeLabels {
+    /// Name of the route.
+    pub route: Arc<str>,
+    /// Service that the request is for.
     pub service: Arc<str>,
-    /// Importance of its route.
+    /// Tier of the route.
     pub tier: u8,
-    /// How large it is among those of its route.
+    /// Size class of the request among those of its route.
     pub size: SizeClass,
 }
 
-/// Counts a request when it is dropped, as not whole unless something else was said: so a caller
-/// that leaves and a stream that is cut count without a line of their own at each such place.
+/// Counts the outcome of a request when dropped: as not whole unless another outcome was set.
+///
+/// So a caller that disconnects and a stream that is cut short are counted without code of their
+/// own.
 #[derive(Debug)]
 pub struct OutcomeRecorder {
     traffic: Rc<TrafficState>,
-    counted: Counted,
+    labels: OutcomeLabels,
     has_started: Cell<bool>,
-    end: Cell<CallOutcome>,
+    outcome: Cell<CallOutcome>,
 }
 
 impl OutcomeRecorder {
-    /// Of a request that has just been read.
+    /// Creates a recorder for a request that has just been read.
     #[must_use]
-    pub fn new(traffic: &Rc<TrafficState>, counted: Counted) -> Rc<Self> {
+    pub fn new(traffic: &Rc<TrafficState>, labels: OutcomeLabels) -> Rc<Self> {
         Rc::new(Self {
             traffic: Rc::clone(traffic),
-            counted,
+            labels,
             has_started: Cell::new(false),
-            end: Cell::new(CallOutcome::Incomplete),
+            outcome: Cell::new(CallOutcome::Incomplete),
         })
     }
 
-    /// How large the request is among those of its route.
+    /// Returns the size class of the request among those of its route.
     #[must_use]
     pub fn size(&self) -> SizeClass {
-        self.counted.size
+        self.labels.size
     }
 
-    /// Whether its size is owed a start.
+    /// Returns whether the request's size class has a start deficit on its route.
     #[must_use]
     pub fn has_start_deficit(&self) -> bool {
         let floor = self.traffic.size_fairness.borrow();
-        floor.has_deficit(&self.counted.kind, self.counted.size)
+        floor.has_deficit(&self.labels.route, self.labels.size)
     }
 
-    /// Says that an upstream has room for the request. A second attempt is no second start.
+    /// Records that the request got a slot. A retry doesn't count as another start.
     pub fn set_started(&self) {
         if self.has_started.replace(true) {
             return;
         }
         let mut floor = self.traffic.size_fairness.borrow_mut();
-        floor.record_start(&self.counted.kind, self.counted.size);
+        floor.record_start(&self.labels.route, self.labels.size);
     }
 
-    /// Says how the request ends.
-    pub fn set(&self, end: CallOutcome) {
-        self.end.set(end);
+    /// Sets the outcome of the request.
+    pub fn set(&self, outcome: CallOutcome) {
+        self.outcome.set(outcome);
     }
 
-    /// Says that the caller has a whole answer.
+    /// Sets the outcome of a request whose caller gets a whole response.
     pub fn set_whole(&self, is_in_time: bool) {
-        let end = if is_in_time {
+        let outcome = if is_in_time {
             CallOutcome::InTime
         } else {
             CallOutcome::Late
         };
-        self.end.set(end);
+        self.outcome.set(outcome);
     }
 }
 
 impl Drop for OutcomeRecorder {
     fn drop(&mut self) {
-        let Counted {
-            kind,
+        let OutcomeLabels {
+            route,
             service,
             tier,
             size,
-        } = &self.counted;
-        let end = self.end.get();
+        } = &self.labels;
+        let outcome = self.outcome.get();
         let mut shares = self.traffic.size_stats.borrow_mut();
-        shares.record_outcome(kind, *size, end);
+        shares.record_outcome(route, *size, outcome);
         let mut floor = self.traffic.size_fairness.borrow_mut();
-        match (self.has_started.get(), end.is_served()) {
-            (false, _) => floor.record_refusal(kind, *size),
-            (true, false) => floor.record_incomplete(kind, *size),
+        match (self.has_started.get(), outcome.is_served()) {
+            (false, _) => floor.record_refusal(route, *size),
+            (true, false) => floor.record_incomplete(route, *size),
             (true, true) => {}
         }
         let tier = tier.to_string();
         self.traffic
             .metrics
             .ended
-            .with_label_values(&[service, tier.as_str(), size.name(), end.name()])
+            .with_label_values(&[service, tier.as_str(), size.name(), outcome.name()])
             .inc();
     }
 }
--- a/lib/src/direct/request/refusal.rs
+++ b/lib/src/direct/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own: what callers hear, what is logged and counted.
+//! Responses that the entry makes itself, which are logged and counted.
 
 use bytes::Bytes;
 use http::HeaderValue;
@@ -10,48 +10,48 @@
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// An answer of our own.
+/// A response that the entry makes itself because no upstream's response can be returned.
 #[derive(Debug)]
 pub struct Refusal {
     status: StatusCode,
-    why: &'static str,
+    reason: &'static str,
     retry_after_ms: Option<u64>,
-    name: String,
-    /// What decided it, for the log.
+    request_id: String,
+    /// Inputs of the decision, for the log.
     inputs: Value,
 }
 
 impl Refusal {
-    /// An answer for a reason, which is its body and its line in the log.
+    /// Creates a refusal with a reason, which becomes the body, the log message and a metric label.
     #[must_use]
-    pub fn new(status: StatusCode, why: &'static str, request_id: Option<&HeaderValue>) -> Self {
+    pub fn new(status: StatusCode, reason: &'static str, request_id: Option<&HeaderValue>) -> Self {
         Self {
             status,
-            why,
+            reason,
             retry_after_ms: None,
-            name: name_of(request_id).to_owned(),
+            request_id: request_id_text(request_id).to_owned(),
             inputs: Value::Null,
         }
     }
 
-    /// Adds what decided it, for the log.
+    /// Adds the inputs of the decision, for the log.
     #[must_use]
-    pub fn because(mut self, inputs: Value) -> Self {
+    pub fn with_inputs(mut self, inputs: Value) -> Self {
         self.inputs = inputs;
         self
     }
 
-    /// Adds when to come back.
+    /// Adds a delay after which the caller should retry.
     #[must_use]
-    pub fn after(mut self, retry_after_ms: u64) -> Self {
+    pub fn retry_after(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// Counts it, logs it and makes it an answer.
+    /// Counts and logs the refusal and converts it to a response.
     pub fn response(self, traffic: &TrafficState) -> Response<ResponseBody> {
-        traffic.log(Level::Info, self.why, |line| {
-            line.field("request", &self.name)
+        traffic.log(Level::Info, self.reason, |line| {
+            line.field("request", &self.request_id)
                 .field("status", self.status.as_u16())
                 .field("retry_after_ms", self.retry_after_ms)
                 .field("inputs", &self.inputs)
@@ -59,9 +59,9 @@
         traffic
             .metrics
             .refusals
-            .with_label_values(&[self.why])
+            .with_label_values(&[self.reason])
             .inc();
-        let body = Bytes::from_static(self.why.as_bytes());
+        let body = Bytes::from_static(self.reason.as_bytes());
         let mut response = Response::new(ResponseBody::Whole(body));
         *response.status_mut() = self.status;
         if let Some(retry_after_ms) = self.retry_after_ms {
@@ -71,9 +71,9 @@
     }
 }
 
-/// A request as text, for logs.
+/// Returns a request id as text for logs.
 #[must_use]
-pub fn name_of(request_id: Option<&HeaderValue>) -> &str {
+pub fn request_id_text(request_id: Option<&HeaderValue>) -> &str {
     request_id
         .and_then(|id| id.to_str().ok())
         .unwrap_or("unnamed")
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -1,7 +1,8 @@
-//! A stream of events on its way from upstream to caller, through a change of upstream.
+//! Relays a stream of events from an upstream to a caller, and resumes it at another upstream if
+//! needed.
 //!
-//! Only whole events are passed on. If the upstream breaks off, the stream may go on at
-//! another one after the last whole event, so a caller never sees a part twice or half.
+//! Only whole events are relayed. If the upstream fails, the stream may resume at another one after
+//! the last whole event, so the caller never gets an event twice or in part.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -22,41 +23,41 @@
 use crate::direct::placement::health::AttemptOutcome;
 use crate::direct::request::call::Call;
 use crate::direct::request::connection_pool::Connection;
-use crate::direct::request::exchange::Answer;
-use crate::direct::request::exchange::Attempt;
-use crate::direct::request::exchange::keep;
-use crate::direct::request::exchange::may_try_another;
+use crate::direct::request::exchange::AttemptResult;
+use crate::direct::request::exchange::UpstreamResponse;
+use crate::direct::request::exchange::allow_retry;
+use crate::direct::request::exchange::keep_connection;
 use crate::direct::request::exchange::send;
-use crate::direct::request::pace::Pace;
+use crate::direct::request::pace::EventPace;
 use crate::direct::traffic::SlotLease;
 use crate::direct::traffic::SlotResult;
 use crate::direct::traffic::TrafficState;
 use crate::logging::Level;
 
-/// Silence of an upstream after which its stream goes on elsewhere, where it may. Callers
-/// give up after two seconds, and the new upstream has to read the prompt first.
-const SILENCE: Duration = Duration::from_millis(1_200);
-const SILENT: &str = "upstream fell silent within a stream";
-/// How long a silent upstream is kept while another one has the request and has not begun. One
-/// that declines says so in a few milliseconds; two that work on the same request for longer waste
-/// the time of both.
-const OVERLAP: Duration = Duration::from_millis(200);
-/// Pause before a stream that found no upstream to go on at asks again: short beside the pause
-/// that callers notice, a fifth of a second and more on the sheets.
-const RESUME_PAUSE_MS: u64 = 50;
-
-/// Why a stream ended before its end.
+/// Silence of an upstream after which its stream is resumed elsewhere, if that is allowed. Callers
+/// give up after 2 s, and the new upstream has to read the prompt first.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+const UPSTREAM_SILENT: &str = "upstream fell silent within a stream";
+/// How long the connection to a silent upstream is kept after the request was sent to another one
+/// that has not responded. An upstream that declines does so in a few milliseconds; if both worked
+/// on the request for longer, one of them would waste its time.
+const RESUME_OVERLAP: Duration = Duration::from_millis(200);
+/// Delay before a stream that got no slot to resume asks again. It is short compared to the pause
+/// that callers notice, which is 200 ms or more in the platform's objectives.
+const RESUME_RETRY_PAUSE_MS: u64 = 50;
+
+/// Why a stream was cut short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
-    /// The upstream broke off and nobody else may go on.
+pub enum StreamError {
+    /// The upstream failed, and the stream can't be resumed at another one.
     #[error("the upstream broke off")]
     Upstream,
     /// The time of the request is up.
     #[error("the time of the request is up")]
-    TimeUp,
+    TimedOut,
 }
 
-/// A stream that is being passed on.
+/// A stream of events that is being relayed.
 #[derive(Debug)]
 pub struct Relay {
     traffic: Rc<TrafficState>,
@@ -66,15 +67,15 @@
     scan: EventScan,
     partial: BytesMut,
     last_event: Option<Instant>,
-    pace: Pace,
-    /// Time from the request's arrival to its first event.
+    pace: EventPace,
+    /// Time from the request's arrival to the first event.
     first_ms: Option<u64>,
-    /// The last event that the caller has, until the next upstream's first one has come.
-    goes_on_after: Option<u64>,
+    /// Last event that the caller has, from a resumption until the new upstream's first event.
+    resumed_after: Option<u64>,
     is_done: bool,
 }
 
-/// Where the stream comes from at present.
+/// Response of the upstream that currently supplies the stream.
 #[derive(Debug)]
 struct Source {
     body: Incoming,
@@ -83,196 +84,199 @@
     keep_alive_ms: Option<u64>,
 }
 
-/// What came next from the upstream.
-enum Came {
+/// What was received next from the upstream.
+enum Received {
     Bytes(Bytes),
     End,
     Broke(&'static str),
-    /// Nothing for so long that another upstream may be the better one.
+    /// Nothing arrived for [`SILENCE_TIMEOUT`].
     Silence,
-    TimeUp,
+    TimedOut,
 }
 
-/// What comes first while an upstream is silent.
-enum Outwaited {
-    /// It goes on after all.
-    Came(Came),
-    /// Another one has room.
-    Room(SlotLease),
-    /// Nobody has.
-    NoRoom,
+/// What happens first while an upstream is silent.
+enum SilenceOutcome {
+    /// The silent upstream has sent something.
+    Received(Received),
+    /// Another upstream has a slot.
+    Slot(SlotLease),
+    /// No other upstream has a slot.
+    NoSlot,
 }
 
-/// How asking another upstream to go on ended.
-enum Resumed {
-    /// It goes on.
-    GoesOn,
-    /// It did not.
+/// Result of an attempt to resume the stream at another upstream.
+enum ResumeResult {
+    /// The stream was resumed.
+    Resumed,
+    /// The attempt failed.
     Failed,
-    /// None had room while the caller waited.
-    NoRoom,
+    /// No upstream had a slot while the caller waited.
+    NoSlot,
 }
 
 impl Relay {
-    /// Begins with an upstream's answer.
+    /// Creates a relay of an upstream's response.
     #[must_use]
-    pub fn new(traffic: &Rc<TrafficState>, call: Call, answer: Answer) -> Self {
+    pub fn new(traffic: &Rc<TrafficState>, call: Call, response: UpstreamResponse) -> Self {
         Self {
             traffic: Rc::clone(traffic),
             call,
-            parts: answer.parts.clone(),
-            source: Some(Source::from(answer)),
+            parts: response.parts.clone(),
+            source: Some(Source::from(response)),
             scan: EventScan::default(),
             partial: BytesMut::new(),
             last_event: None,
-            pace: Pace::default(),
+            pace: EventPace::default(),
             first_ms: None,
-            goes_on_after: None,
+            resumed_after: None,
             is_done: false,
         }
     }
 
-    /// Status and headers of the answer: those of the first upstream.
+    /// Returns the status and headers of the response, which are those of the first upstream.
     #[must_use]
     pub fn head(&self) -> http::response::Parts {
         self.parts.clone()
     }
 
-    /// The next whole events, or how the stream ended.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
+    /// Returns the next whole events, the error that cut the stream short, or none at its end.
+    pub async fn next(&mut self) -> Option<Result<Bytes, StreamError>> {
         loop {
             if self.is_done {
                 return None;
             }
-            let came = match self.receive().await {
-                Came::Silence => self.outwait().await,
-                came => came,
+            let received = match self.receive().await {
+                Received::Silence => self.handle_silence().await,
+                received => received,
             };
-            match came {
-                Came::Silence => {}
-                Came::Bytes(bytes) => {
+            match received {
+                Received::Silence => {}
+                Received::Bytes(bytes) => {
                     let Some(events) = self.whole_events(&bytes) else {
                         continue;
                     };
-                    if !self.follows(&events) {
-                        // What it sent is dropped, and so is whoever sends it.
+                    if !self.continues_stream(&events) {
+                        // Drops the bytes and disconnects from the upstream.
                         self.is_done = true;
-                        leave(&mut self.source);
-                        self.log_cut("resumed stream began anew");
-                        return Some(Err(Broken::Upstream));
+                        disconnect(&mut self.source);
+                        self.log_cut("resumed stream restarted from the beginning");
+                        return Some(Err(StreamError::Upstream));
                     }
                     return Some(Ok(events));
                 }
-                Came::End if self.partial.is_empty() => {
-                    self.end_whole();
+                Received::End if self.partial.is_empty() => {
+                    self.complete();
                     return None;
                 }
-                Came::End => {
-                    if let Some(broken) = self.go_on("stream ended within an event").await {
-                        return Some(Err(broken));
+                Received::End => {
+                    if let Some(error) = self.fail_over("stream ended within an event").await {
+                        return Some(Err(error));
                     }
                 }
-                Came::Broke(why) => {
-                    if let Some(broken) = self.go_on(why).await {
-                        return Some(Err(broken));
+                Received::Broke(reason) => {
+                    if let Some(error) = self.fail_over(reason).await {
+                        return Some(Err(error));
                     }
                 }
-                Came::TimeUp => {
+                Received::TimedOut => {
                     self.is_done = true;
                     self.log_cut("time is up within a stream");
-                    return Some(Err(Broken::TimeUp));
+                    return Some(Err(StreamError::TimedOut));
                 }
             }
         }
     }
 
-    async fn receive(&mut self) -> Came {
-        let may_move = self.may_move();
+    async fn receive(&mut self) -> Received {
+        let may_resume = self.may_resume();
         let Some(source) = self.source.as_mut() else {
-            return Came::Broke("no upstream");
+            return Received::Broke("no upstream");
         };
-        let give_up = self.traffic.instant_at(self.call.deadline_at_ms);
-        let silent = Instant::now() + SILENCE;
-        let until = if may_move {
-            silent.min(give_up)
+        let deadline = self.traffic.instant_at(self.call.deadline_at_ms);
+        let silence_ends = Instant::now() + SILENCE_TIMEOUT;
+        let until = if may_resume {
+            silence_ends.min(deadline)
         } else {
-            give_up
+            deadline
         };
         match timeout_at(until, source.body.frame()).await {
-            Ok(frame) => Came::of(frame),
-            Err(_) if Instant::now() >= give_up => Came::TimeUp,
-            Err(_) => Came::Silence,
+            Ok(frame) => Received::of(frame),
+            Err(_) if Instant::now() >= deadline => Received::TimedOut,
+            Err(_) => Received::Silence,
         }
     }
 
-    /// Whether another upstream may go on with what this one has begun.
-    fn may_move(&self) -> bool {
+    /// Returns whether the stream may be resumed at another upstream.
+    fn may_resume(&self) -> bool {
         let sent = u32::try_from(self.call.tried_upstreams.len()).unwrap_or(u32::MAX);
         self.call.route.retry_policy.is_idempotent()
             && self.last_event.is_some()
             && sent < self.call.route.max_upstreams
     }
 
-    /// Looks for another upstream while one is silent, and still listens to it.
+    /// Tries to resume the stream at another upstream while still listening to the silent one.
     ///
-    /// A silent engine may hang, or read a long prompt beside this stream. Given up at once, a
-    /// stream for which nobody else has room is cut, although its upstream would have finished it:
-    /// callers of an overloaded fleet lose answers that are half done. So the first upstream is
-    /// kept until another one has begun, or has been at work for a moment.
-    async fn outwait(&mut self) -> Came {
+    /// A silent engine may hang, or may be reading another request's long prompt. If its stream
+    /// were dropped at once and no other upstream had a slot, the stream would be cut short
+    /// although the engine would have finished it, so callers of an overloaded fleet would lose
+    /// half-finished responses. So the connection to the first upstream is kept until another one
+    /// has responded, or has worked on the request for [`RESUME_OVERLAP`].
+    async fn handle_silence(&mut self) -> Received {
         let Some(mut source) = self.source.take() else {
-            return Came::Broke("no upstream");
+            return Received::Broke("no upstream");
         };
-        let waited = tokio::select! {
+        let outcome = tokio::select! {
             biased;
-            frame = source.body.frame() => Outwaited::Came(Came::of(frame)),
-            room = self.room_to_go_on() => room.map_or(Outwaited::NoRoom, Outwaited::Room),
+            frame = source.body.frame() => SilenceOutcome::Received(Received::of(frame)),
+            slot = self.acquire_resumption_slot() => {
+                slot.map_or(SilenceOutcome::NoSlot, SilenceOutcome::Slot)
+            }
         };
-        let lease = match waited {
-            Outwaited::Room(lease) if may_try_another(&self.traffic, &self.call) => lease,
-            Outwaited::Room(_) | Outwaited::NoRoom => {
+        let lease = match outcome {
+            SilenceOutcome::Slot(lease) if allow_retry(&self.traffic, &self.call) => lease,
+            SilenceOutcome::Slot(_) | SilenceOutcome::NoSlot => {
                 self.source = Some(source);
-                return Came::Silence;
+                return Received::Silence;
             }
-            Outwaited::Came(came) => {
+            SilenceOutcome::Received(received) => {
                 self.source = Some(source);
-                return came;
+                return received;
             }
         };
-        self.log_left(SILENT, &source.lease.upstream.instance);
+        self.log_failed_upstream(UPSTREAM_SILENT, &source.lease.upstream.instance);
         let last_event_id = self.last_event_id();
-        let mut former = Some(source);
+        let mut previous = Some(source);
         let attempt = {
             let sending = send(&self.traffic, &mut self.call, lease, last_event_id);
             let mut sending = pin!(sending);
             tokio::select! {
                 attempt = &mut sending => attempt,
-                () = sleep(OVERLAP) => {
-                    leave(&mut former);
+                () = sleep(RESUME_OVERLAP) => {
+                    disconnect(&mut previous);
                     sending.await
                 }
             }
         };
-        if self.take_over(attempt) {
-            leave(&mut former);
+        if self.adopt_response(attempt) {
+            disconnect(&mut previous);
             self.traffic.metrics.resumed.inc();
-            return Came::Silence;
+            return Received::Silence;
         }
-        self.source = former;
+        self.source = previous;
         if self.source.is_none() {
-            return Came::Broke("upstream in place of a silent one failed");
+            return Received::Broke("upstream in place of a silent one failed");
         }
-        Came::Silence
+        Received::Silence
     }
 
-    /// Takes bytes in; the events that are whole now.
+    /// Adds received bytes and returns the events that are complete now.
     fn whole_events(&mut self, bytes: &Bytes) -> Option<Bytes> {
         let scanned = self.scan.scan(bytes);
         if scanned.whole_bytes == 0 {
             self.partial.extend_from_slice(bytes);
             return None;
         }
-        self.learn(scanned.events);
+        self.record_events(scanned.events);
         let whole = if self.partial.is_empty() {
             bytes.slice(..scanned.whole_bytes)
         } else {
@@ -285,16 +289,16 @@
         Some(whole)
     }
 
-    /// Whether events come after those that the caller has. An upstream that does not go on
-    /// but begins anew would otherwise give the caller a part of the stream twice.
-    fn follows(&mut self, events: &[u8]) -> bool {
-        let Some(last) = self.goes_on_after.take() else {
+    /// Returns whether events come after those that the caller has. An upstream that restarts the
+    /// stream instead of resuming it would otherwise send a part of it twice.
+    fn continues_stream(&mut self, events: &[u8]) -> bool {
+        let Some(last) = self.resumed_after.take() else {
             return true;
         };
-        first_id(events).is_none_or(|first| first > last)
+        first_event_id(events).is_none_or(|first| first > last)
     }
 
-    fn learn(&mut self, events: u32) {
+    fn record_events(&mut self, events: u32) {
         let Some(source) = &self.source else {
             return;
         };
@@ -302,40 +306,40 @@
         let prompt_tokens = self.call.prompt_tokens;
         match self.last_event.replace(now) {
             None => {
-                self.pace.first(now);
+                self.pace.start(now);
                 let since = self.traffic.instant_at(source.lease.acquired_at_ms());
-                let after_ms = as_ms(now - since);
-                source.lease.answered();
-                self.call.note_first(&self.traffic);
+                let after_ms = millis(now - since);
+                source.lease.record_response();
+                self.call.record_first_part(&self.traffic);
                 self.first_ms = Some(self.traffic.now_ms() - self.call.arrived_ms);
-                // What is kept is a guess. Where it may be most of the prompt, the time says little
-                // of the engine's reading.
+                // The number of cached tokens is an estimate. If they may be most of the prompt,
+                // the time says little about how fast the engine reads.
                 let unread_tokens = prompt_tokens.saturating_sub(source.lease.cached_tokens);
                 if unread_tokens >= prompt_tokens / 2 {
                     source
                         .lease
-                        .learn(|health| health.first_event(unread_tokens, after_ms));
+                        .update_health(|health| health.first_event(unread_tokens, after_ms));
                 }
             }
             Some(last) => {
                 self.pace
-                    .next(events, &self.traffic, &self.call, &source.lease);
-                let pause_ms = as_ms(now - last) / f64::from(events.max(1));
+                    .record(events, &self.traffic, &self.call, &source.lease);
+                let pause_ms = millis(now - last) / f64::from(events.max(1));
                 let now_ms = self.traffic.now_ms();
                 source
                     .lease
-                    .learn(|health| health.next_event(pause_ms, now_ms));
+                    .update_health(|health| health.next_event(pause_ms, now_ms));
             }
         }
     }
 
-    fn end_whole(&mut self) {
+    fn complete(&mut self) {
         self.is_done = true;
         let Some(mut source) = self.source.take() else {
             return;
         };
         source.lease.outcome = AttemptOutcome::Answered;
-        self.pace.end(&self.traffic, &self.call, &source.lease);
+        self.pace.report(&self.traffic, &self.call, &source.lease);
         self.traffic.record_success(&self.call);
         if let (Some(tokens), Some(events)) =
             (self.call.expected_output_tokens, self.scan.last_id())
@@ -346,23 +350,23 @@
                 events,
             );
         }
-        keep(
+        keep_connection(
             &self.traffic,
             &source.lease,
             source.connection,
             source.keep_alive_ms,
         );
         let is_in_time = |first_ms| self.call.is_in_time(first_ms);
-        let ending = &self.call.ending;
-        ending.set_whole(self.first_ms.is_some_and(is_in_time));
+        let recorder = &self.call.recorder;
+        recorder.set_whole(self.first_ms.is_some_and(is_in_time));
         let metrics = &self.traffic.metrics;
         let status = self.parts.status;
         metrics.answers.with_label_values(&[status.as_str()]).inc();
-        let success = LogCategory::Success;
+        let category = LogCategory::Success;
         self.traffic
-            .log_of(success, Level::Info, "streamed", |line| {
+            .log_with_category(category, Level::Info, "streamed", |line| {
                 self.call
-                    .fields(line)
+                    .add_log_fields(line)
                     .field("kept_tokens", source.lease.cached_tokens)
                     .field("first_ms", self.first_ms)
                     .field(
@@ -373,86 +377,86 @@
             });
     }
 
-    /// Goes on at another upstream, if that is allowed; otherwise how the stream ended.
-    async fn go_on(&mut self, why: &'static str) -> Option<Broken> {
+    /// Resumes the stream at another upstream if that is allowed and succeeds; otherwise returns
+    /// why the stream was cut short.
+    async fn fail_over(&mut self, reason: &'static str) -> Option<StreamError> {
         if let Some(source) = &self.source {
             self.traffic.record_broken_run(&self.call, &source.lease);
         }
-        let instance = leave(&mut self.source);
-        self.log_left(why, instance.as_deref().unwrap_or_default());
-        while self.call.route.retry_policy.is_idempotent()
-            && may_try_another(&self.traffic, &self.call)
+        let instance = disconnect(&mut self.source);
+        self.log_failed_upstream(reason, instance.as_deref().unwrap_or_default());
+        while self.call.route.retry_policy.is_idempotent() && allow_retry(&self.traffic, &self.call)
         {
             match self.resume().await {
-                Resumed::GoesOn => {
+                ResumeResult::Resumed => {
                     self.traffic.metrics.resumed.inc();
                     return None;
                 }
-                Resumed::Failed => {}
-                Resumed::NoRoom => break,
+                ResumeResult::Failed => {}
+                ResumeResult::NoSlot => break,
             }
         }
         self.is_done = true;
         self.log_cut("stream was cut short");
-        Some(Broken::Upstream)
+        Some(StreamError::Upstream)
     }
 
-    /// Waits for room at another upstream, for as long as the caller is likely to.
+    /// Waits for a slot at another upstream, for as long as the caller is likely to wait.
     ///
-    /// An upstream that ends often starts again within a second. A refusal means "none just now",
-    /// and asking again costs nothing; taken for an end, it cut every stream of a service whose
-    /// only upstream had restarted.
-    async fn room_to_go_on(&self) -> Option<SlotLease> {
-        let job = self.call.resume_job(self.traffic.now_ms());
+    /// An upstream that crashed often restarts within a second, so a refused slot request is
+    /// repeated. When the first refusal was final, every stream of a service whose only upstream
+    /// restarted was cut short.
+    async fn acquire_resumption_slot(&self) -> Option<SlotLease> {
+        let job = self.call.resumption_job(self.traffic.now_ms());
         loop {
             if let SlotResult::Acquired(lease) = self.traffic.acquire_slot(job.clone()).await {
                 return Some(lease);
             }
-            if self.traffic.now_ms() + RESUME_PAUSE_MS >= job.waits_until_ms() {
+            if self.traffic.now_ms() + RESUME_RETRY_PAUSE_MS >= job.waits_until_ms() {
                 return None;
             }
-            sleep(Duration::from_millis(RESUME_PAUSE_MS)).await;
+            sleep(Duration::from_millis(RESUME_RETRY_PAUSE_MS)).await;
         }
     }
 
-    /// Asks another upstream to go on.
-    async fn resume(&mut self) -> Resumed {
-        let Some(lease) = self.room_to_go_on().await else {
-            return Resumed::NoRoom;
+    /// Tries once to resume the stream at another upstream.
+    async fn resume(&mut self) -> ResumeResult {
+        let Some(lease) = self.acquire_resumption_slot().await else {
+            return ResumeResult::NoSlot;
         };
         let last_event_id = self.last_event_id();
         let attempt = send(&self.traffic, &mut self.call, lease, last_event_id).await;
-        if self.take_over(attempt) {
-            Resumed::GoesOn
+        if self.adopt_response(attempt) {
+            ResumeResult::Resumed
         } else {
-            Resumed::Failed
+            ResumeResult::Failed
         }
     }
 
-    /// The last event that the caller has whole.
+    /// Returns the id of the last whole event that the caller has.
     fn last_event_id(&self) -> Option<u64> {
         self.scan.last_id().or(self.call.last_event_id)
     }
 
-    /// Lets another upstream go on with the stream, if it answers as the first one did. What the one
-    /// before had sent of its next event is dropped.
-    fn take_over(&mut self, attempt: Attempt) -> bool {
+    /// Continues the stream with another upstream's response if its status is that of the first
+    /// one, and returns whether it is. Drops the incomplete event of the previous upstream.
+    fn adopt_response(&mut self, attempt: AttemptResult) -> bool {
         match attempt {
-            Attempt::Answer(answer) if answer.parts.status == self.parts.status => {
+            AttemptResult::Response(response) if response.parts.status == self.parts.status => {
                 self.partial.clear();
                 self.scan.drop_partial();
-                self.source = Some(Source::from(*answer));
-                self.goes_on_after = self.scan.last_id();
+                self.source = Some(Source::from(*response));
+                self.resumed_after = self.scan.last_id();
                 true
             }
             _ => false,
         }
     }
 
-    fn log_left(&self, why: &'static str, instance: &str) {
+    fn log_failed_upstream(&self, reason: &'static str, instance: &str) {
         let metrics = &self.traffic.metrics;
-        metrics.failed_attempts.with_label_values(&[why]).inc();
-        self.traffic.log(Level::Warn, why, |line| {
+        metrics.failed_attempts.with_label_values(&[reason]).inc();
+        self.traffic.log(Level::Warn, reason, |line| {
             line.field("request", self.call.name())
                 .field("upstream", instance)
                 .field("attempt", self.call.tried_upstreams.len())
@@ -466,14 +470,14 @@
         self.traffic.metrics.cut.inc();
         self.traffic.log(Level::Warn, message, |line| {
             self.call
-                .fields(line)
+                .add_log_fields(line)
                 .field("first_ms", self.first_ms)
                 .field("last_event", self.scan.last_id())
         });
     }
 }
 
-impl Came {
+impl Received {
     fn of(frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Self {
         match frame {
             Some(Ok(frame)) => Self::Bytes(frame.into_data().unwrap_or_default()),
@@ -483,31 +487,32 @@
     }
 }
 
-/// Closes the connection to an upstream, so that it stops its work.
-fn leave(source: &mut Option<Source>) -> Option<Arc<str>> {
+/// Closes the connection to an upstream, so that the upstream stops working on the request, and
+/// returns the upstream's instance.
+fn disconnect(source: &mut Option<Source>) -> Option<Arc<str>> {
     let mut source = source.take()?;
     source.lease.outcome = AttemptOutcome::Broken;
     Some(Arc::clone(&source.lease.upstream.instance))
 }
 
-impl From<Answer> for Source {
-    fn from(answer: Answer) -> Self {
+impl From<UpstreamResponse> for Source {
+    fn from(response: UpstreamResponse) -> Self {
         Self {
-            body: answer.body,
-            connection: answer.connection,
-            lease: answer.lease,
-            keep_alive_ms: answer.headers.keep_alive_ms,
+            body: response.body,
+            connection: response.connection,
+            lease: response.lease,
+            keep_alive_ms: response.headers.keep_alive_ms,
         }
     }
 }
 
-/// The `id` of the first event that has one.
-fn first_id(events: &[u8]) -> Option<u64> {
+/// Returns the `id` of the first event that has one.
+fn first_event_id(events: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(events).ok()?;
     let id = text.lines().find_map(|line| line.strip_prefix("id:"))?;
     id.trim().parse().ok()
 }
 
-fn as_ms(time: Duration) -> f64 {
+fn millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1_000.0
 }
--- a/lib/src/direct/request/response_body.rs
+++ b/lib/src/direct/request/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! Body of a response to a caller.
 
 use std::fmt;
 use std::pin::Pin;
@@ -11,16 +11,16 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-use crate::direct::request::relay::Broken;
+use crate::direct::request::relay::StreamError;
 
-type Events = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
+type Events = Pin<Box<dyn Stream<Item = Result<Bytes, StreamError>>>>;
 
-/// Either whole or a stream that is still coming.
+/// A response body that is known as a whole, or a stream that is still arriving.
 pub enum ResponseBody {
-    /// Bytes that are all there.
+    /// The whole body.
     Whole(Bytes),
-    /// Bytes that come one after another. An error closes the caller's connection without
-    /// the end of the answer, so that what was cut never looks complete.
+    /// Parts of the body as they arrive. An error closes the caller's connection without ending the
+    /// body, so a response that was cut short never looks complete.
     Stream(Events),
 }
 
@@ -35,12 +35,12 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = StreamError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         match self.get_mut() {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
--- a/lib/src/direct/request/rollout_page.rs
+++ b/lib/src/direct/request/rollout_page.rs
@@ -1,4 +1,4 @@
-//! What operators see of roll-outs, and how they hold one, let it go on, or give it up.
+//! Operators' page that lists rollouts, and holds, resumes or reverts them.
 
 use bytes::Bytes;
 use http::Method;
@@ -7,35 +7,35 @@
 use http_body_util::Full;
 use serde_json::Value;
 
-use crate::direct::request::operator_page::said;
-use crate::direct::request::operator_page::shown;
+use crate::direct::request::operator_page::json_response;
+use crate::direct::request::operator_page::text_response;
 use crate::direct::rollout_driver::RolloutCommand;
 use crate::direct::traffic::TrafficState;
 
 const USAGE: &str = "GET /rollouts, or POST /rollouts/SERVICE/hold, /resume or /revert\n";
 
-/// Answers a call to the page: `GET` lists all; `POST` with a service and what to do does that, at
-/// every entry.
-pub fn answer(traffic: &TrafficState, method: &Method, rest: &str) -> Response<Full<Bytes>> {
+/// Responds to a request for the page: `GET` lists all rollouts; `POST` with a service and a
+/// command carries out the command at every entry.
+pub fn respond(traffic: &TrafficState, method: &Method, rest: &str) -> Response<Full<Bytes>> {
     let command = rest.strip_prefix('/').and_then(parse);
     match (method, rest, command) {
         (&Method::GET, "" | "/", _) => list(traffic),
         (&Method::POST, _, Some((service, command))) => {
             if traffic.apply_rollout_command(service, command) {
-                said(
+                text_response(
                     StatusCode::OK,
                     "done, here and at all entries that are heard\n",
                 )
             } else {
-                said(
+                text_response(
                     StatusCode::NOT_FOUND,
                     "no roll-out of this service is in progress, or it is so already\n",
                 )
             }
         }
-        (&Method::POST, _, None) => said(StatusCode::BAD_REQUEST, USAGE),
-        (&Method::GET, _, _) => said(StatusCode::NOT_FOUND, USAGE),
-        _ => said(StatusCode::METHOD_NOT_ALLOWED, USAGE),
+        (&Method::POST, _, None) => text_response(StatusCode::BAD_REQUEST, USAGE),
+        (&Method::GET, _, _) => text_response(StatusCode::NOT_FOUND, USAGE),
+        _ => text_response(StatusCode::METHOD_NOT_ALLOWED, USAGE),
     }
 }
 
@@ -56,5 +56,5 @@
         .iter()
         .map(|state| traffic.rollout_json(&state.rollout.id.service))
         .collect();
-    shown(&pages)
+    json_response(&pages)
 }
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of an entry in direct mode together: one control and one traffic thread.
+//! Starts and stops an entry in direct mode, which has a control thread and a traffic thread.
 
 use std::cell::Cell;
 use std::io;
@@ -54,70 +54,74 @@
 use crate::logging::Line;
 use crate::stop_signal::StopSignal;
 
-/// How long requests are still taken after the signal to stop. The balancer asks once a
-/// second and sends nobody after two misses. Callers with an open connection would go on
-/// using it until the end, and a long answer that began late would be cut; so what is idle
-/// then is closed, and whoever comes after is told that its request has not run.
-const LINGER: Duration = Duration::from_millis(2_400);
-/// How long callers that are told so may still come.
-const REFUSING: Duration = Duration::from_millis(500);
-/// Kept back from the time that the platform allows for stopping.
-const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How often it is looked whether all requests have ended.
-const STOP_POLL: Duration = Duration::from_millis(50);
-/// How often idle connections to upstreams are looked after, and what is known of requests under
-/// which upstreams ended is forgotten or repeated to a peer.
+/// How long requests are still accepted after the signal to stop. The balancer checks readiness
+/// once a second and stops sending callers here after two failures.
+///
+/// Callers would otherwise keep using an open connection until the process ends, and a long
+/// response that started late would be cut short. So idle connections are closed after this time,
+/// and later requests are refused as not run.
+const REFUSAL_DELAY: Duration = Duration::from_millis(2_400);
+/// Shortest time for which late requests are refused before the process ends.
+const REFUSAL_PERIOD: Duration = Duration::from_millis(500);
+/// Part of the shutdown timeout that is left unused, so that the process stops before the platform
+/// kills it.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
+/// How often the shutdown checks whether all requests have ended.
+const SHUTDOWN_POLL_PERIOD: Duration = Duration::from_millis(50);
+/// How often expired connections to upstreams are closed, and how often records of quarantined
+/// requests and upstream notices are expired or resent to a peer.
 const SWEEP_PERIOD: Duration = Duration::from_millis(gossip::RESEND_INTERVAL_MS);
-/// How often the log says how requests of each size ended, if some were not served: rare enough to
-/// cost nothing, and often enough to tell one burst from the next.
-const SHARES_PERIOD: Duration = Duration::from_secs(4);
+/// How often request outcomes by size are logged, if some requests were not served. This is rare
+/// enough to cost nothing and frequent enough to distinguish two bursts.
+const OUTCOME_LOG_PERIOD: Duration = Duration::from_secs(4);
 
-/// How often the settings are looked at without a signal. They change some times a day, and
-/// reading them costs some ten microseconds.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(2);
+/// How often the settings are read without a signal. They change a few times a day, and reading
+/// them takes about 10 µs.
+const SETTINGS_POLL_PERIOD: Duration = Duration::from_secs(2);
 
-/// Everything that an entry in direct mode is told at its start.
+/// Settings of an entry in direct mode.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectSettings {
-    /// Where callers connect.
+    /// Address that accepts callers.
     pub caller_address: SocketAddr,
-    /// Where readiness is asked.
+    /// Address that serves the readiness check.
     pub readiness_address: SocketAddr,
-    /// Where counters and histograms are asked.
-    pub metrics: SocketAddr,
-    /// Where other entries reach this one, by datagram and connection.
-    pub peers: SocketAddr,
-    /// Some other entries.
+    /// Address that serves metrics and operators' pages.
+    pub metrics_address: SocketAddr,
+    /// Address at which other entries reach this one, over UDP and TCP.
+    pub peer_address: SocketAddr,
+    /// Addresses of some other entries, used to discover the rest.
     pub seeds: Vec<SocketAddr>,
-    /// Second attempts that all entries together may make.
+    /// Limits of the retries that all entries together may make.
     pub retry_limits: RetryLimits,
-    /// How far beyond their allotments customers may get.
+    /// How far customers may exceed their quotas.
     pub tolerance: Tolerance,
-    /// What a version may get that may be bad; none if versions mean nothing here.
+    /// How many requests a new version may get before it is known to be good; none if this platform
+    /// has no rollouts.
     pub rollouts: Option<ExposureLimit>,
-    /// Time between the signal to stop and the end by force.
+    /// Time between the signal to stop and the platform's kill.
     pub shutdown_timeout: Duration,
-    /// The longest rest that an upstream is given, whatever it asks for.
+    /// Longest backoff that an upstream gets, whatever it asks for.
     pub max_backoff: Duration,
 }
 
-/// What reading the settings again brought.
+/// Result of rereading the settings.
 #[derive(Debug)]
 pub enum SettingsReload {
-    /// Nothing has changed.
+    /// The settings have not changed.
     Unchanged,
-    /// They have changed.
+    /// The settings have changed.
     Changed(Box<DirectSettings>),
-    /// They can't be used; the last ones stay.
+    /// The settings are invalid, and the previous ones stay in force.
     Invalid(Findings),
 }
 
-/// What differs between platforms.
+/// Functions that differ between platforms.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformAdapter {
-    /// How headers are read and written.
+    /// Reads and writes the platform's headers.
     pub header_codec: HeaderCodec,
-    /// How stored objects are read.
+    /// Decodes the platform's stored objects.
     pub decoders: ObjectDecoders,
 }
 
@@ -125,14 +129,14 @@
     runtime::Builder::new_current_thread().enable_all().build()
 }
 
-/// Serves callers until a signal asks the process to end. `reload` reads the settings again.
+/// Runs an entry until a signal asks the process to stop. `reload` rereads the settings.
 ///
 /// # Errors
 ///
-/// When an address can't be had or a thread can't be started.
+/// Returns an error if an address can't be bound or a thread can't be started.
 pub fn run<S, R>(
     settings: DirectSettings,
-    adapter: PlatformAdapter,
+    platform: PlatformAdapter,
     source: S,
     reload: R,
 ) -> eyre::Result<()>
@@ -140,36 +144,36 @@
     S: ObjectSource + RolloutStore + Send + 'static,
     R: FnMut() -> SettingsReload + 'static,
 {
-    let (view_sender, view) = watch::channel(ReplicaSnapshot::default());
-    let (ahead_sender, peer_ahead) = watch::channel(None);
-    let (asks_sender, watches_store) = watch::channel(true);
-    let (own_sender, own_revisions) = watch::channel(Revisions::default());
+    let (snapshot_sender, snapshots) = watch::channel(ReplicaSnapshot::default());
+    let (peer_ahead_sender, peer_ahead) = watch::channel(None);
+    let (watches_store_sender, watches_store) = watch::channel(true);
+    let (own_revisions_sender, own_revisions) = watch::channel(Revisions::default());
     let last_store_response = LastStoreResponse::default();
-    let (orders_sender, orders) = watch::channel(None);
-    let (due_sender, due) = mpsc::unbounded_channel();
-    let tells_versions = settings.rollouts.is_some();
-    let links = ControlChannels {
+    let (rollouts_sender, rollouts) = watch::channel(None);
+    let (status_sender, statuses) = mpsc::unbounded_channel();
+    let has_rollouts = settings.rollouts.is_some();
+    let channels = ControlChannels {
         own_revisions,
         last_store_response: last_store_response.clone(),
-        peer_ahead: ahead_sender,
-        watches_store: asks_sender,
+        peer_ahead: peer_ahead_sender,
+        watches_store: watches_store_sender,
     };
     let control = current_thread().wrap_err("can't start the control thread's runtime")?;
-    let peers = settings.peers;
+    let peer_address = settings.peer_address;
     thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || {
-            let orders = RolloutFollower::new(orders_sender, watches_store.clone());
-            let orders = tells_versions.then_some((orders, due));
+            let rollouts = RolloutFollower::new(rollouts_sender, watches_store.clone());
+            let rollouts = has_rollouts.then_some((rollouts, statuses));
             let follower = StoreFollower::new(
-                adapter.decoders,
-                view_sender,
+                platform.decoders,
+                snapshot_sender,
                 watches_store,
                 last_store_response,
             );
             LocalSet::new().block_on(
                 &control,
-                follow(follower, orders, source, peers, peer_ahead),
+                follow(follower, rollouts, source, peer_address, peer_ahead),
             );
         })
         .wrap_err("can't start the control thread")?;
@@ -178,11 +182,11 @@
         &traffic,
         serve(
             settings,
-            adapter,
-            view,
-            own_sender,
-            links,
-            (orders, due_sender),
+            platform,
+            snapshots,
+            own_revisions_sender,
+            channels,
+            (rollouts, status_sender),
             reload,
         ),
     )
@@ -190,27 +194,27 @@
 
 async fn follow<S: ObjectSource + RolloutStore>(
     follower: StoreFollower,
-    orders: Option<(RolloutFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
+    rollouts: Option<(RolloutFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
     source: S,
-    peers: SocketAddr,
+    peer_address: SocketAddr,
     peer_ahead: watch::Receiver<Option<SocketAddr>>,
 ) {
-    match TcpListener::bind(peers).await {
+    match TcpListener::bind(peer_address).await {
         Ok(listener) => {
             spawn_local(peer_pull::serve(listener, follower.clone()));
         }
-        Err(error) => Line::new(Level::Error, "peers can't be served")
-            .field("address", peers)
+        Err(error) => Line::new(Level::Error, "can't listen for peers' connections")
+            .field("address", peer_address)
             .field("error", error.to_string())
             .send(),
     }
-    let follow_orders = async {
-        if let Some((orders, due)) = orders {
-            tokio::join!(orders.follow(&source), orders.write(&source, due));
+    let follow_rollouts = async {
+        if let Some((rollouts, statuses)) = rollouts {
+            tokio::join!(rollouts.follow(&source), rollouts.write(&source, statuses));
         }
     };
     tokio::join!(
-        follow_orders,
+        follow_rollouts,
         follower.follow_catalog(&source),
         follower.follow_upstreams(&source),
         follower.follow_peers(peer_ahead),
@@ -220,23 +224,28 @@
 
 async fn serve(
     settings: DirectSettings,
-    adapter: PlatformAdapter,
-    view: watch::Receiver<ReplicaSnapshot>,
+    platform: PlatformAdapter,
+    snapshots: watch::Receiver<ReplicaSnapshot>,
     own_revisions: watch::Sender<Revisions>,
-    links: ControlChannels,
-    (orders, due): (watch::Receiver<Option<RolloutView>>, StatusWriter),
+    channels: ControlChannels,
+    (rollouts, statuses): (watch::Receiver<Option<RolloutView>>, StatusWriter),
     reload: impl FnMut() -> SettingsReload + 'static,
 ) -> eyre::Result<()> {
     let mut stop = StopSignal::listen().wrap_err("can't wait for signals")?;
     let hang_up = signal(SignalKind::hangup()).wrap_err("can't wait for signals")?;
-    let socket = UdpSocket::bind(settings.peers)
+    let socket = UdpSocket::bind(settings.peer_address)
         .await
-        .wrap_err_with(|| format!("can't hear peers on {}", settings.peers))?;
-    let peers = PeerTable::new(settings.peers, &settings.seeds);
-    let metrics = DirectMetrics::new().wrap_err("can't count")?;
+        .wrap_err_with(|| {
+            format!(
+                "can't receive peers' datagrams on {}",
+                settings.peer_address
+            )
+        })?;
+    let peers = PeerTable::new(settings.peer_address, &settings.seeds);
+    let metrics = DirectMetrics::new().wrap_err("can't register metrics")?;
     let table = RolloutTable::new(settings.rollouts, rand::random());
     let traffic = TrafficState::new(
-        adapter.header_codec,
+        platform.header_codec,
         settings.retry_limits,
         peers,
         socket,
@@ -250,18 +259,22 @@
     traffic.set_max_backoff(settings.max_backoff);
     let callers = listen(settings.caller_address, "callers").await?;
     let readiness = listen(settings.readiness_address, "readiness").await?;
-    let metrics = listen(settings.metrics, "figures").await?;
+    let metrics = listen(settings.metrics_address, "metrics").await?;
     spawn_local(listeners::serve_callers(callers, Rc::clone(&traffic)));
     spawn_local(listeners::serve_readiness(readiness, Rc::clone(&traffic)));
-    spawn_local(listeners::serve_figures(metrics, Rc::clone(&traffic)));
-    spawn_local(HeartbeatTask::new(&traffic, links).run());
-    spawn_local(take_views(view, own_revisions, Rc::clone(&traffic)));
+    spawn_local(listeners::serve_metrics(metrics, Rc::clone(&traffic)));
+    spawn_local(HeartbeatTask::new(&traffic, channels).run());
+    spawn_local(apply_snapshots(
+        snapshots,
+        own_revisions,
+        Rc::clone(&traffic),
+    ));
     spawn_local(sweep(Rc::clone(&traffic)));
-    spawn_local(rollout_driver::run(Rc::clone(&traffic), orders, due));
-    spawn_local(log_size_shares(Rc::clone(&traffic)));
+    spawn_local(rollout_driver::run(Rc::clone(&traffic), rollouts, statuses));
+    spawn_local(log_outcomes_by_size(Rc::clone(&traffic)));
     Line::new(Level::Info, "started")
         .field("address", settings.caller_address)
-        .field("figures_address", settings.metrics)
+        .field("figures_address", settings.metrics_address)
         .field("seeds", &settings.seeds)
         .send();
     let shutdown_timeout = Rc::new(Cell::new(settings.shutdown_timeout));
@@ -277,7 +290,7 @@
     Ok(())
 }
 
-/// Reads the settings again when a signal says so, and now and then without one.
+/// Rereads the settings on a hangup signal, and periodically without one.
 async fn follow_settings(
     mut settings: DirectSettings,
     mut hang_up: Signal,
@@ -286,20 +299,20 @@
     shutdown_timeout: Rc<Cell<Duration>>,
 ) {
     loop {
-        let is_asked = tokio::select! {
+        let is_requested = tokio::select! {
             _ = hang_up.recv() => true,
-            () = sleep(SETTINGS_PERIOD) => false,
+            () = sleep(SETTINGS_POLL_PERIOD) => false,
         };
         match reload() {
-            SettingsReload::Unchanged if !is_asked => {}
-            SettingsReload::Unchanged => Line::new(Level::Info, "settings are as before").send(),
+            SettingsReload::Unchanged if !is_requested => {}
+            SettingsReload::Unchanged => Line::new(Level::Info, "settings are unchanged").send(),
             SettingsReload::Invalid(findings) => {
                 Line::new(Level::Error, "settings can't be used; the last ones stay")
                     .field("findings", findings.to_string())
                     .send();
             }
             SettingsReload::Changed(new) => {
-                take_settings(&settings, &new, &traffic);
+                apply_settings(&settings, &new, &traffic);
                 shutdown_timeout.set(new.shutdown_timeout);
                 settings = *new;
             }
@@ -307,8 +320,8 @@
     }
 }
 
-/// Takes what can change without a new start, and says what can't.
-fn take_settings(old: &DirectSettings, new: &DirectSettings, traffic: &TrafficState) {
+/// Applies the settings that can change without a restart, and logs whether others have changed.
+fn apply_settings(old: &DirectSettings, new: &DirectSettings, traffic: &TrafficState) {
     traffic
         .retry_budget
         .borrow_mut()
@@ -316,32 +329,32 @@
     traffic.quotas.borrow_mut().set_tolerance(new.tolerance);
     traffic.set_max_backoff(new.max_backoff);
     traffic.peers.borrow_mut().add_seeds(&new.seeds);
-    let moved = old.caller_address != new.caller_address
+    let needs_restart = old.caller_address != new.caller_address
         || old.readiness_address != new.readiness_address
-        || old.peers != new.peers;
+        || old.peer_address != new.peer_address;
     Line::new(Level::Info, "settings taken")
         .field("seeds", &new.seeds)
-        .field("needs_restart", moved)
+        .field("needs_restart", needs_restart)
         .send();
 }
 
-async fn listen(address: SocketAddr, whom: &str) -> eyre::Result<TcpListener> {
+async fn listen(address: SocketAddr, purpose: &str) -> eyre::Result<TcpListener> {
     TcpListener::bind(address)
         .await
-        .wrap_err_with(|| format!("can't serve {whom} on {address}"))
+        .wrap_err_with(|| format!("can't serve {purpose} on {address}"))
 }
 
-/// Brings each new view into force.
-async fn take_views(
-    mut view: watch::Receiver<ReplicaSnapshot>,
+/// Applies each new snapshot of the store to the traffic thread's state.
+async fn apply_snapshots(
+    mut snapshots: watch::Receiver<ReplicaSnapshot>,
     own_revisions: watch::Sender<Revisions>,
     traffic: Rc<TrafficState>,
 ) {
-    while view.changed().await.is_ok() {
-        let view = view.borrow_and_update().clone();
-        *traffic.catalog.borrow_mut() = view.catalog;
-        own_revisions.send_replace(view.revisions);
-        let Some(upstreams) = view.upstreams else {
+    while snapshots.changed().await.is_ok() {
+        let snapshot = snapshots.borrow_and_update().clone();
+        *traffic.catalog.borrow_mut() = snapshot.catalog;
+        own_revisions.send_replace(snapshot.revisions);
+        let Some(upstreams) = snapshot.upstreams else {
             continue;
         };
         traffic.has_upstreams.set(true);
@@ -351,7 +364,7 @@
         traffic.grant_slots();
         traffic.configured.notify_waiters();
     }
-    Line::new(Level::Error, "the control thread has ended").send();
+    Line::new(Level::Error, "control thread has stopped").send();
 }
 
 async fn sweep(traffic: Rc<TrafficState>) {
@@ -366,41 +379,42 @@
     }
 }
 
-/// Says how requests ended by size, of the kinds of which some were not served.
-async fn log_size_shares(traffic: Rc<TrafficState>) {
+/// Periodically logs request outcomes by size for the routes that had unserved requests.
+async fn log_outcomes_by_size(traffic: Rc<TrafficState>) {
     loop {
-        sleep(SHARES_PERIOD).await;
+        sleep(OUTCOME_LOG_PERIOD).await;
         let all = traffic.size_stats.borrow_mut().take_routes_with_unserved();
-        for (route, ends) in all {
-            traffic.log(Level::Info, "ends by size", |line| {
-                line.field("route", route).field("ends", ends)
+        for (route, outcomes) in all {
+            traffic.log(Level::Info, "request outcomes by size", |line| {
+                line.field("route", route).field("ends", outcomes)
             });
         }
     }
 }
 
-/// Lets the balancer look elsewhere, serves what is open, and returns.
-async fn shut_down(traffic: &TrafficState, within: Duration) {
-    let began = Instant::now();
+/// Stops the entry: reports it as not ready, refuses requests after a delay, and waits for open
+/// requests until shortly before the shutdown timeout.
+async fn shut_down(traffic: &TrafficState, timeout: Duration) {
+    let started_at = Instant::now();
     traffic.is_stopping.set(true);
     Line::new(Level::Info, "stopping")
         .field("open_requests", traffic.open_requests.get())
         .send();
-    let last = within.saturating_sub(STOP_MARGIN);
+    let max_wait = timeout.saturating_sub(SHUTDOWN_MARGIN);
     loop {
-        sleep(STOP_POLL).await;
-        let passed = began.elapsed();
-        if passed >= LINGER && !traffic.is_closing.get() {
+        sleep(SHUTDOWN_POLL_PERIOD).await;
+        let passed = started_at.elapsed();
+        if passed >= REFUSAL_DELAY && !traffic.is_closing.get() {
             traffic.close();
         }
-        let is_done = passed >= LINGER + REFUSING && traffic.open_requests.get() == 0;
-        if is_done || passed >= last {
+        let is_done = passed >= REFUSAL_DELAY + REFUSAL_PERIOD && traffic.open_requests.get() == 0;
+        if is_done || passed >= max_wait {
             break;
         }
     }
     HeartbeatTask::announce_exit(traffic);
     Line::new(Level::Info, "ended")
         .field("open_requests", traffic.open_requests.get())
-        .field("after_ms", began.elapsed().as_millis())
+        .field("after_ms", started_at.elapsed().as_millis())
         .send();
 }
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -1,6 +1,7 @@
-//! What all requests of an entry share: the dispatcher, the budgets, the connections.
+//! State that all requests of an entry share, such as the dispatcher, the budgets and the
+//! connections.
 //!
-//! It lives on the one traffic thread, so nothing here is locked.
+//! It belongs to the single traffic thread, so nothing here is locked.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -54,99 +55,100 @@
 use crate::logging::Level;
 use crate::logging::Line;
 
-/// How long callers wait for the first configuration. A store that answers at all does so
-/// well within this.
-const CONFIGURED_WITHIN: Duration = Duration::from_millis(250);
+/// How long a request waits for the first configuration. A working store responds well within
+/// this time.
+const CONFIGURATION_WAIT: Duration = Duration::from_millis(250);
 
-/// The state of the traffic thread.
+/// State of the traffic thread.
 #[derive(Debug)]
 pub struct TrafficState {
-    /// How headers are read and written.
+    /// Reads and writes the platform's headers.
     pub header_codec: HeaderCodec,
-    /// Connections to upstreams.
+    /// Idle connections to upstreams.
     pub connection_pool: Rc<ConnectionPool>,
-    /// Order and places of requests.
+    /// Tracks load and health of the upstreams, and decides at which of them a request asks for a
+    /// slot.
     pub dispatcher: RefCell<Dispatcher>,
-    /// The doors that this entry keeps.
+    /// Admission queues of the upstreams that this entry owns.
     pub admission: RefCell<AdmissionController>,
-    /// The other entries.
+    /// Other entries.
     pub peers: RefCell<PeerTable>,
-    /// What this entry has asked at doors.
+    /// Slot requests of this entry that have no grant yet.
     pub pending_slot_requests: RefCell<IndexMap<PeerRequestId, PendingSlotRequest>>,
-    /// Where messages to peers leave.
+    /// Sends messages to peers.
     pub socket: UdpSocket,
-    /// What customers may spend.
+    /// Quotas of customers.
     pub quotas: RefCell<CustomerQuotas>,
-    /// What keepers of allotments have been asked.
+    /// Charges that the owners of quotas have not answered yet.
     pub pending_charges: PendingCharges,
-    /// Second attempts that are left.
+    /// Limits how many requests are retried at another upstream.
     pub retry_budget: RefCell<RetryBudget>,
-    /// The configuration in force.
+    /// Configuration in force, if there is one yet.
     pub catalog: RefCell<Option<Arc<Catalog>>>,
-    /// Whether the upstreams have been listed once.
+    /// Whether a list of upstreams has arrived.
     pub has_upstreams: Cell<bool>,
-    /// Whether the process was asked to end.
+    /// Whether a signal has asked the process to stop.
     pub is_stopping: Cell<bool>,
-    /// Whether it takes no more requests, since it may not live to finish them.
+    /// Whether new requests are refused because the process may stop before they finish.
     pub is_closing: Cell<bool>,
-    /// Told when [`Self::is_closing`] begins.
+    /// Notified when [`Self::is_closing`] becomes true.
     pub closing: Notify,
-    /// Requests that have no answer yet.
+    /// Number of requests whose response has not ended yet.
     pub open_requests: Cell<usize>,
     /// Counters and histograms.
     pub metrics: DirectMetrics,
-    /// Told when the first configuration and the first upstreams are there.
+    /// Notified when the first configuration and the first list of upstreams have arrived.
     pub configured: Notify,
-    /// How many requests begin with the same parts.
+    /// How often requests share the beginning of a prompt.
     pub prefix_popularity: RefCell<PrefixPopularity>,
-    /// How requests ended, by kind and size.
+    /// Outcomes of requests by route and size.
     pub size_stats: RefCell<SizeStats>,
-    /// What is owed to the sizes of each kind.
+    /// Start deficits of the request sizes of each route.
     pub size_fairness: RefCell<SizeFairness>,
-    /// Upstreams of which connections broke lately.
+    /// Detects upstreams that crash while they run requests.
     pub crash_detector: RefCell<CrashDetector>,
-    /// Requests that ran whole a moment ago.
+    /// Requests that completed a short time ago.
     pub recent_successes: RefCell<RecentSuccesses>,
-    /// Requests that may be the cause of upstreams' ends.
+    /// Requests that may have crashed upstreams.
     pub suspects: RefCell<SuspectRequests>,
-    /// What upstreams say of themselves.
+    /// Limits, backoffs and leave notices that upstreams announced.
     pub notices: RefCell<UpstreamNotices>,
-    /// Orders to move services to other versions.
+    /// Rollouts that move services to other versions.
     pub rollouts: RefCell<RolloutTable>,
-    /// Told when an order has come further than this entry has acted on.
+    /// Notified when a rollout has advanced beyond what this entry has acted on.
     pub rollouts_changed: Notify,
-    /// When doors are looked at again for the rate of a limited upstream.
+    /// When the admission queues are checked again because a rate limit allows a request then.
     pub rate_wakeup_at_ms: Cell<Option<u64>>,
-    sizes: RefCell<IndexMap<Arc<str>, MovingAverage>>,
-    expected_holds: RefCell<IndexMap<Arc<str>, MovingAverage>>,
-    log: RefCell<LogRateLimiter>,
+    mean_sizes: RefCell<IndexMap<Arc<str>, MovingAverage>>,
+    mean_hold_times: RefCell<IndexMap<Arc<str>, MovingAverage>>,
+    log_limiter: RefCell<LogRateLimiter>,
     next_id: Cell<u64>,
-    began: Instant,
+    started_at: Instant,
 }
 
-/// A request's room at an upstream; dropping it gives the room back.
+/// Slot that a request holds at an upstream; released when dropped.
 #[derive(Debug)]
 pub struct SlotLease {
     traffic: Rc<TrafficState>,
-    /// Where the room is.
+    /// Upstream of the slot.
     pub upstream: Arc<Upstream>,
-    /// How the call ended, as far as it has.
+    /// How the attempt ended, or `Abandoned` while it runs.
     pub outcome: AttemptOutcome,
-    /// Tokens of the prompt that the upstream is likely to keep.
+    /// Tokens of the prompt that the upstream probably has in its cache.
     pub cached_tokens: u32,
-    /// Whether the upstream's door granted the room.
+    /// Whether the upstream's admission queue granted the slot.
     is_granted: bool,
-    /// Whether it is counted as a request that can't be moved to another upstream.
+    /// Whether the request counts as pinned: it can't be moved to another upstream.
     pub is_pinned: bool,
     id: u64,
     acquired_at_ms: u64,
-    /// When the request was sent there.
+    /// When the request was sent, or when the slot was acquired if it was not sent yet.
     sent_at_ms: Cell<u64>,
     is_sent: Cell<bool>,
 }
 
 impl SlotLease {
-    /// Room that the dispatcher has counted.
+    /// Creates a lease of a slot that the dispatcher has counted.
     #[must_use]
     pub fn new(
         traffic: &Rc<TrafficState>,
@@ -168,14 +170,14 @@
         }
     }
 
-    /// Adds to what is known of the upstream.
-    pub fn learn(&self, learn: impl FnOnce(&mut ObservedHealth)) {
+    /// Updates the health record of the upstream.
+    pub fn update_health(&self, update: impl FnOnce(&mut ObservedHealth)) {
         let mut dispatcher = self.traffic.dispatcher.borrow_mut();
-        dispatcher.learn(&self.upstream.instance, learn);
+        dispatcher.learn(&self.upstream.instance, update);
     }
 
-    /// Notes that a request was sent, and that an answer is due.
-    pub fn sent(&self, prompt_tokens: u32) {
+    /// Records that the request was sent, so that a response is due.
+    pub fn record_sent(&self, prompt_tokens: u32) {
         self.sent_at_ms.set(self.traffic.now_ms());
         self.is_sent.set(true);
         self.traffic.dispatcher.borrow_mut().sent(
@@ -186,8 +188,8 @@
         );
     }
 
-    /// Notes that the first part of the answer has come.
-    pub fn answered(&self) {
+    /// Records that the first part of the response has arrived.
+    pub fn record_response(&self) {
         let instance = &self.upstream.instance;
         let mut crash_detector = self.traffic.crash_detector.borrow_mut();
         crash_detector.on_answer(instance, self.acquired_at_ms);
@@ -197,13 +199,13 @@
             .answered(&self.upstream.instance, self.id);
     }
 
-    /// How long the upstream has had the request, without the time that a connection took.
+    /// Returns how long the upstream has had the request, without the time to connect.
     #[must_use]
-    pub fn worked_ms(&self) -> u64 {
+    pub fn since_sent_ms(&self) -> u64 {
         self.traffic.now_ms() - self.sent_at_ms.get()
     }
 
-    /// When the room was taken.
+    /// Returns when the slot was acquired.
     #[must_use]
     pub fn acquired_at_ms(&self) -> u64 {
         self.acquired_at_ms
@@ -232,26 +234,26 @@
                 },
                 _ => SlotRelease::Unanswered,
             };
-            let name = upstream_hash(&self.upstream.instance);
-            self.traffic.release_slot(name, release);
+            let upstream = upstream_hash(&self.upstream.instance);
+            self.traffic.release_slot(upstream, release);
         }
     }
 }
 
-/// How waiting for room ended.
+/// How waiting for a slot ended.
 #[derive(Debug)]
 pub enum SlotResult {
-    /// There is room.
+    /// The request holds a slot.
     Acquired(SlotLease),
-    /// There will be none in time.
+    /// No slot was granted in time.
     Refused {
-        /// When to come back.
+        /// When the caller should retry.
         retry_after_ms: u64,
     },
 }
 
 impl TrafficState {
-    /// The state of an entry that has neither configuration nor upstreams yet.
+    /// Creates the state of an entry that has neither configuration nor upstreams yet.
     #[must_use]
     pub fn new(
         header_codec: HeaderCodec,
@@ -290,27 +292,27 @@
             rollouts: RefCell::new(rollouts),
             rollouts_changed: Notify::new(),
             rate_wakeup_at_ms: Cell::default(),
-            sizes: RefCell::default(),
-            expected_holds: RefCell::default(),
-            log: RefCell::default(),
+            mean_sizes: RefCell::default(),
+            mean_hold_times: RefCell::default(),
+            log_limiter: RefCell::default(),
             next_id: Cell::new(1),
-            began: Instant::now(),
+            started_at: Instant::now(),
         })
     }
 
-    /// Time since the start of the process.
+    /// Returns the time since the start of the process.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The moment that is so long after the start of the process.
+    /// Converts a time since the start of the process to an instant.
     #[must_use]
     pub fn instant_at(&self, at_ms: u64) -> Instant {
-        self.began + Duration::from_millis(at_ms)
+        self.started_at + Duration::from_millis(at_ms)
     }
 
-    /// A number that no other request of this process has.
+    /// Returns a number that is unique within this process.
     #[must_use]
     pub fn next_id(&self) -> u64 {
         let id = self.next_id.get();
@@ -318,8 +320,9 @@
         id
     }
 
-    /// Whether requests wait for room at a service here. What waits for another service does not
-    /// get what a request would take.
+    /// Returns the contention for slots of a service, which depends on whether requests of this
+    /// entry wait for them. Requests that wait for other services don't compete with a request of
+    /// this one.
     #[must_use]
     pub fn contention(&self, service: &str) -> Contention {
         let asks = self.pending_slot_requests.borrow();
@@ -330,74 +333,78 @@
         }
     }
 
-    /// The size of a request in relation to the mean of its route, which it becomes part of.
+    /// Returns the ratio of a request's size to the mean of its route, after adding it to the mean.
     #[must_use]
     pub fn relative_size(&self, route: &Arc<str>, size: Option<f64>) -> f64 {
-        relative(&mut self.sizes.borrow_mut(), route, size)
+        ratio_to_mean(&mut self.mean_sizes.borrow_mut(), route, size)
     }
 
-    /// The expected time at an engine in relation to the mean of its route, likewise.
+    /// Returns the ratio of a request's expected hold time at an engine to the mean of its route,
+    /// after adding it to the mean.
     #[must_use]
     pub fn relative_hold(&self, route: &Arc<str>, hold: Option<f64>) -> f64 {
-        relative(&mut self.expected_holds.borrow_mut(), route, hold)
+        ratio_to_mean(&mut self.mean_hold_times.borrow_mut(), route, hold)
     }
 
-    /// Writes a line of a failure or of a change if its kind is within its budget.
+    /// Writes a log line about a failure or a change, unless its message is over the rate limit.
     pub fn log(&self, level: Level, message: &'static str, fill: impl FnOnce(Line) -> Line) {
-        self.log_of(LogCategory::Failure, level, message, fill);
+        self.log_with_category(LogCategory::Failure, level, message, fill);
     }
 
-    /// Writes a line if its kind is within its budget.
-    pub fn log_of(
+    /// Writes a log line of a category, unless its message is over the rate limit.
+    pub fn log_with_category(
         &self,
-        outcome: LogCategory,
+        category: LogCategory,
         level: Level,
         message: &'static str,
         fill: impl FnOnce(Line) -> Line,
     ) {
-        let left_out = self.log.borrow_mut().take(message, outcome, self.now_ms());
-        match left_out {
+        let suppressed = self
+            .log_limiter
+            .borrow_mut()
+            .admit(message, category, self.now_ms());
+        match suppressed {
             None => self.metrics.left_out_lines.inc(),
             Some(0) => fill(Line::new(level, message)).send(),
-            Some(lines) => fill(Line::new(level, message))
-                .field("left_out_lines", lines)
+            Some(count) => fill(Line::new(level, message))
+                .field("left_out_lines", count)
                 .send(),
         }
     }
 
-    /// Whether a configuration and the upstreams are known.
+    /// Returns whether a configuration and the upstreams are known.
     #[must_use]
     pub fn is_configured(&self) -> bool {
         self.has_upstreams.get() && self.catalog.borrow().is_some()
     }
 
-    /// Waits a moment for the first configuration; whether there is one.
+    /// Waits a short time for the first configuration and returns whether there is one.
     ///
-    /// After all processes were killed at once, callers come before the store has answered,
-    /// some fifty milliseconds after the start. Told to come back, each would come late.
-    pub async fn wait_configured(&self) -> bool {
-        let told = self.configured.notified();
+    /// When all processes have restarted at once, requests arrive before the store has responded,
+    /// which takes about 50 ms. If they were refused, every retry would be late.
+    pub async fn wait_until_configured(&self) -> bool {
+        let configured = self.configured.notified();
         if !self.is_configured() {
-            // Whether it came or not is asked below.
-            let _ = tokio::time::timeout(CONFIGURED_WITHIN, told).await;
+            // The check below covers a timeout as well.
+            let _ = tokio::time::timeout(CONFIGURATION_WAIT, configured).await;
         }
         self.is_configured()
     }
 
-    /// Whether requests can be served: with a configuration but no upstreams yet, callers
-    /// would be sent here only to be refused.
+    /// Returns whether requests can be served. An entry without upstreams isn't ready, because it
+    /// would refuse every request that the balancer sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_configured() && !self.is_stopping.get()
     }
 
-    /// Takes no more requests from now on, and closes callers' idle connections.
+    /// Refuses requests from now on and closes callers' idle connections.
     pub fn close(&self) {
         self.is_closing.set(true);
         self.closing.notify_waiters();
     }
 
-    /// Sends a message to a peer. A lost one is made up for by the next heartbeat or question.
+    /// Sends a message to a peer. Later heartbeats and messages make up for a lost one.
     pub fn send_to_peer(&self, to: SocketAddr, message: &PeerMessage) {
         let Some(bytes) = message.encode() else {
             self.log(Level::Error, "message to a peer is too long", |line| line);
@@ -410,7 +417,7 @@
         }
     }
 
-    /// Sends a message to all peers and to the seeds that were not heard yet.
+    /// Sends a message to all peers and to the seeds that have sent nothing yet.
     pub fn send_to_all_peers(&self, message: &PeerMessage) {
         let targets: Vec<SocketAddr> = self.peers.borrow().heartbeat_targets().collect();
         for target in targets {
@@ -418,22 +425,22 @@
         }
     }
 
-    /// Sends a message to so many of them, drawn anew each time.
-    pub fn send_to_random_peers(&self, message: &PeerMessage, most: usize) {
+    /// Sends a message to up to `count` peers, chosen at random on each call.
+    pub fn send_to_random_peers(&self, message: &PeerMessage, count: usize) {
         let targets: Vec<SocketAddr> = self.peers.borrow().heartbeat_targets().collect();
-        for target in targets.choose_multiple(&mut rand::rng(), most) {
+        for target in targets.choose_multiple(&mut rand::rng(), count) {
             self.send_to_peer(*target, message);
         }
     }
 
-    /// Whether this entry is one of the few that tell a peer that has started, or was silent.
+    /// Returns whether this entry is one of the few that bring a new or returned peer up to date.
     #[must_use]
     pub fn should_sync_peer(&self) -> bool {
         let known = self.peers.borrow().known_entries();
         gossip::should_sync(known, rand::random::<u32>() as usize)
     }
 
-    /// Who keeps the door of an engine.
+    /// Returns the entry that owns the admission queue of an upstream, which is given by its hash.
     #[must_use]
     pub fn owner(&self, upstream: u32) -> EntryRef {
         let peers = self.peers.borrow();
@@ -444,58 +451,61 @@
         }
     }
 
-    /// Brings the gauges up to date, for whoever reads them.
-    pub fn set_gauges(&self) {
+    /// Updates the gauges before the metrics are read.
+    pub fn update_gauges(&self) {
         let metrics = &self.metrics;
-        let signed = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
+        let gauge_value = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         let peers = self.peers.borrow();
-        let heard = peers.live_peers(self.now_ms()).len();
-        metrics.open_requests.set(signed(self.open_requests.get()));
+        let live_peers = peers.live_peers(self.now_ms()).len();
+        metrics
+            .open_requests
+            .set(gauge_value(self.open_requests.get()));
         metrics
             .open_asks
-            .set(signed(self.pending_slot_requests.borrow().len()));
-        metrics.peers.set(signed(heard));
+            .set(gauge_value(self.pending_slot_requests.borrow().len()));
+        metrics.peers.set(gauge_value(live_peers));
         metrics
             .upstreams
-            .set(signed(self.dispatcher.borrow().listed_count()));
+            .set(gauge_value(self.dispatcher.borrow().listed_count()));
         let notices = self.notices.borrow();
         metrics
             .limited_upstreams
-            .set(signed(notices.limited_count()));
+            .set(gauge_value(notices.limited_count()));
         metrics
             .leaving_upstreams
-            .set(signed(notices.leaving_count()));
-        let at_rest = notices.backoffs(self.now_ms()).len();
-        metrics.upstreams_at_rest.set(signed(at_rest));
+            .set(gauge_value(notices.leaving_count()));
+        let backing_off = notices.backoffs(self.now_ms()).len();
+        metrics.upstreams_at_rest.set(gauge_value(backing_off));
         let suspects = self.suspects.borrow().counts(self.now_ms());
-        metrics.suspects.set(signed(suspects.tracked));
-        metrics.held_requests.set(signed(suspects.quarantined));
+        metrics.suspects.set(gauge_value(suspects.tracked));
+        metrics.held_requests.set(gauge_value(suspects.quarantined));
         if let Some(catalog) = self.catalog.borrow().as_ref() {
             let version = i64::try_from(catalog.version).unwrap_or(i64::MAX);
             metrics.catalog_version.set(version);
         }
     }
 
-    /// Waits for room at an upstream until the request's time is up.
+    /// Waits for a slot at an upstream, for as long as the request may wait, and measures the wait.
     pub async fn acquire_slot(self: &Rc<Self>, job: Job) -> SlotResult {
-        let began = Instant::now();
-        let turn = slot_driver::acquire_slot(self, job).await;
-        let waited_ms = began.elapsed().as_secs_f64() * 1_000.0;
+        let started_at = Instant::now();
+        let result = slot_driver::acquire_slot(self, job).await;
+        let waited_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
         self.metrics.wait_ms.observe(waited_ms);
-        turn
+        result
     }
 }
 
-/// A figure in relation to the mean of its kind, which it becomes part of.
-fn relative(
+/// Returns the ratio of a value to the mean of its route, after adding it to the mean; 1 if there
+/// is no value.
+fn ratio_to_mean(
     means: &mut IndexMap<Arc<str>, MovingAverage>,
-    kind: &Arc<str>,
-    figure: Option<f64>,
+    route: &Arc<str>,
+    value: Option<f64>,
 ) -> f64 {
-    let Some(figure) = figure.filter(|figure| *figure > 0.0) else {
+    let Some(value) = value.filter(|value| *value > 0.0) else {
         return 1.0;
     };
-    let mean = means.entry(Arc::clone(kind)).or_default();
-    mean.observe(figure);
-    mean.value().map_or(1.0, |mean| figure / mean)
+    let mean = means.entry(Arc::clone(route)).or_default();
+    mean.observe(value);
+    mean.value().map_or(1.0, |mean| value / mean)
 }
--- a/lib/tests/test_logging.rs
+++ b/lib/tests/test_logging.rs
@@ -104,9 +104,9 @@
 const WRITERS: [&str; 5] = [
     "Level::",
     "Refusal::new(",
-    "log_attempt(",
+    "log_failed_attempt(",
     "log_cut(",
-    "Came::Broke(",
+    "Received::Broke(",
 ];
 
 /// A line that operators do not find on their page only puzzles them. The direct mode has a
