--- a/lib/src/direct/request/exchange.rs
+++ b/lib/src/direct/request/exchange.rs
@@ -132,12 +132,14 @@
     }
 }
 
+/// Sends a request to upstreams until one responds or no retry is allowed, and returns the
+/// response.
 async fn serve(
     traffic: &Rc<TrafficState>,
     mut call: Call,
     open: OpenRequest,
 ) -> Response<ResponseBody> {
-    // Error response of an upstream, cached while the request is retried. If no retry succeeds, it
+    // Error response of an upstream, kept while the request is retried. If no retry succeeds, it
     // describes the failure best.
     let mut error_response: Option<WholeResponse> = None;
     loop {
@@ -263,6 +265,7 @@
     }
 }
 
+/// Counts the prompt tokens that are sent, and those that the upstream probably has in its cache.
 fn count_prompt_tokens(traffic: &TrafficState, call: &Call, lease: &SlotLease) {
     if call.prompt_tokens == 0 {
         return;
@@ -290,6 +293,7 @@
     }
 }
 
+/// Counts and logs a failed attempt.
 fn log_failed_attempt(
     traffic: &TrafficState,
     call: &Call,
@@ -299,6 +303,7 @@
     log_failed_attempt_with(traffic, call, lease, message, |line| line);
 }
 
+/// Counts and logs a failed attempt with further fields.
 fn log_failed_attempt_with(
     traffic: &TrafficState,
     call: &Call,
@@ -326,6 +331,7 @@
     });
 }
 
+/// Returns the request for the upstream, with the headers of the entry added.
 fn upstream_request(
     traffic: &TrafficState,
     call: &Call,
@@ -542,6 +548,7 @@
     traffic.connection_pool.put(instance, connection, idle_ms);
 }
 
+/// Returns a response that streams the events of a relay.
 fn stream_response(relay: Box<Relay>, open: OpenRequest) -> Response<ResponseBody> {
     let mut parts = relay.head();
     parts.headers = without_connection_headers(parts.headers);
--- a/lib/src/direct/request/listeners.rs
+++ b/lib/src/direct/request/listeners.rs
@@ -62,6 +62,8 @@
     last_ms: Cell<u64>,
 }
 
+/// Serves the requests of one caller's connection, and closes it after the idle timeout or when the
+/// entry stops.
 async fn serve_caller(stream: TcpStream, traffic: Rc<TrafficState>) {
     if let Err(error) = stream.set_nodelay(true) {
         traffic.log(Level::Warn, "caller's connection is not usable", |line| {
@@ -149,6 +151,7 @@
     response
 }
 
+/// Serves a page, or several that `page` tells apart by the path.
 async fn serve_page(
     listener: TcpListener,
     traffic: Rc<TrafficState>,
--- a/lib/src/direct/request/operator_page.rs
+++ b/lib/src/direct/request/operator_page.rs
@@ -15,8 +15,8 @@
 }
 
 /// Returns a response with a value as JSON.
-pub fn json_response(what: &impl Serialize) -> Response<Full<Bytes>> {
-    match serde_json::to_string_pretty(what) {
+pub fn json_response(value: &impl Serialize) -> Response<Full<Bytes>> {
+    match serde_json::to_string_pretty(value) {
         Ok(text) => Response::new(format!("{text}\n").into()),
         Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
--- a/lib/src/direct/request/relay.rs
+++ b/lib/src/direct/request/relay.rs
@@ -40,7 +40,7 @@
 const UPSTREAM_SILENT: &str = "upstream fell silent within a stream";
 /// How long the connection to a silent upstream is kept after the request was sent to another one
 /// that has not responded. An upstream that declines does so in a few milliseconds; if both worked
-/// on the request for longer, one of them would waste its time.
+/// on the request for longer, they would waste each other's capacity.
 const RESUME_OVERLAP: Duration = Duration::from_millis(200);
 /// Delay before a stream that got no slot to resume asks again. It is short compared to the pause
 /// that callers notice, which is 200 ms or more in the platform's objectives.
@@ -50,10 +50,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// The upstream failed, and the stream can't be resumed at another one.
-    #[error("the upstream broke off")]
+    #[error("the upstream failed in the middle of the stream")]
     Upstream,
-    /// The time of the request is up.
-    #[error("the time of the request is up")]
+    /// The request's time is up.
+    #[error("the request's time is up")]
     TimedOut,
 }
 
@@ -187,6 +187,8 @@
         }
     }
 
+    /// Waits for the next part of the upstream's response, for silence or for the request's
+    /// deadline.
     async fn receive(&mut self) -> Received {
         let may_resume = self.may_resume();
         let Some(source) = self.source.as_mut() else {
@@ -298,6 +300,7 @@
         first_event_id(events).is_none_or(|first| first > last)
     }
 
+    /// Records new events for the metrics, the upstream's health and the pace of the stream.
     fn record_events(&mut self, events: u32) {
         let Some(source) = &self.source else {
             return;
@@ -333,6 +336,7 @@
         }
     }
 
+    /// Records the end of a whole stream and returns its connection to the pool.
     fn complete(&mut self) {
         self.is_done = true;
         let Some(mut source) = self.source.take() else {
