--- a/lib/src/direct/log_rate_limit.rs
+++ b/lib/src/direct/log_rate_limit.rs
@@ -18,10 +18,14 @@
     Failure,
 }
 
+/// Lines with one message.
 #[derive(Clone, Copy, Debug, Default)]
 struct MessageCount {
+    /// Second of the latest line, since the start of the process.
     second: u64,
+    /// Lines written in this second.
     lines: u32,
+    /// Lines suppressed since the last one that was written.
     suppressed: u64,
 }
 
--- a/lib/src/direct/server.rs
+++ b/lib/src/direct/server.rs
@@ -125,6 +125,7 @@
     pub decoders: ObjectDecoders,
 }
 
+/// Builds a runtime that runs on the current thread.
 fn current_thread() -> io::Result<Runtime> {
     runtime::Builder::new_current_thread().enable_all().build()
 }
@@ -158,7 +159,7 @@
         peer_ahead: peer_ahead_sender,
         watches_store: watches_store_sender,
     };
-    let control = current_thread().wrap_err("can't start the control thread's runtime")?;
+    let control_runtime = current_thread().wrap_err("can't start the control thread's runtime")?;
     let peer_address = settings.peer_address;
     thread::Builder::new()
         .name("control".to_owned())
@@ -172,14 +173,14 @@
                 last_store_response,
             );
             LocalSet::new().block_on(
-                &control,
+                &control_runtime,
                 follow(follower, rollouts, source, peer_address, peer_ahead),
             );
         })
         .wrap_err("can't start the control thread")?;
-    let traffic = current_thread().wrap_err("can't start the traffic thread's runtime")?;
+    let traffic_runtime = current_thread().wrap_err("can't start the traffic thread's runtime")?;
     LocalSet::new().block_on(
-        &traffic,
+        &traffic_runtime,
         serve(
             settings,
             platform,
@@ -192,6 +193,7 @@
     )
 }
 
+/// Runs the control thread, which follows the store and serves peers that pull from this entry.
 async fn follow<S: ObjectSource + RolloutStore>(
     follower: StoreFollower,
     rollouts: Option<(RolloutFollower, UnboundedReceiver<(Rollout, RolloutStatus)>)>,
@@ -222,6 +224,7 @@
     );
 }
 
+/// Runs the traffic thread until a signal asks the process to stop.
 async fn serve(
     settings: DirectSettings,
     platform: PlatformAdapter,
@@ -338,6 +341,7 @@
         .send();
 }
 
+/// Binds a listener; `purpose` names it in the error.
 async fn listen(address: SocketAddr, purpose: &str) -> eyre::Result<TcpListener> {
     TcpListener::bind(address)
         .await
@@ -367,6 +371,7 @@
     Line::new(Level::Error, "control thread has stopped").send();
 }
 
+/// Periodically expires connections and records of quarantined requests and notices.
 async fn sweep(traffic: Rc<TrafficState>) {
     loop {
         sleep(SWEEP_PERIOD).await;
