--- a/lib/src/direct/request/outcome_recorder.rs
+++ b/lib/src/direct/request/outcome_recorder.rs
@@ -54,8 +54,8 @@
     /// Returns whether the request's size class has a start deficit on its route.
     #[must_use]
     pub fn has_start_deficit(&self) -> bool {
-        let floor = self.traffic.size_fairness.borrow();
-        floor.has_deficit(&self.labels.route, self.labels.size)
+        let fairness = self.traffic.size_fairness.borrow();
+        fairness.has_deficit(&self.labels.route, self.labels.size)
     }
 
     /// Records that the request got a slot. A retry doesn't count as another start.
@@ -63,8 +63,8 @@
         if self.has_started.replace(true) {
             return;
         }
-        let mut floor = self.traffic.size_fairness.borrow_mut();
-        floor.record_start(&self.labels.route, self.labels.size);
+        let mut fairness = self.traffic.size_fairness.borrow_mut();
+        fairness.record_start(&self.labels.route, self.labels.size);
     }
 
     /// Sets the outcome of the request.
@@ -92,12 +92,12 @@
             size,
         } = &self.labels;
         let outcome = self.outcome.get();
-        let mut shares = self.traffic.size_stats.borrow_mut();
-        shares.record_outcome(route, *size, outcome);
-        let mut floor = self.traffic.size_fairness.borrow_mut();
+        let mut stats = self.traffic.size_stats.borrow_mut();
+        stats.record_outcome(route, *size, outcome);
+        let mut fairness = self.traffic.size_fairness.borrow_mut();
         match (self.has_started.get(), outcome.is_served()) {
-            (false, _) => floor.record_refusal(route, *size),
-            (true, false) => floor.record_incomplete(route, *size),
+            (false, _) => fairness.record_refusal(route, *size),
+            (true, false) => fairness.record_incomplete(route, *size),
             (true, true) => {}
         }
         let tier = tier.to_string();
--- a/lib/src/direct/traffic.rs
+++ b/lib/src/direct/traffic.rs
@@ -325,8 +325,8 @@
     /// this one.
     #[must_use]
     pub fn contention(&self, service: &str) -> Contention {
-        let asks = self.pending_slot_requests.borrow();
-        if asks.values().any(|asked| &*asked.service == service) {
+        let pending = self.pending_slot_requests.borrow();
+        if pending.values().any(|request| &*request.service == service) {
             Contention::Contended
         } else {
             Contention::Uncontended
