--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -1,14 +1,16 @@
-//! Claims on named requests, kept in the platform's store.
+//! Claims on idempotency keys, kept in the platform's store.
 //!
-//! Before a named request is dispatched, the claim on its name is written to the store:
-//! create-if-absent for the first attempt, at the known version for each next one. The
-//! claim names the one attempt that may run and the agent incarnation that granted it, so
-//! a repetition through another entry finds the run, joins it, or takes the name over
-//! once that attempt is settled at that agent. The ways weighed are in
-//! `docs/design/once.md`.
+//! Before a request with an idempotency key is dispatched, an entry writes a claim on the
+//! key to the store: create-if-absent for the first attempt, conditional on the known
+//! version for each later one. The claim names the one attempt that may run and the agent
+//! incarnation that granted it. An entry that receives a repetition of the request reads
+//! the claim, finds the attempt and either returns its answer or, once the attempt is
+//! settled at that agent, takes over the claim. `docs/design/once.md` compares this design
+//! with its alternatives.
 //!
-//! A claim is no lease: nothing here depends on how long a process was paused. An entry
-//! that wakes up late holds a claim whose version has moved on or whose attempt is barred.
+//! A claim is not a lease: it doesn't expire, so correctness doesn't depend on how long a
+//! process was paused. If an entry resumes after a long pause, either the version of its
+//! claim has changed or its attempt is barred at the agent.
 
 pub mod idempotency;
 pub mod object;
@@ -25,10 +27,10 @@
 use crate::claims::object::StoreCall;
 use crate::claims::object::StoreResponse;
 use crate::claims::object::StoredClaim;
-use crate::claims::progress::ClaimRun;
 use crate::claims::progress::NextCall;
 use crate::claims::progress::Phase;
 use crate::claims::progress::Relation;
+use crate::claims::progress::TrackedClaim;
 use crate::claims::progress::due_ms;
 use crate::claims::progress::relation;
 use crate::ids::RequestId;
@@ -36,55 +38,59 @@
 use crate::verdict::FailureReason;
 use crate::verdict::Outcome;
 
-/// Asks for the right to dispatch one attempt of a named request.
+/// A request for the right to dispatch one attempt of a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The name.
+    /// The idempotency key.
     pub name: IdempotencyKey,
-    /// What was asked under it.
+    /// The digest of the request that was sent with the key.
     pub digest: RequestDigest,
-    /// The attempt that would be dispatched.
+    /// The attempt to be dispatched.
     pub holder: Holder,
-    /// What another request held, if that is known not to run, now or later. Compared as a
-    /// whole: an attempt whose grant lapsed unused keeps its number at the next agent.
+    /// The holder of an earlier claim by another request, if its attempt is known not to run,
+    /// now or later.
+    ///
+    /// All fields are compared, not only the attempt: an attempt whose grant expired unused
+    /// keeps its number at the next agent.
     pub settled: Option<Holder>,
-    /// Whether it may not be dispatched without a claim, because it may run at most once.
+    /// Whether the attempt must not be dispatched without a claim, because the request may run
+    /// at most once.
     pub required: bool,
 }
 
-/// What the claims do next.
+/// An action that [`Claims`] asks its caller to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Call the store and hand the answer to [`Claims::handle_response`].
+    /// Call the store and pass the response to [`Claims::handle_response`].
     Call {
-        /// For which request.
+        /// The request whose claim it is.
         request: RequestId,
-        /// Which object.
+        /// The idempotency key, which names the stored claim.
         name: IdempotencyKey,
-        /// What to do with it.
+        /// The call to make.
         call: StoreCall,
     },
-    /// The claim is decided.
+    /// Act on the decision about a claim.
     Decided {
-        /// For which request.
+        /// The request whose claim it is.
         request: RequestId,
-        /// What the entry may do.
+        /// The decision.
         decision: ClaimDecision,
     },
 }
 
-/// What an entry may do with a request whose claim is decided.
+/// What an entry does with a request whose claim is decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// Dispatch the attempt that was claimed.
+    /// Dispatch the attempt: the claim is held, or the request may run without one.
     Dispatch,
-    /// Settle this attempt and read its answer; do not dispatch.
+    /// Settle the attempt of this holder and read its answer; dispatch nothing.
     Follow(Holder),
-    /// Answer with this.
+    /// Answer the caller with this failure.
     Fail(Failure),
 }
 
-/// How claims are made.
+/// The time limits and the call rate of [`Claims`].
 ///
 /// ```
 /// use sardinewood::claims::ClaimRules;
@@ -93,18 +99,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRules {
-    /// How long after its end a request can be found by its name.
+    /// How long a request can be found by its idempotency key after it ended.
     pub retain_ms: u64,
-    /// The pause before a call to the store is made again.
-    pub again_ms: u64,
-    /// How long the store is asked before a request that needs a claim is refused.
-    pub patience_ms: u64,
-    /// How long the store is waited for by a request that can go without a claim; well
-    /// below the life of a grant, or the grant would lapse each time.
-    pub optional_ms: u64,
-    /// How long no optional claim is tried after the store did not answer in time.
-    pub trouble_ms: u64,
-    /// Calls to the store in a second.
+    /// The delay before a call to the store is retried.
+    pub retry_delay_ms: u64,
+    /// How long calls to the store are retried before a request that needs a claim is refused.
+    pub store_timeout_ms: u64,
+    /// How long a request that may run without a claim waits for the store.
+    ///
+    /// Well below the lifetime of a grant, or the grant would expire each time.
+    pub optional_timeout_ms: u64,
+    /// How long no optional claims are made after a call for one timed out or failed.
+    pub store_backoff_ms: u64,
+    /// The maximum number of calls to the store per second.
     pub calls_per_s: u64,
 }
 
@@ -112,28 +119,29 @@
     fn default() -> Self {
         Self {
             retain_ms: 600_000,
-            again_ms: 100,
-            patience_ms: 2_000,
-            optional_ms: 250,
-            trouble_ms: 5_000,
+            retry_delay_ms: 100,
+            store_timeout_ms: 2_000,
+            optional_timeout_ms: 250,
+            store_backoff_ms: 5_000,
             calls_per_s: 60,
         }
     }
 }
 
-/// How often a removal is tried before it is left to the sweep of old claims.
-const DELETE_TRIES: u8 = 3;
+/// How often a failed removal is retried before it is left to [`sweep::ClaimSweep`].
+const DELETE_RETRIES: u8 = 3;
 
-/// A "not run" that waits for a look at the store.
+/// A check of the store before a "not run" failure is sent to the caller.
 #[derive(Clone, Copy, Debug)]
-struct Vouch {
+struct NotRunCheck {
     name: IdempotencyKey,
     failure: Failure,
-    /// Whether the answer to an earlier call comes first; it may show an earlier state.
-    skips_one: bool,
+    /// Whether an earlier call is in progress, whose response is skipped: it may show a state
+    /// from before the check.
+    skips_next_response: bool,
 }
 
-/// The claims of one entry.
+/// The claims of one entry, as a state machine without I/O.
 ///
 /// ```
 /// use sardinewood::claims::{ClaimDecision, ClaimRequest, ClaimRules, ClaimStep, Claims};
@@ -142,7 +150,7 @@
 /// use sardinewood::claims::idempotency::{RequestDigest, IdempotencyKey};
 ///
 /// let request = RequestId(1);
-/// let asked = ClaimRequest {
+/// let claim_request = ClaimRequest {
 ///     name: IdempotencyKey::new("rundu", "refund-7")?,
 ///     digest: RequestDigest::new("POST", "/v1/refunds", b"100"),
 ///     holder: Holder {
@@ -154,7 +162,7 @@
 ///     required: true,
 /// };
 /// let mut claims = Claims::new(ClaimRules::default());
-/// let steps = claims.claim(0, asked);
+/// let steps = claims.claim(0, claim_request);
 /// assert!(matches!(steps[..], [ClaimStep::Call { .. }]));
 /// let steps = claims.handle_response(3, request, StoreResponse::Written { version: 9 });
 /// assert_eq!(steps, [ClaimStep::Decided { request, decision: ClaimDecision::Dispatch }]);
@@ -163,79 +171,84 @@
 #[derive(Debug)]
 pub struct Claims {
     rules: ClaimRules,
-    runs: IndexMap<RequestId, ClaimRun>,
-    vouches: IndexMap<RequestId, Vouch>,
+    tracked_claims: IndexMap<RequestId, TrackedClaim>,
+    not_run_checks: IndexMap<RequestId, NotRunCheck>,
     window_start_ms: u64,
     calls_in_window: u64,
-    /// Until when the store counts as out of order.
-    trouble_until_ms: u64,
+    /// The time before which no optional claims are made, because the store failed.
+    store_backoff_until_ms: u64,
     steps: Vec<ClaimStep>,
 }
 
-/// The length of the window in which calls to the store are counted.
+/// The length of the window over which calls to the store are limited.
 const BUDGET_WINDOW_MS: u64 = 1_000;
 
 impl Claims {
-    /// No claims yet.
+    /// Creates a state machine that has no claims.
     #[must_use]
     pub fn new(rules: ClaimRules) -> Self {
         Self {
             rules,
-            runs: IndexMap::new(),
-            vouches: IndexMap::new(),
+            tracked_claims: IndexMap::new(),
+            not_run_checks: IndexMap::new(),
             window_start_ms: 0,
             calls_in_window: 0,
-            trouble_until_ms: 0,
+            store_backoff_until_ms: 0,
             steps: Vec::new(),
         }
     }
 
-    /// Asks for the claim of the next attempt of a request.
-    pub fn claim(&mut self, now_ms: u64, asked: ClaimRequest) -> Vec<ClaimStep> {
-        let request = asked.holder.attempt.request;
-        if !asked.required && now_ms < self.trouble_until_ms {
-            self.end(request, ClaimDecision::Dispatch);
+    /// Requests the claim for the next attempt of a request.
+    pub fn claim(&mut self, now_ms: u64, claim_request: ClaimRequest) -> Vec<ClaimStep> {
+        let request = claim_request.holder.attempt.request;
+        if !claim_request.required && now_ms < self.store_backoff_until_ms {
+            self.decide_without_claim(request, ClaimDecision::Dispatch);
             return std::mem::take(&mut self.steps);
         }
-        let give_up_at_ms = now_ms + self.rules.patience_ms;
-        let unclaimed_at_ms = (!asked.required).then_some(now_ms + self.rules.optional_ms);
-        let before = self.runs.get_mut(&request);
-        // A grant can be lost while its claim is being written, and the next one asks
-        // before the store has answered. That answer must not decide the new claim: the
-        // store would name the lost grant while the request runs by the new one.
-        if let Some(run) = before
-            && matches!(run.phase, Phase::Writing | Phase::Reading)
+        let give_up_at_ms = now_ms + self.rules.store_timeout_ms;
+        let proceed_unclaimed_at_ms =
+            (!claim_request.required).then_some(now_ms + self.rules.optional_timeout_ms);
+        let before = self.tracked_claims.get_mut(&request);
+        // A grant can be lost while its claim is being written, and the next grant's claim
+        // requested before the store has responded. That response must not decide the new
+        // claim: the store would name the lost grant while the request runs under the new one.
+        if let Some(tracked_claim) = before
+            && matches!(tracked_claim.phase, Phase::Writing | Phase::Reading)
         {
-            run.asked = asked;
-            run.give_up_at_ms = give_up_at_ms;
-            run.unclaimed_at_ms = unclaimed_at_ms;
-            run.is_outdated = true;
+            tracked_claim.claim_request = claim_request;
+            tracked_claim.give_up_at_ms = give_up_at_ms;
+            tracked_claim.proceed_unclaimed_at_ms = proceed_unclaimed_at_ms;
+            tracked_claim.is_outdated = true;
             return Vec::new();
         }
-        let expected = match self.runs.get(&request).map(|run| run.phase) {
+        let expected = match self
+            .tracked_claims
+            .get(&request)
+            .map(|tracked_claim| tracked_claim.phase)
+        {
             Some(Phase::Held { version }) => Some(version),
             _ => None,
         };
-        let run = ClaimRun {
-            asked,
+        let tracked_claim = TrackedClaim {
+            claim_request,
             phase: Phase::Idle,
             give_up_at_ms,
             is_outdated: false,
-            unclaimed_at_ms,
+            proceed_unclaimed_at_ms,
         };
-        self.runs.insert(request, run);
+        self.tracked_claims.insert(request, tracked_claim);
         self.next_call(now_ms, request, NextCall::Write { expected });
         std::mem::take(&mut self.steps)
     }
 
-    /// Looks whether "not run" is true of a name before its caller hears it.
+    /// Checks that no other entry ran a request before its caller is told "not run".
     ///
-    /// The request did not run by this entry. But its caller may have sent it before,
-    /// through another entry, and that one may have run. A caller that hears "not run"
-    /// would send the refund under a new key, and it is credited twice.
+    /// This entry did not run the request, but its caller may have sent it before through
+    /// another entry that ran it. A caller that is told "not run" would send the refund again
+    /// under a new key, and it would be credited twice.
     ///
-    /// The look is a conditional write of a bar, which is removed again: a read may show a
-    /// state from before the claim.
+    /// The check creates a claim that bars the request and then removes it. A read is not
+    /// enough, because it may return a state from before another entry's claim.
     pub fn confirm_not_run(
         &mut self,
         now_ms: u64,
@@ -244,19 +257,22 @@
         failure: Failure,
     ) -> Vec<ClaimStep> {
         if !self.has_budget(now_ms) {
-            return vec![failed(request, unknown(failure))];
+            return vec![fail_step(request, with_unknown_outcome(failure))];
         }
         self.calls_in_window += 1;
-        let under_way = self.runs.get(&request).map(|run| run.phase);
-        let vouch = Vouch {
+        let phase = self
+            .tracked_claims
+            .get(&request)
+            .map(|tracked_claim| tracked_claim.phase);
+        let check = NotRunCheck {
             name,
             failure,
-            skips_one: matches!(
-                under_way,
+            skips_next_response: matches!(
+                phase,
                 Some(Phase::Writing | Phase::Reading | Phase::Deleting { .. })
             ),
         };
-        self.vouches.insert(request, vouch);
+        self.not_run_checks.insert(request, check);
         let bar = Claim {
             digest: None,
             state: ClaimState::Barred { request },
@@ -271,52 +287,63 @@
         }]
     }
 
-    fn vouched(&mut self, request: RequestId, vouch: &Vouch, answer: &StoreResponse) {
-        if let StoreResponse::Written { version } = answer {
+    fn finish_not_run_check(
+        &mut self,
+        request: RequestId,
+        check: &NotRunCheck,
+        response: &StoreResponse,
+    ) {
+        if let StoreResponse::Written { version } = response {
             self.calls_in_window += 1;
             self.steps.push(ClaimStep::Call {
                 request,
-                name: vouch.name,
+                name: check.name,
                 call: StoreCall::Delete { version: *version },
             });
         }
-        let failure = if is_free_of_others(request, answer) {
-            vouch.failure
+        let failure = if may_report_not_run(request, response) {
+            check.failure
         } else {
-            unknown(vouch.failure)
+            with_unknown_outcome(check.failure)
         };
-        self.steps.push(failed(request, failure));
+        self.steps.push(fail_step(request, failure));
     }
 
-    /// Takes the store's answer to the call under way for a request.
+    /// Handles the store's response to the call in progress for a request.
     pub fn handle_response(
         &mut self,
         now_ms: u64,
         request: RequestId,
-        answer: StoreResponse,
+        response: StoreResponse,
     ) -> Vec<ClaimStep> {
-        if let Some(vouch) = self.vouches.get_mut(&request) {
-            let skips = std::mem::take(&mut vouch.skips_one);
-            let vouch = *vouch;
+        if let Some(check) = self.not_run_checks.get_mut(&request) {
+            let skips = std::mem::take(&mut check.skips_next_response);
+            let check = *check;
             if !skips {
-                self.vouches.swap_remove(&request);
-                self.vouched(request, &vouch, &answer);
+                self.not_run_checks.swap_remove(&request);
+                self.finish_not_run_check(request, &check, &response);
             }
             return std::mem::take(&mut self.steps);
         }
-        match self.runs.get(&request).map(|run| run.phase) {
-            Some(Phase::Writing | Phase::Reading) => self.decide(now_ms, request, answer),
+        match self
+            .tracked_claims
+            .get(&request)
+            .map(|tracked_claim| tracked_claim.phase)
+        {
+            Some(Phase::Writing | Phase::Reading) => self.decide(now_ms, request, response),
             Some(Phase::Deleting {
                 version,
-                tries_left,
-            }) => self.delete_answered(now_ms, request, &answer, version, tries_left),
+                retries_left,
+            }) => self.handle_delete_response(now_ms, request, &response, version, retries_left),
             _ => {}
         }
         std::mem::take(&mut self.steps)
     }
 
-    /// Notes that a request is over here. `may_have_run` keeps the name for its retention;
-    /// otherwise it is free again at once.
+    /// Records that this entry has finished with a request.
+    ///
+    /// If the request may have run, its claim is kept for [`ClaimRules::retain_ms`]; otherwise
+    /// the claim is removed at once.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -328,127 +355,134 @@
         } else {
             0
         };
-        if let Some(run) = self.runs.get_mut(&request) {
-            if let Phase::Held { version } = run.phase {
-                run.phase = Phase::Retained {
+        if let Some(tracked_claim) = self.tracked_claims.get_mut(&request) {
+            if let Phase::Held { version } = tracked_claim.phase {
+                tracked_claim.phase = Phase::Retained {
                     until_ms: now_ms + retain_ms,
                     version,
                 };
             } else {
-                self.runs.swap_remove(&request);
+                self.tracked_claims.swap_remove(&request);
             }
         }
         self.tick(now_ms)
     }
 
-    /// Makes the calls that are due.
+    /// Returns the calls and decisions that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<ClaimStep> {
         let due: Vec<(RequestId, Phase)> = self
-            .runs
+            .tracked_claims
             .iter()
-            .filter(|(_, run)| due_ms(run).is_some_and(|due_ms| due_ms <= now_ms))
-            .map(|(request, run)| (*request, run.phase))
+            .filter(|(_, tracked_claim)| {
+                due_ms(tracked_claim).is_some_and(|due_ms| due_ms <= now_ms)
+            })
+            .map(|(request, tracked_claim)| (*request, tracked_claim.phase))
             .collect();
         for (request, phase) in due {
             match phase {
                 Phase::Pausing { call, .. } => self.next_call(now_ms, request, call),
                 Phase::Retained { version, .. } => {
-                    self.delete(now_ms, request, version, DELETE_TRIES);
+                    self.delete(now_ms, request, version, DELETE_RETRIES);
                 }
-                Phase::Writing | Phase::Reading => self.go_unclaimed(now_ms, request),
+                Phase::Writing | Phase::Reading => self.proceed_unclaimed(now_ms, request),
                 Phase::Held { .. } | Phase::Idle | Phase::Deleting { .. } => {}
             }
         }
         std::mem::take(&mut self.steps)
     }
 
-    /// When [`Claims::tick`] is due next.
+    /// Returns when [`Claims::tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> Option<u64> {
-        self.runs.values().filter_map(due_ms).min()
+        self.tracked_claims.values().filter_map(due_ms).min()
     }
 
-    /// How many claims are remembered.
+    /// Returns the number of tracked claims.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.runs.len()
+        self.tracked_claims.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Returns whether no claim is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.runs.is_empty()
+        self.tracked_claims.is_empty()
     }
 
-    fn decide(&mut self, now_ms: u64, request: RequestId, answer: StoreResponse) {
+    fn decide(&mut self, now_ms: u64, request: RequestId, response: StoreResponse) {
         let is_outdated = self
-            .runs
+            .tracked_claims
             .get_mut(&request)
-            .is_some_and(|run| std::mem::take(&mut run.is_outdated));
-        match answer {
+            .is_some_and(|tracked_claim| std::mem::take(&mut tracked_claim.is_outdated));
+        match response {
             StoreResponse::Written { version } if is_outdated => {
                 let expected = Some(version);
                 self.next_call(now_ms, request, NextCall::Write { expected });
             }
-            StoreResponse::Written { version } => self.win(request, version),
+            StoreResponse::Written { version } => self.set_held(request, version),
             StoreResponse::Current(current) => self.decide_current(now_ms, request, current),
-            StoreResponse::Lost => self.pause(now_ms, request, self.rules.again_ms, NextCall::Read),
+            StoreResponse::Lost => {
+                self.pause(now_ms, request, self.rules.retry_delay_ms, NextCall::Read)
+            }
             StoreResponse::Limited { retry_after_ms } => {
                 self.pause(now_ms, request, retry_after_ms, NextCall::Read);
             }
         }
     }
 
-    /// Decides by what the store holds under the name.
+    /// Decides by the claim that the store has for the key.
     fn decide_current(&mut self, now_ms: u64, request: RequestId, current: Option<StoredClaim>) {
-        let Some(run) = self.runs.get(&request) else {
+        let Some(tracked_claim) = self.tracked_claims.get(&request) else {
             return;
         };
         let Some(current) = current else {
-            // A write of ours that is still on its way can only create the same claim.
+            // An earlier write by this entry that is still in flight can only create the same
+            // claim.
             self.next_call(now_ms, request, NextCall::Write { expected: None });
             return;
         };
-        match relation(&run.asked, current.claim.as_ref()) {
-            Relation::Ours => self.win(request, current.version),
-            Relation::Free => {
+        match relation(&tracked_claim.claim_request, current.claim.as_ref()) {
+            Relation::Ours => self.set_held(request, current.version),
+            Relation::Replaceable => {
                 let expected = Some(current.version);
                 self.next_call(now_ms, request, NextCall::Write { expected });
             }
-            Relation::Other(holder) => self.end(request, ClaimDecision::Follow(holder)),
+            Relation::HeldByOther(holder) => {
+                self.decide_without_claim(request, ClaimDecision::Follow(holder))
+            }
             Relation::KeyReused => self.fail(request, Failure::not_run(FailureReason::KeyReused)),
             Relation::LostPlace => {
                 self.fail(request, Failure::not_run(FailureReason::PredecessorUnknown));
             }
-            Relation::NotUnderstood => {
+            Relation::Unreadable => {
                 self.fail(request, Failure::unknown(FailureReason::InDoubt));
             }
         }
     }
 
-    /// Makes a call now, later for want of budget, or never for want of time.
+    /// Makes a call, or delays it if the call rate is exhausted.
     fn next_call(&mut self, now_ms: u64, request: RequestId, call: NextCall) {
         if !self.has_budget(now_ms) {
-            self.pause(now_ms, request, self.rules.again_ms, call);
+            self.pause(now_ms, request, self.rules.retry_delay_ms, call);
             return;
         }
-        let Some(run) = self.runs.get_mut(&request) else {
+        let Some(tracked_claim) = self.tracked_claims.get_mut(&request) else {
             return;
         };
         let store_call = match call {
             NextCall::Read => {
-                run.phase = Phase::Reading;
+                tracked_claim.phase = Phase::Reading;
                 StoreCall::Read
             }
             NextCall::Write { expected } => {
-                run.phase = Phase::Writing;
+                tracked_claim.phase = Phase::Writing;
                 StoreCall::Write {
                     expected,
-                    claim: claim_of(&run.asked),
+                    claim: claim_object(&tracked_claim.claim_request),
                 }
             }
         };
-        let name = run.asked.name;
+        let name = tracked_claim.claim_request.name;
         self.calls_in_window += 1;
         self.steps.push(ClaimStep::Call {
             request,
@@ -457,30 +491,32 @@
         });
     }
 
-    /// Waits before the next call, or gives up.
+    /// Delays the next call, or fails the request if the delay exceeds its time limit.
     ///
-    /// A request that may run twice goes on without a claim: the store's outage would
-    /// otherwise stop work that needs no store.
+    /// A request that may run twice proceeds without a claim: an outage of the store would
+    /// otherwise stop work that doesn't need the store.
     fn pause(&mut self, now_ms: u64, request: RequestId, pause_ms: u64, call: NextCall) {
-        let Some(run) = self.runs.get_mut(&request) else {
+        let Some(tracked_claim) = self.tracked_claims.get_mut(&request) else {
             return;
         };
         let until_ms = now_ms + pause_ms.max(1);
-        if !run.asked.required {
-            self.go_unclaimed(now_ms, request);
-        } else if until_ms > run.give_up_at_ms {
+        if !tracked_claim.claim_request.required {
+            self.proceed_unclaimed(now_ms, request);
+        } else if until_ms > tracked_claim.give_up_at_ms {
             let failure = Failure::not_run(FailureReason::StoreDown).retry_after(pause_ms);
             self.fail(request, failure);
         } else {
-            run.phase = Phase::Pausing { until_ms, call };
+            tracked_claim.phase = Phase::Pausing { until_ms, call };
         }
     }
 
-    /// Goes on without a claim. Until the store has had time to recover, the next ones do not
-    /// even try: each would hold a grant, and a slot of an upstream, for nothing.
-    fn go_unclaimed(&mut self, now_ms: u64, request: RequestId) {
-        self.trouble_until_ms = now_ms + self.rules.trouble_ms;
-        self.end(request, ClaimDecision::Dispatch);
+    /// Lets a request proceed without a claim.
+    ///
+    /// Until the store has had time to recover, later requests skip optional claims: each
+    /// would hold a grant, and a slot of an upstream, to no purpose while it waits.
+    fn proceed_unclaimed(&mut self, now_ms: u64, request: RequestId) {
+        self.store_backoff_until_ms = now_ms + self.rules.store_backoff_ms;
+        self.decide_without_claim(request, ClaimDecision::Dispatch);
     }
 
     fn has_budget(&mut self, now_ms: u64) -> bool {
@@ -491,9 +527,9 @@
         self.calls_in_window < self.rules.calls_per_s
     }
 
-    fn win(&mut self, request: RequestId, version: u64) {
-        if let Some(run) = self.runs.get_mut(&request) {
-            run.phase = Phase::Held { version };
+    fn set_held(&mut self, request: RequestId, version: u64) {
+        if let Some(tracked_claim) = self.tracked_claims.get_mut(&request) {
+            tracked_claim.phase = Phase::Held { version };
         }
         self.steps.push(ClaimStep::Decided {
             request,
@@ -502,90 +538,95 @@
     }
 
     fn fail(&mut self, request: RequestId, failure: Failure) {
-        self.end(request, ClaimDecision::Fail(failure));
+        self.decide_without_claim(request, ClaimDecision::Fail(failure));
     }
 
-    /// Decides without holding the claim.
-    fn end(&mut self, request: RequestId, decision: ClaimDecision) {
-        self.runs.swap_remove(&request);
+    /// Stops tracking a claim that this entry doesn't hold, and reports the decision.
+    fn decide_without_claim(&mut self, request: RequestId, decision: ClaimDecision) {
+        self.tracked_claims.swap_remove(&request);
         self.steps.push(ClaimStep::Decided { request, decision });
     }
 
-    fn delete(&mut self, now_ms: u64, request: RequestId, version: u64, tries_left: u8) {
+    fn delete(&mut self, now_ms: u64, request: RequestId, version: u64, retries_left: u8) {
         let has_budget = self.has_budget(now_ms);
-        let Some(run) = self.runs.get_mut(&request) else {
+        let Some(tracked_claim) = self.tracked_claims.get_mut(&request) else {
             return;
         };
         if !has_budget {
-            run.phase = Phase::Retained {
-                until_ms: now_ms + self.rules.again_ms,
+            tracked_claim.phase = Phase::Retained {
+                until_ms: now_ms + self.rules.retry_delay_ms,
                 version,
             };
             return;
         }
-        run.phase = Phase::Deleting {
+        tracked_claim.phase = Phase::Deleting {
             version,
-            tries_left,
+            retries_left,
         };
         self.calls_in_window += 1;
         self.steps.push(ClaimStep::Call {
             request,
-            name: run.asked.name,
+            name: tracked_claim.claim_request.name,
             call: StoreCall::Delete { version },
         });
     }
 
-    /// A removal that finds another version or nothing is done: the claim is not ours.
-    fn delete_answered(
+    /// Handles the response to a removal, and retries it if it failed.
+    ///
+    /// If there is another version or no object, this entry no longer holds the claim and the
+    /// removal is complete.
+    fn handle_delete_response(
         &mut self,
         now_ms: u64,
         request: RequestId,
-        answer: &StoreResponse,
+        response: &StoreResponse,
         version: u64,
-        tries_left: u8,
+        retries_left: u8,
     ) {
         let is_done = matches!(
-            answer,
+            response,
             StoreResponse::Written { .. } | StoreResponse::Current(_)
         );
-        if is_done || tries_left == 0 {
-            self.runs.swap_remove(&request);
+        if is_done || retries_left == 0 {
+            self.tracked_claims.swap_remove(&request);
         } else {
-            self.delete(now_ms, request, version, tries_left - 1);
+            self.delete(now_ms, request, version, retries_left - 1);
         }
     }
 }
 
-fn failed(request: RequestId, failure: Failure) -> ClaimStep {
+fn fail_step(request: RequestId, failure: Failure) -> ClaimStep {
     ClaimStep::Decided {
         request,
         decision: ClaimDecision::Fail(failure),
     }
 }
 
-fn unknown(failure: Failure) -> Failure {
+fn with_unknown_outcome(failure: Failure) -> Failure {
     Failure {
         outcome: Outcome::Unknown,
         ..failure
     }
 }
 
-/// Whether the store shows that no other request of the name may have run.
-fn is_free_of_others(request: RequestId, answer: &StoreResponse) -> bool {
-    match answer {
+/// Returns whether the store shows that no other request with the key can have run.
+fn may_report_not_run(request: RequestId, response: &StoreResponse) -> bool {
+    match response {
         StoreResponse::Written { .. } | StoreResponse::Current(None) => true,
-        StoreResponse::Current(Some(stored)) => match stored.claim.as_ref().map(|one| &one.state) {
-            Some(ClaimState::Held(holder)) => holder.attempt.request == request,
-            Some(ClaimState::Barred { .. }) => true,
-            None => false,
-        },
+        StoreResponse::Current(Some(stored)) => {
+            match stored.claim.as_ref().map(|claim| &claim.state) {
+                Some(ClaimState::Held(holder)) => holder.attempt.request == request,
+                Some(ClaimState::Barred { .. }) => true,
+                None => false,
+            }
+        }
         StoreResponse::Lost | StoreResponse::Limited { .. } => false,
     }
 }
 
-fn claim_of(asked: &ClaimRequest) -> Claim {
+fn claim_object(claim_request: &ClaimRequest) -> Claim {
     Claim {
-        digest: Some(asked.digest.to_string().into()),
-        state: ClaimState::Held(asked.holder.clone()),
+        digest: Some(claim_request.digest.to_string().into()),
+        state: ClaimState::Held(claim_request.holder.clone()),
     }
 }
--- a/lib/src/claims/progress.rs
+++ b/lib/src/claims/progress.rs
@@ -1,86 +1,92 @@
-//! How far the claim of one request has got, and how the store's claim relates to it.
+//! The state of one request's claim, and its comparison with the stored claim.
 
 use crate::claims::ClaimRequest;
 use crate::claims::object::Claim;
 use crate::claims::object::ClaimState;
 use crate::claims::object::Holder;
 
-/// Where a request's claim is.
+/// The state of a request's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// A write is under way.
+    /// A write is in progress.
     Writing,
-    /// A read is under way.
+    /// A read is in progress.
     Reading,
-    /// The next call is made when this time comes.
+    /// The next call is delayed until this time.
     Pausing { until_ms: u64, call: NextCall },
-    /// Ours at this version.
+    /// This entry holds the claim, stored at this version.
     Held { version: u64 },
-    /// Not decided, or decided against us; nothing to remove.
+    /// No call has been made yet and nothing is stored, so there is nothing to remove.
     Idle,
-    /// To be removed when this time comes.
+    /// The request has ended, and the claim is removed at this time.
     Retained { until_ms: u64, version: u64 },
-    /// The removal is under way.
-    Deleting { version: u64, tries_left: u8 },
+    /// The removal is in progress.
+    Deleting { version: u64, retries_left: u8 },
 }
 
+/// A call to the store that is yet to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextCall {
     Write { expected: Option<u64> },
     Read,
 }
 
+/// A claim that this entry requested, with its state.
 #[derive(Clone, Debug)]
-pub(super) struct ClaimRun {
-    pub(super) asked: ClaimRequest,
+pub(super) struct TrackedClaim {
+    pub(super) claim_request: ClaimRequest,
     pub(super) phase: Phase,
     pub(super) give_up_at_ms: u64,
-    /// Whether the call under way was made for an earlier grant.
+    /// Whether the call in progress was made for an earlier grant.
     pub(super) is_outdated: bool,
-    /// When the request goes on without a claim, if it can.
-    pub(super) unclaimed_at_ms: Option<u64>,
+    /// When the request proceeds without a claim; absent if it needs one.
+    pub(super) proceed_unclaimed_at_ms: Option<u64>,
 }
 
-pub(super) fn due_ms(run: &ClaimRun) -> Option<u64> {
-    match run.phase {
+/// Returns when the claim needs attention without a response from the store.
+pub(super) fn due_ms(tracked_claim: &TrackedClaim) -> Option<u64> {
+    match tracked_claim.phase {
         Phase::Pausing { until_ms, .. } | Phase::Retained { until_ms, .. } => Some(until_ms),
-        Phase::Writing | Phase::Reading => run.unclaimed_at_ms,
+        Phase::Writing | Phase::Reading => tracked_claim.proceed_unclaimed_at_ms,
         Phase::Held { .. } | Phase::Idle | Phase::Deleting { .. } => None,
     }
 }
 
-/// How the stored claim relates to the one that is asked for.
+/// How the stored claim relates to the requested one.
 pub(super) enum Relation {
-    /// It is the one: an earlier write took effect, though its answer was lost.
+    /// It is the requested claim: an earlier write took effect, but its response was lost.
     Ours,
-    /// Nothing can run under it any more; it may be replaced.
-    Free,
-    /// Another attempt may run.
-    Other(Holder),
-    /// The name stands for another call.
+    /// No attempt can run under the stored claim any more, so it may be replaced.
+    Replaceable,
+    /// Another attempt holds the claim and may run.
+    HeldByOther(Holder),
+    /// The key was used for a different request.
     KeyReused,
-    /// A successor in the order has barred this request.
+    /// A successor in the order queue has barred this request.
     LostPlace,
-    /// Somebody wrote what this version cannot read.
-    NotUnderstood,
+    /// This version of the program can't read the stored object.
+    Unreadable,
 }
 
-pub(super) fn relation(asked: &ClaimRequest, current: Option<&Claim>) -> Relation {
+/// Compares the stored claim with the requested one.
+pub(super) fn relation(claim_request: &ClaimRequest, current: Option<&Claim>) -> Relation {
     let Some(claim) = current else {
-        return Relation::NotUnderstood;
+        return Relation::Unreadable;
     };
-    let digest = asked.digest.to_string();
+    let digest = claim_request.digest.to_string();
     if claim.digest.as_deref().is_some_and(|other| other != digest) {
         return Relation::KeyReused;
     }
-    let ours = asked.holder.attempt;
+    let ours = claim_request.holder.attempt;
     match &claim.state {
         ClaimState::Barred { request } if *request == ours.request => Relation::LostPlace,
-        ClaimState::Barred { .. } => Relation::Free,
-        ClaimState::Held(holder) if *holder == asked.holder => Relation::Ours,
-        // The entry numbers a next attempt only after the one before it is settled.
-        ClaimState::Held(holder) if holder.attempt.request == ours.request => Relation::Free,
-        ClaimState::Held(holder) if Some(holder) == asked.settled.as_ref() => Relation::Free,
-        ClaimState::Held(holder) => Relation::Other(holder.clone()),
+        ClaimState::Barred { .. } => Relation::Replaceable,
+        ClaimState::Held(holder) if *holder == claim_request.holder => Relation::Ours,
+        // The entry numbers the next attempt only after the previous one is settled.
+        ClaimState::Held(holder) if holder.attempt.request == ours.request => Relation::Replaceable,
+        ClaimState::Held(holder) if Some(holder) == claim_request.settled.as_ref() => {
+            Relation::Replaceable
+        }
+        ClaimState::Held(holder) => Relation::HeldByOther(holder.clone()),
     }
 }
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -145,7 +145,7 @@
 
     /// A request waits for its turn.
     pub fn join(&mut self, now_ms: u64, order: OrderKey, place: Place) -> Vec<OrderStep> {
-        let refuse_at_ms = now_ms + self.rules.patience_ms;
+        let refuse_at_ms = now_ms + self.rules.store_timeout_ms;
         let state = self.keys.entry(order).or_insert_with(OrderState::new);
         let local = LocalPlace {
             refuse_at_ms,
@@ -205,7 +205,7 @@
             OrderResponse::Current(stored) => self.learn(now_ms, order, stored),
             OrderResponse::Lost => {
                 state.known = None;
-                state.next_call_ms = now_ms + self.rules.again_ms;
+                state.next_call_ms = now_ms + self.rules.retry_delay_ms;
             }
         }
         self.proceed(now_ms, order)
@@ -231,11 +231,11 @@
                 state.examination = Examination::Settling {
                     holder: holder.clone(),
                     version,
-                    again_ms: now_ms + self.rules.overdue_ms,
+                    again_ms: now_ms + self.rules.head_grace_ms,
                 };
                 self.steps.push(OrderStep::Settle { holder });
             }
-            BarResponse::Lost => state.next_call_ms = now_ms + self.rules.again_ms,
+            BarResponse::Lost => state.next_call_ms = now_ms + self.rules.retry_delay_ms,
         }
         self.proceed(now_ms, order)
     }
@@ -345,7 +345,7 @@
             });
         }
         state.known = Some(stored);
-        state.poll_at_ms = now_ms + self.rules.poll_ms;
+        state.poll_at_ms = now_ms + self.rules.poll_interval_ms;
     }
 
     /// Does what is due for one key.
@@ -378,7 +378,7 @@
             state.local.swap_remove(&request);
             state.leaving.push(request);
             let failure = Failure::not_run(FailureReason::StoreDown);
-            let failure = failure.retry_after(self.rules.patience_ms);
+            let failure = failure.retry_after(self.rules.store_timeout_ms);
             self.steps.push(OrderStep::Refuse { request, failure });
         }
     }
@@ -398,7 +398,7 @@
             state.local.swap_remove(&request);
             state.leaving.push(request);
             let failure = Failure::not_run(FailureReason::PredecessorUnknown);
-            let failure = failure.retry_after(self.rules.overdue_ms);
+            let failure = failure.retry_after(self.rules.head_grace_ms);
             self.steps.push(OrderStep::Refuse { request, failure });
         }
     }
@@ -408,7 +408,7 @@
         let state = self.keys.get(&order)?;
         let head = state.head()?;
         let (_, seen_ms) = state.head_seen?;
-        let is_overdue = now_ms >= seen_ms + head.deadline_in_ms + self.rules.overdue_ms;
+        let is_overdue = now_ms >= seen_ms + head.deadline_in_ms + self.rules.head_grace_ms;
         let is_others = !state.local.contains_key(&head.request);
         let is_in_the_way = !state.local.is_empty();
         let is_examined = state.examination != Examination::None;
@@ -442,7 +442,7 @@
 
     /// An agent that did not answer, or said that the attempt runs, is asked again.
     fn settle_again(&mut self, now_ms: u64, order: OrderKey) {
-        let overdue_ms = self.rules.overdue_ms;
+        let head_grace_ms = self.rules.head_grace_ms;
         let Some(state) = self.keys.get_mut(&order) else {
             return;
         };
@@ -451,7 +451,7 @@
         } = &mut state.examination
             && *again_ms <= now_ms
         {
-            *again_ms = now_ms + overdue_ms;
+            *again_ms = now_ms + head_grace_ms;
             let holder = holder.clone();
             self.steps.push(OrderStep::Settle { holder });
         }
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -164,27 +164,27 @@
 /// ```
 /// use sardinewood::ordering::queue::OrderRules;
 ///
-/// assert!(OrderRules::default().overdue_ms > 0);
+/// assert!(OrderRules::default().head_grace_ms > 0);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderRules {
     /// The pause between two looks at a queue whose head is another entry's.
-    pub poll_ms: u64,
+    pub poll_interval_ms: u64,
     /// The pause before a call to the store that failed is made again.
-    pub again_ms: u64,
+    pub retry_delay_ms: u64,
     /// How long the store is asked before a request is refused.
-    pub patience_ms: u64,
+    pub store_timeout_ms: u64,
     /// How long past its deadline the head is left alone.
-    pub overdue_ms: u64,
+    pub head_grace_ms: u64,
 }
 
 impl Default for OrderRules {
     fn default() -> Self {
         Self {
-            poll_ms: 50,
-            again_ms: 100,
-            patience_ms: 2_000,
-            overdue_ms: 1_000,
+            poll_interval_ms: 50,
+            retry_delay_ms: 100,
+            store_timeout_ms: 2_000,
+            head_grace_ms: 1_000,
         }
     }
 }
