--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -1,14 +1,14 @@
 //! Requests of one customer that run one after another, across entries.
 //!
-//! Requests under the same `X-Sardinewood-Order-Key` queue in one object of the platform's
-//! store. An entry appends a place when a request arrives, lets the request run when its
-//! place is at the head, and removes the place when the request is over. All changes that
-//! one entry has for one key go into one conditional write.
+//! Requests with the same `X-Sardinewood-Order-Key` form a queue, which is one object in the
+//! platform's store. An entry appends a place to the queue when a request arrives, lets the
+//! request run when its place is at the head, and removes the place when the request has
+//! ended. All changes that one entry has for one queue go into one conditional write.
 //!
-//! A place is not a lease. A successor gets past a head that is overdue only by barring it:
-//! it writes a bar in place of the head's claim, so that the head can't be dispatched any
-//! more, or has the agent that the claim names settle the attempt. An outcome that stays
-//! unknown keeps the key closed, and its successors hear "not run".
+//! A place is not a lease. A successor gets past an overdue head only in one of two ways: it
+//! writes a bar instead of the head's claim, so that the head can't be dispatched any more, or
+//! it has the agent that the claim names settle the attempt. A head whose outcome stays
+//! unknown blocks the queue, and its successors are refused as "not run".
 
 pub mod queue;
 
@@ -30,86 +30,99 @@
 use crate::verdict::Failure;
 use crate::verdict::FailureReason;
 
-/// A request of this entry under a key.
+/// The place of a request that this entry received.
 #[derive(Clone, Debug)]
 struct LocalPlace {
     place: Place,
+    /// When the request is refused if its place is not in the stored queue by then.
     refuse_at_ms: u64,
-    joined: bool,
-    told: bool,
+    /// Whether the stored queue held the place when it was last read or written.
+    is_queued: bool,
+    /// Whether the request was told to run.
+    has_turn: bool,
 }
 
-/// What is under way about the head that is overdue.
+/// The progress of getting past a head that is overdue or whose attempt may still run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Examination {
+enum HeadCheck {
+    /// The head is not being checked.
     None,
+    /// A bar is being written instead of the head's claim.
     Barring,
+    /// The agent that the head's claim names is asked to settle the attempt.
     Settling {
         holder: Holder,
+        /// The version of the head's claim.
         version: u64,
-        again_ms: u64,
+        /// When the agent is asked again.
+        retry_at_ms: u64,
     },
 }
 
+/// The state of one order queue at this entry.
 #[derive(Clone, Debug)]
-struct OrderState {
-    known: Option<StoredQueue>,
-    local: IndexMap<RequestId, LocalPlace>,
-    leaving: Vec<RequestId>,
-    calling: Option<OrderCall>,
-    /// When the store may be called again after it failed.
+struct QueueState {
+    /// The queue as last read or written; absent before the first read and after a call whose
+    /// response was lost.
+    stored: Option<StoredQueue>,
+    local_places: IndexMap<RequestId, LocalPlace>,
+    /// Requests whose places are to be removed from the stored queue.
+    removals: Vec<RequestId>,
+    call_in_progress: Option<OrderCall>,
+    /// The earliest time of the next call to the store, later after a failed one.
     next_call_ms: u64,
-    /// When the queue is looked at again for a change by another entry.
+    /// When the queue is read again for changes by other entries.
     poll_at_ms: u64,
-    head_seen: Option<(RequestId, u64)>,
-    examination: Examination,
+    /// The request at the head, and when this entry first saw it there.
+    head_since: Option<(RequestId, u64)>,
+    head_check: HeadCheck,
 }
 
-impl OrderState {
+impl QueueState {
     fn new() -> Self {
         Self {
-            known: None,
-            local: IndexMap::new(),
-            leaving: Vec::new(),
-            calling: None,
+            stored: None,
+            local_places: IndexMap::new(),
+            removals: Vec::new(),
+            call_in_progress: None,
             next_call_ms: 0,
             poll_at_ms: 0,
-            head_seen: None,
-            examination: Examination::None,
+            head_since: None,
+            head_check: HeadCheck::None,
         }
     }
 
     fn head(&self) -> Option<&Place> {
-        self.known.as_ref()?.queue.places.first()
+        self.stored.as_ref()?.queue.places.first()
     }
 
-    /// The queue as this entry wants it.
-    fn wanted(&self, known: &StoredQueue) -> OrderQueue {
-        let mut queue = known.queue.clone();
+    /// Returns the stored queue with the changes that this entry has for it.
+    fn desired_queue(&self, stored: &StoredQueue) -> OrderQueue {
+        let mut queue = stored.queue.clone();
         queue
             .places
-            .retain(|place| !self.leaving.contains(&place.request));
-        for local in self.local.values() {
-            let is_in = queue
+            .retain(|place| !self.removals.contains(&place.request));
+        for local_place in self.local_places.values() {
+            let is_stored = queue
                 .places
                 .iter()
-                .any(|place| place.request == local.place.request);
-            if !is_in && !local.joined {
-                queue.places.push(local.place.clone());
+                .any(|place| place.request == local_place.place.request);
+            if !is_stored && !local_place.is_queued {
+                queue.places.push(local_place.place.clone());
             }
         }
         queue
     }
 
     fn is_unused(&self) -> bool {
-        self.local.is_empty()
-            && self.leaving.is_empty()
-            && self.calling.is_none()
-            && self.examination == Examination::None
+        self.local_places.is_empty()
+            && self.removals.is_empty()
+            && self.call_in_progress.is_none()
+            && self.head_check == HeadCheck::None
     }
 }
 
-/// The orders that one entry takes part in.
+/// The order queues that one entry takes part in, as a state machine without I/O.
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
@@ -128,37 +141,41 @@
 #[derive(Debug)]
 pub struct OrderQueues {
     rules: OrderRules,
-    keys: IndexMap<OrderKey, OrderState>,
+    queues: IndexMap<OrderKey, QueueState>,
     steps: Vec<OrderStep>,
 }
 
 impl OrderQueues {
-    /// No orders yet.
+    /// Creates a state machine that has no queues.
     #[must_use]
     pub fn new(rules: OrderRules) -> Self {
         Self {
             rules,
-            keys: IndexMap::new(),
+            queues: IndexMap::new(),
             steps: Vec::new(),
         }
     }
 
-    /// A request waits for its turn.
+    /// Adds a request to the end of a queue.
     pub fn join(&mut self, now_ms: u64, order: OrderKey, place: Place) -> Vec<OrderStep> {
         let refuse_at_ms = now_ms + self.rules.store_timeout_ms;
-        let state = self.keys.entry(order).or_insert_with(OrderState::new);
-        let local = LocalPlace {
+        let state = self.queues.entry(order).or_insert_with(QueueState::new);
+        let local_place = LocalPlace {
             refuse_at_ms,
-            joined: false,
-            told: false,
+            is_queued: false,
+            has_turn: false,
             place,
         };
-        state.local.insert(local.place.request, local);
-        self.proceed(now_ms, order)
+        state
+            .local_places
+            .insert(local_place.place.request, local_place);
+        self.advance(now_ms, order)
     }
 
-    /// A request is over here. Its place goes, unless it may still run somewhere: then the
-    /// head is examined until the agent that may run it says that it does not.
+    /// Records that this entry has finished with a request, and removes its place.
+    ///
+    /// If the request may still run at an agent, its place stays, and if it is at the head,
+    /// the head is barred or settled first.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -166,259 +183,263 @@
         request: RequestId,
         may_still_run: bool,
     ) -> Vec<OrderStep> {
-        let Some(state) = self.keys.get_mut(&order) else {
+        let Some(state) = self.queues.get_mut(&order) else {
             return Vec::new();
         };
-        state.local.swap_remove(&request);
+        state.local_places.swap_remove(&request);
         if !may_still_run {
-            state.leaving.push(request);
-            return self.proceed(now_ms, order);
+            state.removals.push(request);
+            return self.advance(now_ms, order);
         }
         if let Some(head) = state.head().filter(|head| head.request == request).cloned() {
-            self.examine(order, head, None);
+            self.bar_head(order, head, None);
         }
         std::mem::take(&mut self.steps)
     }
 
-    /// Takes the store's answer to the call under way about a queue.
+    /// Handles the store's response to the call in progress for a queue.
     pub fn handle_response(
         &mut self,
         now_ms: u64,
         order: OrderKey,
-        answer: OrderResponse,
+        response: OrderResponse,
     ) -> Vec<OrderStep> {
-        let Some(state) = self.keys.get_mut(&order) else {
+        let Some(state) = self.queues.get_mut(&order) else {
             return Vec::new();
         };
-        let Some(call) = state.calling.take() else {
+        let Some(call) = state.call_in_progress.take() else {
             return Vec::new();
         };
         state.next_call_ms = now_ms;
-        match answer {
+        match response {
             OrderResponse::Written { version } => {
                 let queue = match call {
                     OrderCall::Write { queue, .. } => queue,
                     OrderCall::Read | OrderCall::Delete { .. } => OrderQueue::default(),
                 };
-                self.learn(now_ms, order, StoredQueue { version, queue });
+                self.apply_stored(now_ms, order, StoredQueue { version, queue });
             }
-            OrderResponse::Current(stored) => self.learn(now_ms, order, stored),
+            OrderResponse::Current(stored) => self.apply_stored(now_ms, order, stored),
             OrderResponse::Lost => {
-                state.known = None;
+                state.stored = None;
                 state.next_call_ms = now_ms + self.rules.retry_delay_ms;
             }
         }
-        self.proceed(now_ms, order)
+        self.advance(now_ms, order)
     }
 
-    /// Takes the answer to [`OrderStep::Bar`].
+    /// Handles the response to [`OrderStep::Bar`].
     pub fn handle_bar_response(
         &mut self,
         now_ms: u64,
         order: OrderKey,
-        answer: BarResponse,
+        response: BarResponse,
     ) -> Vec<OrderStep> {
-        let Some(state) = self.keys.get_mut(&order) else {
+        let Some(state) = self.queues.get_mut(&order) else {
             return Vec::new();
         };
-        if state.examination != Examination::Barring {
+        if state.head_check != HeadCheck::Barring {
             return Vec::new();
         }
-        state.examination = Examination::None;
-        match answer {
-            BarResponse::Barred => state.leave_head(),
+        state.head_check = HeadCheck::None;
+        match response {
+            BarResponse::Barred => state.remove_head(),
             BarResponse::Held { holder, version } => {
-                state.examination = Examination::Settling {
+                state.head_check = HeadCheck::Settling {
                     holder: holder.clone(),
                     version,
-                    again_ms: now_ms + self.rules.head_grace_ms,
+                    retry_at_ms: now_ms + self.rules.head_grace_ms,
                 };
                 self.steps.push(OrderStep::Settle { holder });
             }
             BarResponse::Lost => state.next_call_ms = now_ms + self.rules.retry_delay_ms,
         }
-        self.proceed(now_ms, order)
+        self.advance(now_ms, order)
     }
 
-    /// Takes an agent's word about an attempt; a host that is gone for good counts as
-    /// [`Settlement::Ended`].
+    /// Handles an agent's settlement of an attempt.
+    ///
+    /// The caller passes [`Settlement::Ended`] for an attempt on a host that is gone for good.
     pub fn handle_settlement(
         &mut self,
         now_ms: u64,
         attempt: AttemptId,
         settlement: Settlement,
     ) -> Vec<OrderStep> {
-        let concerned: Vec<OrderKey> = self
-            .keys
+        let orders: Vec<OrderKey> = self
+            .queues
             .iter()
-            .filter(|(_, state)| state.settles(attempt))
+            .filter(|(_, state)| state.is_settling(attempt))
             .map(|(order, _)| *order)
             .collect();
         let mut steps = Vec::new();
-        for order in concerned {
+        for order in orders {
             match settlement {
-                // The attempt is barred at its agent, but the next one is not, in case
-                // that the head's entry wakes up: the claim is barred as well.
-                Settlement::NeverSent => self.bar_settled(order),
+                // The agent has barred this attempt but not the next one, which the head's
+                // entry may still start if it resumes. So the claim is barred as well.
+                Settlement::NeverSent => self.bar_after_settlement(order),
                 Settlement::Ended | Settlement::Finished => {
-                    if let Some(state) = self.keys.get_mut(&order) {
-                        state.examination = Examination::None;
-                        state.leave_head();
+                    if let Some(state) = self.queues.get_mut(&order) {
+                        state.head_check = HeadCheck::None;
+                        state.remove_head();
                     }
                 }
                 Settlement::Running => {}
                 Settlement::InDoubt => self.refuse_waiting(order),
             }
-            steps.extend(self.proceed(now_ms, order));
+            steps.extend(self.advance(now_ms, order));
         }
         steps
     }
 
-    /// Whether [`OrderQueues::handle_settlement`] waits for a word about this attempt.
+    /// Returns whether a settlement of this attempt is awaited.
     #[must_use]
     pub fn awaits_settlement(&self, attempt: AttemptId) -> bool {
-        self.keys.values().any(|state| state.settles(attempt))
+        self.queues.values().any(|state| state.is_settling(attempt))
     }
 
-    /// Makes the calls that are due.
+    /// Returns the steps that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<OrderStep> {
-        let names: Vec<OrderKey> = self.keys.keys().copied().collect();
+        let names: Vec<OrderKey> = self.queues.keys().copied().collect();
         let mut steps = Vec::new();
         for order in names {
-            steps.extend(self.proceed(now_ms, order));
+            steps.extend(self.advance(now_ms, order));
         }
         steps
     }
 
-    /// When [`OrderQueues::tick`] is due next.
+    /// Returns when [`OrderQueues::tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> Option<u64> {
-        self.keys
+        self.queues
             .values()
-            .filter_map(OrderState::next_tick_ms)
+            .filter_map(QueueState::next_tick_ms)
             .min()
     }
 
-    /// How many keys this entry takes part in.
+    /// Returns the number of queues that this entry takes part in.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.keys.len()
+        self.queues.len()
     }
 
-    /// Whether this entry takes part in no order.
+    /// Returns whether this entry takes part in no queue.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.keys.is_empty()
+        self.queues.is_empty()
     }
 
-    /// Takes over what the store has, and tells the request at the head.
-    fn learn(&mut self, now_ms: u64, order: OrderKey, stored: StoredQueue) {
-        let Some(state) = self.keys.get_mut(&order) else {
+    /// Applies the queue that the store has, and lets the request at its head run.
+    fn apply_stored(&mut self, now_ms: u64, order: OrderKey, stored: StoredQueue) {
+        let Some(state) = self.queues.get_mut(&order) else {
             return;
         };
         let places = &stored.queue.places;
         state
-            .leaving
+            .removals
             .retain(|request| places.iter().any(|place| place.request == *request));
-        for local in state.local.values_mut() {
-            let is_in = places
+        for local_place in state.local_places.values_mut() {
+            let is_stored = places
                 .iter()
-                .any(|place| place.request == local.place.request);
-            // A place that was taken away while it waited was barred by a successor.
-            if local.joined && !is_in && !local.told {
-                local.refuse_at_ms = now_ms;
-                local.joined = false;
+                .any(|place| place.request == local_place.place.request);
+            // A waiting request whose place was removed has been barred by a successor.
+            if local_place.is_queued && !is_stored && !local_place.has_turn {
+                local_place.refuse_at_ms = now_ms;
+                local_place.is_queued = false;
             }
-            local.joined |= is_in;
+            local_place.is_queued |= is_stored;
         }
         let head = places.first().map(|place| place.request);
-        if state.head_seen.map(|(request, _)| request) != head {
-            state.head_seen = head.map(|request| (request, now_ms));
-            state.examination = Examination::None;
+        if state.head_since.map(|(request, _)| request) != head {
+            state.head_since = head.map(|request| (request, now_ms));
+            state.head_check = HeadCheck::None;
         }
-        if let Some(local) = head.and_then(|request| state.local.get_mut(&request))
-            && !local.told
+        if let Some(local_place) = head.and_then(|request| state.local_places.get_mut(&request))
+            && !local_place.has_turn
         {
-            local.told = true;
+            local_place.has_turn = true;
             self.steps.push(OrderStep::Turn {
-                request: local.place.request,
+                request: local_place.place.request,
             });
         }
-        state.known = Some(stored);
+        state.stored = Some(stored);
         state.poll_at_ms = now_ms + self.rules.poll_interval_ms;
     }
 
-    /// Does what is due for one key.
-    fn proceed(&mut self, now_ms: u64, order: OrderKey) -> Vec<OrderStep> {
-        self.refuse_impatient(now_ms, order);
+    /// Takes the steps that are due for one queue.
+    fn advance(&mut self, now_ms: u64, order: OrderKey) -> Vec<OrderStep> {
+        self.refuse_timed_out(now_ms, order);
         if let Some(head) = self.overdue_head(now_ms, order) {
-            self.examine(order, head, None);
+            self.bar_head(order, head, None);
         }
-        self.settle_again(now_ms, order);
+        self.retry_settlement(now_ms, order);
         self.next_call(now_ms, order);
-        if self.keys.get(&order).is_some_and(OrderState::is_unused) {
-            self.keys.swap_remove(&order);
+        if self.queues.get(&order).is_some_and(QueueState::is_unused) {
+            self.queues.swap_remove(&order);
         }
         std::mem::take(&mut self.steps)
     }
 
-    /// Refuses those whose place could not be written in time. The place is taken away
-    /// later, in case that the write took effect.
-    fn refuse_impatient(&mut self, now_ms: u64, order: OrderKey) {
-        let Some(state) = self.keys.get_mut(&order) else {
+    /// Refuses requests whose place could not be written in time.
+    ///
+    /// Their places are removed later, in case a write took effect.
+    fn refuse_timed_out(&mut self, now_ms: u64, order: OrderKey) {
+        let Some(state) = self.queues.get_mut(&order) else {
             return;
         };
-        let late: Vec<RequestId> = state
-            .local
+        let timed_out: Vec<RequestId> = state
+            .local_places
             .values()
-            .filter(|local| !local.joined && local.refuse_at_ms <= now_ms)
-            .map(|local| local.place.request)
+            .filter(|local_place| !local_place.is_queued && local_place.refuse_at_ms <= now_ms)
+            .map(|local_place| local_place.place.request)
             .collect();
-        for request in late {
-            state.local.swap_remove(&request);
-            state.leaving.push(request);
+        for request in timed_out {
+            state.local_places.swap_remove(&request);
+            state.removals.push(request);
             let failure = Failure::not_run(FailureReason::StoreDown);
             let failure = failure.retry_after(self.rules.store_timeout_ms);
             self.steps.push(OrderStep::Refuse { request, failure });
         }
     }
 
-    /// Refuses those that wait behind a head whose outcome is unknown.
+    /// Refuses the requests that wait behind a head whose outcome is unknown.
     fn refuse_waiting(&mut self, order: OrderKey) {
-        let Some(state) = self.keys.get_mut(&order) else {
+        let Some(state) = self.queues.get_mut(&order) else {
             return;
         };
         let waiting: Vec<RequestId> = state
-            .local
+            .local_places
             .values()
-            .filter(|local| !local.told)
-            .map(|local| local.place.request)
+            .filter(|local_place| !local_place.has_turn)
+            .map(|local_place| local_place.place.request)
             .collect();
         for request in waiting {
-            state.local.swap_remove(&request);
-            state.leaving.push(request);
+            state.local_places.swap_remove(&request);
+            state.removals.push(request);
             let failure = Failure::not_run(FailureReason::PredecessorUnknown);
             let failure = failure.retry_after(self.rules.head_grace_ms);
             self.steps.push(OrderStep::Refuse { request, failure });
         }
     }
 
-    /// The head, if it is another's, past its deadline, and in the way of one of ours.
+    /// Returns the head if it is another entry's request, is past its deadline and blocks a
+    /// request of this entry.
     fn overdue_head(&self, now_ms: u64, order: OrderKey) -> Option<Place> {
-        let state = self.keys.get(&order)?;
+        let state = self.queues.get(&order)?;
         let head = state.head()?;
-        let (_, seen_ms) = state.head_seen?;
-        let is_overdue = now_ms >= seen_ms + head.deadline_in_ms + self.rules.head_grace_ms;
-        let is_others = !state.local.contains_key(&head.request);
-        let is_in_the_way = !state.local.is_empty();
-        let is_examined = state.examination != Examination::None;
-        let may_start = is_overdue && is_others && is_in_the_way && !is_examined;
-        (may_start && !state.leaving.contains(&head.request)).then(|| head.clone())
+        let (_, since_ms) = state.head_since?;
+        let is_overdue = now_ms >= since_ms + head.deadline_in_ms + self.rules.head_grace_ms;
+        let is_remote = !state.local_places.contains_key(&head.request);
+        let blocks_local = !state.local_places.is_empty();
+        let is_checked = state.head_check != HeadCheck::None;
+        let should_check = is_overdue && is_remote && blocks_local && !is_checked;
+        (should_check && !state.removals.contains(&head.request)).then(|| head.clone())
     }
 
-    fn examine(&mut self, order: OrderKey, place: Place, replace: Option<u64>) {
-        if let Some(state) = self.keys.get_mut(&order) {
-            state.examination = Examination::Barring;
+    /// Starts to bar the head; `replace` is the version of its claim, if there is one.
+    fn bar_head(&mut self, order: OrderKey, place: Place, replace: Option<u64>) {
+        if let Some(state) = self.queues.get_mut(&order) {
+            state.head_check = HeadCheck::Barring;
             self.steps.push(OrderStep::Bar {
                 order,
                 place,
@@ -427,99 +448,104 @@
         }
     }
 
-    fn bar_settled(&mut self, order: OrderKey) {
-        let Some(state) = self.keys.get_mut(&order) else {
+    /// Bars a head whose attempt was settled as never sent.
+    fn bar_after_settlement(&mut self, order: OrderKey) {
+        let Some(state) = self.queues.get_mut(&order) else {
             return;
         };
-        let Examination::Settling { version, .. } = state.examination else {
+        let HeadCheck::Settling { version, .. } = state.head_check else {
             return;
         };
-        state.examination = Examination::None;
+        state.head_check = HeadCheck::None;
         if let Some(head) = state.head().cloned() {
-            self.examine(order, head, Some(version));
+            self.bar_head(order, head, Some(version));
         }
     }
 
-    /// An agent that did not answer, or said that the attempt runs, is asked again.
-    fn settle_again(&mut self, now_ms: u64, order: OrderKey) {
+    /// Asks an agent again that did not reply or reported that the attempt is running.
+    fn retry_settlement(&mut self, now_ms: u64, order: OrderKey) {
         let head_grace_ms = self.rules.head_grace_ms;
-        let Some(state) = self.keys.get_mut(&order) else {
+        let Some(state) = self.queues.get_mut(&order) else {
             return;
         };
-        if let Examination::Settling {
-            holder, again_ms, ..
-        } = &mut state.examination
-            && *again_ms <= now_ms
+        if let HeadCheck::Settling {
+            holder,
+            retry_at_ms,
+            ..
+        } = &mut state.head_check
+            && *retry_at_ms <= now_ms
         {
-            *again_ms = now_ms + head_grace_ms;
+            *retry_at_ms = now_ms + head_grace_ms;
             let holder = holder.clone();
             self.steps.push(OrderStep::Settle { holder });
         }
     }
 
+    /// Makes the next call to the store for a queue, if one is due.
     fn next_call(&mut self, now_ms: u64, order: OrderKey) {
-        let Some(state) = self.keys.get_mut(&order) else {
+        let Some(state) = self.queues.get_mut(&order) else {
             return;
         };
-        if state.calling.is_some() || state.next_call_ms > now_ms || state.is_unused() {
+        if state.call_in_progress.is_some() || state.next_call_ms > now_ms || state.is_unused() {
             return;
         }
-        let Some(known) = &state.known else {
+        let Some(stored) = &state.stored else {
             self.call(order, OrderCall::Read);
             return;
         };
-        let queue = state.wanted(known);
-        if queue != known.queue {
-            let call = match known.version {
+        let queue = state.desired_queue(stored);
+        if queue != stored.queue {
+            let call = match stored.version {
                 Some(version) if queue.places.is_empty() => OrderCall::Delete { version },
                 expected => OrderCall::Write { expected, queue },
             };
             self.call(order, call);
             return;
         }
-        if state.waits_for_others() && state.poll_at_ms <= now_ms {
+        if state.should_poll() && state.poll_at_ms <= now_ms {
             self.call(order, OrderCall::Read);
         }
     }
 
     fn call(&mut self, order: OrderKey, call: OrderCall) {
-        if let Some(state) = self.keys.get_mut(&order) {
-            state.calling = Some(call.clone());
+        if let Some(state) = self.queues.get_mut(&order) {
+            state.call_in_progress = Some(call.clone());
             self.steps.push(OrderStep::Call { order, call });
         }
     }
 }
 
-impl OrderState {
-    fn settles(&self, attempt: AttemptId) -> bool {
-        matches!(&self.examination, Examination::Settling { holder, .. } if holder.attempt == attempt)
+impl QueueState {
+    fn is_settling(&self, attempt: AttemptId) -> bool {
+        matches!(&self.head_check, HeadCheck::Settling { holder, .. } if holder.attempt == attempt)
     }
 
-    /// Whether the head is another entry's request.
-    fn waits_for_others(&self) -> bool {
+    /// Returns whether the queue is read repeatedly, because its head isn't a request of this
+    /// entry.
+    fn should_poll(&self) -> bool {
         self.head()
-            .is_none_or(|head| !self.local.contains_key(&head.request))
+            .is_none_or(|head| !self.local_places.contains_key(&head.request))
     }
 
     fn next_tick_ms(&self) -> Option<u64> {
-        if self.calling.is_some() {
+        if self.call_in_progress.is_some() {
             return None;
         }
         let has_change = self
-            .known
+            .stored
             .as_ref()
-            .is_none_or(|known| self.wanted(known) != known.queue);
+            .is_none_or(|stored| self.desired_queue(stored) != stored.queue);
         if has_change {
             return Some(self.next_call_ms);
         }
-        let polls = self.waits_for_others();
+        let polls = self.should_poll();
         polls.then_some(self.poll_at_ms.max(self.next_call_ms))
     }
 
-    /// Takes the head's place away with the next write.
-    fn leave_head(&mut self) {
+    /// Marks the head's place for removal with the next write.
+    fn remove_head(&mut self) {
         if let Some(request) = self.head().map(|head| head.request) {
-            self.leaving.push(request);
+            self.removals.push(request);
         }
     }
 }
--- a/lib/src/ordering/queue.rs
+++ b/lib/src/ordering/queue.rs
@@ -1,4 +1,4 @@
-//! The queue that one order key has in the store, and what is exchanged about it.
+//! The stored queue of an order key, and the calls, responses and steps that concern it.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 use crate::ids::RequestId;
 use crate::verdict::Failure;
 
-/// The kind under which the queues are stored.
+/// The object kind under which order queues are stored.
 pub const ORDER_KIND: &str = "orders";
 
-/// The name of one order key of one customer.
+/// The digest of a customer and an order key, which names the stored queue.
 ///
 /// ```
 /// use sardinewood::ordering::queue::OrderKey;
@@ -27,11 +27,11 @@
 pub struct OrderKey(IdempotencyKey);
 
 impl OrderKey {
-    /// Names the queue of an order key.
+    /// Creates the key from a customer and the value of `X-Sardinewood-Order-Key`.
     ///
     /// # Errors
     ///
-    /// The key is empty, too long, or not visible ASCII.
+    /// Returns an error if the key is empty, too long, or not visible ASCII.
     pub fn new(customer: &str, order_key: &str) -> Result<Self, KeyError> {
         IdempotencyKey::new(customer, order_key).map(Self)
     }
@@ -43,31 +43,31 @@
     }
 }
 
-/// The place of one request in the queue.
+/// The place of one request in a queue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// The request, as text.
+    /// The request, stored as text.
     #[serde(with = "crate::claims::object::request_text")]
     pub request: RequestId,
-    /// The name of its claim, through which a successor can bar it.
+    /// The name of the request's claim, which a successor replaces to bar the request.
     pub claim: Arc<str>,
-    /// How long after it was written the caller has no use for the answer.
+    /// The time from the writing of the place to the caller's deadline, in milliseconds.
     pub deadline_in_ms: u64,
 }
 
-/// The object in the store: those that run or wait, first come first.
+/// The stored object: the requests that run or wait, in order of arrival.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderQueue {
-    /// The places.
+    /// The places, with the head first.
     pub places: Vec<Place>,
 }
 
-/// The queue as the store has it.
+/// A stored queue with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredQueue {
-    /// The version; absent when there is no object.
+    /// The version of the object; absent if there is none.
     pub version: Option<u64>,
-    /// The queue; empty when there is no object.
+    /// The queue; empty if there is no object.
     pub queue: OrderQueue,
 }
 
@@ -76,90 +76,94 @@
 pub enum OrderCall {
     /// Read the queue.
     Read,
-    /// Write the queue if there is none (`expected` is `None`) or at that version.
+    /// Write the queue if the object is at version `expected`, or doesn't exist if that is
+    /// `None`.
     Write {
         /// The version to replace.
         expected: Option<u64>,
-        /// What to write.
+        /// The queue to write.
         queue: OrderQueue,
     },
-    /// Remove the empty queue at this version.
+    /// Remove the object of an empty queue if it is at this version.
     Delete {
         /// The version to remove.
         version: u64,
     },
 }
 
-/// What is known after a call to the store about a queue.
+/// The result of a call to the store about a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderResponse {
     /// The write took effect; the version is absent after a removal.
     Written {
-        /// The version from now on.
+        /// The new version.
         version: Option<u64>,
     },
-    /// The queue as it is: the write did not take effect, or a read.
+    /// The stored queue: the call was a read, or a write that did not take effect.
     Current(StoredQueue),
-    /// No usable answer; a write may or may not have taken effect, now or later.
+    /// No usable response; a write may have taken effect, or may still do so.
     Lost,
 }
 
-/// What came of barring the head.
+/// The result of barring the head of a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BarResponse {
-    /// The bar stands: the head can't be dispatched any more.
+    /// The bar is written: the head can't be dispatched any more.
     Barred,
-    /// The head was claimed before.
+    /// The head already holds its claim.
     Held {
-        /// The attempt that it may run as.
+        /// The attempt that may run, and its agent.
         holder: Holder,
         /// The version of the claim.
         version: u64,
     },
-    /// No usable answer.
+    /// No usable response.
     Lost,
 }
 
-/// What the orders do next.
+/// An action that [`crate::ordering::OrderQueues`] asks its caller to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// Call the store and hand the answer to [`crate::ordering::OrderQueues::handle_response`].
+    /// Call the store and pass the response to
+    /// [`crate::ordering::OrderQueues::handle_response`].
     Call {
-        /// Which queue.
+        /// The key of the queue.
         order: OrderKey,
-        /// What to do with it.
+        /// The call to make.
         call: OrderCall,
     },
-    /// Create a bar where the claim would be, and hand the answer to [`crate::ordering::OrderQueues::handle_bar_response`].
+    /// Write a bar instead of the head's claim, and pass the response to
+    /// [`crate::ordering::OrderQueues::handle_bar_response`].
     Bar {
-        /// Which queue.
+        /// The key of the queue.
         order: OrderKey,
-        /// The head that is overdue.
+        /// The place at the head.
         place: Place,
-        /// The version of the claim to replace, once its attempt is settled as never
-        /// sent; without one, the bar is written only where there is no claim.
+        /// The version of the claim to replace, whose attempt was settled as never sent; if
+        /// absent, the bar is written only if there is no claim.
         replace: Option<u64>,
     },
-    /// Have the agent settle an attempt, and hand its word to [`crate::ordering::OrderQueues::handle_settlement`].
+    /// Ask the agent to settle an attempt, and pass the settlement to
+    /// [`crate::ordering::OrderQueues::handle_settlement`].
     Settle {
         /// The attempt and its agent.
         holder: Holder,
     },
-    /// The request's turn has come.
+    /// Let the request run.
     Turn {
-        /// Whose turn it is.
+        /// The request at the head.
         request: RequestId,
     },
-    /// The request's turn will not come.
+    /// Refuse the request, which will not run.
     Refuse {
-        /// Whose turn will not come.
+        /// The refused request.
         request: RequestId,
-        /// What its caller hears.
+        /// The failure to send to its caller.
         failure: Failure,
     },
 }
 
-/// How orders are kept.
+/// The time limits of [`crate::ordering::OrderQueues`].
 ///
 /// ```
 /// use sardinewood::ordering::queue::OrderRules;
@@ -168,13 +172,13 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderRules {
-    /// The pause between two looks at a queue whose head is another entry's.
+    /// The interval between reads of a queue whose head is another entry's request.
     pub poll_interval_ms: u64,
-    /// The pause before a call to the store that failed is made again.
+    /// The delay before a failed call to the store is retried.
     pub retry_delay_ms: u64,
-    /// How long the store is asked before a request is refused.
+    /// How long calls to the store are retried before a request is refused.
     pub store_timeout_ms: u64,
-    /// How long past its deadline the head is left alone.
+    /// How long after its deadline the head is given to finish before it is barred.
     pub head_grace_ms: u64,
 }
 
