--- a/lib/src/claims/idempotency.rs
+++ b/lib/src/claims/idempotency.rs
@@ -1,8 +1,8 @@
-//! Names that callers give to their requests with `Idempotency-Key`.
+//! Idempotency keys, which callers send in the header `Idempotency-Key`.
 //!
-//! A name belongs to one customer: the customer's identity, which comes from the
-//! authentication and never from the request, is part of it. So a guessed key finds
-//! nothing of another customer.
+//! A key is scoped to one customer: its digest includes the customer's identity, which comes
+//! from the authentication and never from the request. So a caller that guesses a key of
+//! another customer finds nothing.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::digest::digest_parts;
 use crate::ids::RequestId;
 
-/// The longest `Idempotency-Key` that is accepted.
+/// The maximum length of an `Idempotency-Key`.
 pub const MAX_KEY_BYTES: usize = 255;
 
-/// The header does not hold a usable key.
+/// The reason why the value of a header is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// The key is empty.
@@ -27,15 +27,16 @@
         /// The length of the key.
         length: usize,
     },
-    /// The key holds something else than visible ASCII.
+    /// The key contains a byte that is not visible ASCII.
     #[error("Idempotency-Key holds a byte that is not visible ASCII")]
     NotVisibleAscii,
 }
 
-/// The name of a request: the customer and the `Idempotency-Key`, as a digest.
+/// The digest of a customer and an `Idempotency-Key`.
 ///
-/// The digest names the claim in the platform's store, where a key's own text could
-/// hold what the store does not accept in a name, or what others should not read.
+/// The digest is the name of the claim in the platform's store. The key itself is not: it could
+/// contain characters that the store does not accept in a name, or text that others should not
+/// read.
 ///
 /// ```
 /// use sardinewood::claims::idempotency::IdempotencyKey;
@@ -51,11 +52,11 @@
 pub struct IdempotencyKey([u8; 32]);
 
 impl IdempotencyKey {
-    /// Names a request of a customer.
+    /// Creates the digest from a customer and the value of the header.
     ///
     /// # Errors
     ///
-    /// The key is empty, too long, or not visible ASCII.
+    /// Returns an error if the key is empty, too long, or not visible ASCII.
     pub fn new(customer: &str, key: &str) -> Result<Self, KeyError> {
         check_key(key)?;
         Ok(Self(digest_parts(&[customer.as_bytes(), key.as_bytes()])))
@@ -71,7 +72,8 @@
     }
 }
 
-/// Tells whether two requests ask for the same.
+/// The digest of a request's method, path and body, which tells a repetition from a different
+/// request with the same key.
 ///
 /// ```
 /// use sardinewood::claims::idempotency::RequestDigest;
@@ -84,7 +86,7 @@
 pub struct RequestDigest([u8; 32]);
 
 impl RequestDigest {
-    /// Digests what a repeated request must have in common with the first.
+    /// Creates the digest from what a repetition must have in common with the first request.
     #[must_use]
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
         Self(digest_parts(&[method.as_bytes(), path.as_bytes(), body]))
@@ -113,145 +115,147 @@
     Ok(())
 }
 
-/// What an entry does with a request that has a name.
+/// The result of looking up an idempotency key at an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyLookup {
-    /// The name is new here.
+    /// This entry doesn't know the key.
     New,
-    /// The same request is known here: wait for, or repeat, its answer.
+    /// This entry knows the same request: wait for its answer, or repeat it.
     Join(RequestId),
-    /// The name stands for another call: 422.
+    /// The key was used for a different request, which is answered with 422.
     KeyReused,
-    /// Too many names are in use: 503, not run.
+    /// Too many keys are in use: the request is not run, and is answered with 503.
     Full,
 }
 
+/// What an entry knows about a key.
 #[derive(Clone, Debug)]
-struct KnownName {
+struct KeyRecord {
     request: RequestId,
     digest: RequestDigest,
     holder: Option<Holder>,
     finished_ms: Option<u64>,
 }
 
-/// The names that one entry knows, bounded in number and in time.
+/// The idempotency keys that one entry knows, limited in number and in age.
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::claims::idempotency::{KeyLookup, RequestDigest, IdempotencyTable, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{IdempotencyKey, IdempotencyTable, KeyLookup, RequestDigest};
 ///
-/// let name = IdempotencyKey::new("rundu", "refund-7")?;
+/// let key = IdempotencyKey::new("rundu", "refund-7")?;
 /// let digest = RequestDigest::new("POST", "/v1/refunds", b"100");
-/// let mut names = IdempotencyTable::new(10, 60_000);
-/// assert_eq!(names.lookup(name, digest), KeyLookup::New);
-/// names.insert(name, digest, RequestId(1));
-/// assert_eq!(names.lookup(name, digest), KeyLookup::Join(RequestId(1)));
+/// let mut table = IdempotencyTable::new(10, 60_000);
+/// assert_eq!(table.lookup(key, digest), KeyLookup::New);
+/// table.insert(key, digest, RequestId(1));
+/// assert_eq!(table.lookup(key, digest), KeyLookup::Join(RequestId(1)));
 /// let other = RequestDigest::new("POST", "/v1/refunds", b"900");
-/// assert_eq!(names.lookup(name, other), KeyLookup::KeyReused);
+/// assert_eq!(table.lookup(key, other), KeyLookup::KeyReused);
 /// # Ok::<(), sardinewood::claims::idempotency::KeyError>(())
 /// ```
 #[derive(Debug)]
 pub struct IdempotencyTable {
     capacity: usize,
     retain_ms: u64,
-    names: IndexMap<IdempotencyKey, KnownName>,
+    records: IndexMap<IdempotencyKey, KeyRecord>,
 }
 
 impl IdempotencyTable {
-    /// Keeps at most `capacity` names, each for `retain_ms` after its request finished.
+    /// Creates a table of at most `capacity` keys, each kept for `retain_ms` after its request
+    /// finished.
     #[must_use]
     pub fn new(capacity: usize, retain_ms: u64) -> Self {
         Self {
             capacity,
             retain_ms,
-            names: IndexMap::new(),
+            records: IndexMap::new(),
         }
     }
 
-    /// What to do with a request of this name.
+    /// Looks up the key of a request.
     #[must_use]
-    pub fn lookup(&self, name: IdempotencyKey, digest: RequestDigest) -> KeyLookup {
-        match self.names.get(&name) {
-            Some(known) if known.digest == digest => KeyLookup::Join(known.request),
+    pub fn lookup(&self, key: IdempotencyKey, digest: RequestDigest) -> KeyLookup {
+        match self.records.get(&key) {
+            Some(record) if record.digest == digest => KeyLookup::Join(record.request),
             Some(_) => KeyLookup::KeyReused,
-            None if self.names.len() >= self.capacity => KeyLookup::Full,
+            None if self.records.len() >= self.capacity => KeyLookup::Full,
             None => KeyLookup::New,
         }
     }
 
-    /// Takes a name into use.
-    pub fn insert(&mut self, name: IdempotencyKey, digest: RequestDigest, request: RequestId) {
-        let known = KnownName {
+    /// Adds a key with its request.
+    pub fn insert(&mut self, key: IdempotencyKey, digest: RequestDigest, request: RequestId) {
+        let record = KeyRecord {
             request,
             digest,
             holder: None,
             finished_ms: None,
         };
-        self.names.insert(name, known);
+        self.records.insert(key, record);
     }
 
-    /// Notes the attempt that was dispatched under this name.
-    pub fn record_dispatch(&mut self, name: IdempotencyKey, digest: RequestDigest, holder: Holder) {
-        if !self.names.contains_key(&name) {
-            self.insert(name, digest, holder.attempt.request);
+    /// Records the attempt that was dispatched for this key, and adds the key if it is new.
+    pub fn record_dispatch(&mut self, key: IdempotencyKey, digest: RequestDigest, holder: Holder) {
+        if !self.records.contains_key(&key) {
+            self.insert(key, digest, holder.attempt.request);
         }
-        if let Some(known) = self.names.get_mut(&name) {
-            known.request = holder.attempt.request;
-            known.holder = Some(holder);
-            known.finished_ms = None;
+        if let Some(record) = self.records.get_mut(&key) {
+            record.request = holder.attempt.request;
+            record.holder = Some(holder);
+            record.finished_ms = None;
         }
     }
 
-    /// The attempt that was dispatched last under this name.
+    /// Returns the attempt that was last dispatched for this key.
     #[must_use]
-    pub fn holder(&self, name: IdempotencyKey) -> Option<&Holder> {
-        self.names.get(&name)?.holder.as_ref()
+    pub fn holder(&self, key: IdempotencyKey) -> Option<&Holder> {
+        self.records.get(&key)?.holder.as_ref()
     }
 
-    /// Notes that the request of this name has its final answer.
-    pub fn finish(&mut self, name: IdempotencyKey, now_ms: u64) {
-        if let Some(known) = self.names.get_mut(&name) {
-            known.finished_ms = Some(now_ms);
+    /// Records that the request with this key has its final answer.
+    pub fn finish(&mut self, key: IdempotencyKey, now_ms: u64) {
+        if let Some(record) = self.records.get_mut(&key) {
+            record.finished_ms = Some(now_ms);
         }
     }
 
-    /// Gives up a name whose request was not run, so that a repeat runs it.
-    pub fn remove(&mut self, name: IdempotencyKey) {
-        self.names.swap_remove(&name);
+    /// Removes a key whose request was not run, so that a repetition can run.
+    pub fn remove(&mut self, key: IdempotencyKey) {
+        self.records.swap_remove(&key);
     }
 
-    /// Drops the names whose retention is over.
+    /// Removes the keys that have been kept for their retention time.
     pub fn expire(&mut self, now_ms: u64) {
         let retain_ms = self.retain_ms;
-        self.names.retain(|_, known| {
-            known
+        self.records.retain(|_, record| {
+            record
                 .finished_ms
                 .is_none_or(|finished_ms| now_ms < finished_ms + retain_ms)
         });
     }
 
-    /// How many names are in use.
+    /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.names.len()
+        self.records.len()
     }
 
-    /// Whether no name is in use.
+    /// Returns whether there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.names.is_empty()
+        self.records.is_empty()
     }
 
-    /// The request that goes by a name.
+    /// Returns the request with this key.
     #[must_use]
-    pub fn request(&self, name: IdempotencyKey) -> Option<RequestId> {
-        self.names.get(&name).map(|known| known.request)
+    pub fn request(&self, key: IdempotencyKey) -> Option<RequestId> {
+        self.records.get(&key).map(|record| record.request)
     }
 }
 
-/// The text of a name, for objects that hold it.
+/// Returns the digest in hexadecimal, for objects that contain it.
 impl From<IdempotencyKey> for Arc<str> {
-    fn from(name: IdempotencyKey) -> Self {
-        name.to_string().into()
+    fn from(key: IdempotencyKey) -> Self {
+        key.to_string().into()
     }
 }
--- a/lib/src/claims/object.rs
+++ b/lib/src/claims/object.rs
@@ -1,4 +1,4 @@
-//! The claim on a request's name as the store has it, and the calls that are made about it.
+//! The stored claim on an idempotency key, and the calls to the store that concern it.
 
 use std::sync::Arc;
 
@@ -9,10 +9,11 @@
 use crate::ids::GrantId;
 use crate::ids::RequestId;
 
-/// Claims are spread over this many kinds, so that one list stays small.
+/// The number of object kinds that claims are divided among, so that each list stays small.
 pub const CLAIM_KINDS: u8 = 16;
 
-/// The kind under which the claim on a name is stored.
+/// Returns the object kind under which the claim of this name is stored: by the first digit of
+/// its name.
 ///
 /// ```
 /// use sardinewood::claims::object::claim_kind;
@@ -27,41 +28,43 @@
     format!("claims-{}", name.get(..1).unwrap_or("0"))
 }
 
-/// The one attempt that may run, and where.
+/// The one attempt that may run, and the agent that may run it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The attempt, with the request id as text.
+    /// The attempt, stored as text.
     #[serde(with = "attempt_text")]
     pub attempt: AttemptId,
-    /// The agent that granted it.
+    /// The agent that granted the attempt.
     pub agent: Arc<str>,
-    /// The grant, which names the incarnation of that agent.
+    /// The grant, which contains the incarnation of that agent.
     pub grant: GrantId,
 }
 
-/// Who may run a named request.
+/// Which attempt of a request may run, if any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// This attempt, and no other.
+    /// Only the attempt of this holder may run.
     Held(Holder),
-    /// Nobody yet: the request lost its place in the order before it was dispatched.
+    /// The request must not be dispatched: a successor in its order queue, or a check before
+    /// a refusal, wrote this bar before the request was dispatched.
     Barred {
-        /// The request that lost its place.
+        /// The barred request; another request with the same key may replace the bar.
         #[serde(with = "request_text")]
         request: RequestId,
     },
 }
 
-/// The object in the store.
+/// The claim as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The [`crate::claims::idempotency::RequestDigest`] of the call, as text; absent in a bar.
+    /// The [`crate::claims::idempotency::RequestDigest`] of the request, as text; absent in a bar.
     pub digest: Option<Arc<str>>,
-    /// Who may run it.
+    /// Which attempt may run.
     pub state: ClaimState,
 }
 
+/// Serializes a request id as text.
 pub(crate) mod request_text {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -81,6 +84,7 @@
     }
 }
 
+/// Serializes an attempt id as text: `req-…/number`.
 mod attempt_text {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -105,47 +109,48 @@
     }
 }
 
-/// What is known after a call to the store.
+/// The result of a call to the store about a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
     /// The write took effect.
     Written {
-        /// The object's version from now on.
+        /// The new version of the object.
         version: u64,
     },
-    /// The object as it is: the write did not take effect, or a read.
+    /// The stored claim, if any: the call was a read, or a write that did not take effect.
     Current(Option<StoredClaim>),
-    /// No usable answer; a write may or may not have taken effect, now or later.
+    /// No usable response; a write may have taken effect, or may still do so.
     Lost,
-    /// The write did not take effect, and the store wants to be left alone.
+    /// The store limits the rate of calls; the write did not take effect.
     Limited {
-        /// For how long.
+        /// The time after which the store accepts calls again.
         retry_after_ms: u64,
     },
 }
 
-/// A claim with its version.
+/// A stored claim with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredClaim {
-    /// The store's version of the object.
+    /// The version of the object.
     pub version: u64,
-    /// The claim; absent if the object could not be understood.
+    /// The claim; absent if the object could not be decoded.
     pub claim: Option<Claim>,
 }
 
-/// A call to the store.
+/// A call to the store about a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Write the claim if there is none (`expected` is `None`) or at that version.
+    /// Write the claim if the object is at version `expected`, or doesn't exist if that is
+    /// `None`.
     Write {
         /// The version to replace.
         expected: Option<u64>,
-        /// What to write.
+        /// The claim to write.
         claim: Claim,
     },
-    /// Read it.
+    /// Read the claim.
     Read,
-    /// Remove it at this version.
+    /// Remove the claim if it is at this version.
     Delete {
         /// The version to remove.
         version: u64,
--- a/lib/src/claims/sweep.rs
+++ b/lib/src/claims/sweep.rs
@@ -1,8 +1,10 @@
-//! Claims that nobody removes: their entry died, or the removal was lost.
+//! Removal of abandoned claims, whose entry crashed or whose removal was lost.
 //!
-//! Each entry looks at one kind of claims at a time and looks again after the retention.
-//! A claim that is at the same version then is removed at that version. Ages are counted
-//! by the entry's own clock from its first look, so no two clocks are compared.
+//! Each entry lists one kind of claims at a time, and lists it again once no request
+//! can need these claims any more. A claim that still has the same version is then removed at
+//! that version. The
+//! entry measures this time by its own clock from its first list, so no two clocks are
+//! compared.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,62 +14,66 @@
 use crate::claims::object::CLAIM_KINDS;
 use crate::claims::object::claim_kind;
 
-/// The pause before the next kind, and before a list that failed is tried again.
-const PAUSE_MS: u64 = 60_000;
+/// The delay before the next kind is listed, and before a failed list call is retried.
+const LIST_INTERVAL_MS: u64 = 60_000;
 
-/// The pause between two removals, so that the sweep leaves the store's calls to callers.
-const REMOVAL_PAUSE_MS: u64 = 200;
+/// The interval between removals, so that the sweep leaves the call rate of the store to
+/// callers' requests.
+const REMOVAL_INTERVAL_MS: u64 = 200;
 
-/// What the sweep does next.
+/// An action that [`ClaimSweep`] asks its caller to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SweepStep {
-    /// List the claims of a kind and hand them to [`ClaimSweep::apply_list`].
+    /// List the claims of a kind and pass them to [`ClaimSweep::apply_list`].
     List {
-        /// Which kind.
+        /// The kind to list.
         kind: String,
     },
-    /// Remove a claim at a version; whether that succeeds does not matter.
+    /// Remove a claim if it is at this version; the result is ignored.
     Remove {
         /// The kind of the claim.
         kind: String,
-        /// Its name.
+        /// The name of the claim.
         name: Arc<str>,
-        /// The version that was seen twice.
+        /// The version that was listed twice.
         version: u64,
     },
 }
 
-/// A claim as it was first seen.
+/// A claim in the first list of its kind.
 #[derive(Clone, Copy, Debug)]
-struct FirstSight {
+struct SeenClaim {
     version: u64,
-    seen_ms: u64,
+    first_seen_ms: u64,
 }
 
-/// The sweep of one entry.
+/// The sweep of abandoned claims by one entry, as a state machine without I/O.
 ///
 /// ```
 /// use sardinewood::claims::sweep::{ClaimSweep, SweepStep};
 ///
 /// let mut sweep = ClaimSweep::new(0, 600_000);
-/// assert!(sweep.tick(0).is_empty(), "a new entry has more urgent things to ask for");
+/// assert!(sweep.tick(0).is_empty(), "a new entry has more urgent calls to make");
 /// let steps = sweep.tick(60_000);
 /// assert!(matches!(steps[..], [SweepStep::List { .. }]));
 /// ```
 #[derive(Debug)]
 pub struct ClaimSweep {
-    /// How long a claim must have been unchanged; longer than any request may take, and the
-    /// retention of its name on top.
+    /// How long a claim must have been unchanged before it is removed: longer than any request
+    /// may take plus the time for which its claim is retained.
     unchanged_ms: u64,
+    /// The index of the kind that is being listed.
     kind: u8,
-    seen: IndexMap<Arc<str>, FirstSight>,
-    old: VecDeque<(Arc<str>, u64)>,
+    /// The claims in the first list of the kind.
+    seen: IndexMap<Arc<str>, SeenClaim>,
+    to_remove: VecDeque<(Arc<str>, u64)>,
     next_list_ms: u64,
     next_removal_ms: u64,
 }
 
 impl ClaimSweep {
-    /// Begins with a kind by the seed, so that entries look at different ones.
+    /// Creates a sweep that starts at a kind chosen by the seed, so that entries list different
+    /// kinds.
     #[must_use]
     pub fn new(seed: u64, unchanged_ms: u64) -> Self {
         let kind = (seed % u64::from(CLAIM_KINDS)).to_le_bytes()[0];
@@ -75,19 +81,19 @@
             unchanged_ms,
             kind,
             seen: IndexMap::new(),
-            old: VecDeque::new(),
-            next_list_ms: PAUSE_MS,
+            to_remove: VecDeque::new(),
+            next_list_ms: LIST_INTERVAL_MS,
             next_removal_ms: 0,
         }
     }
 
-    /// Does what is due.
+    /// Returns the steps that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<SweepStep> {
         let mut steps = Vec::new();
         if now_ms >= self.next_removal_ms
-            && let Some((name, version)) = self.old.pop_front()
+            && let Some((name, version)) = self.to_remove.pop_front()
         {
-            self.next_removal_ms = now_ms + REMOVAL_PAUSE_MS;
+            self.next_removal_ms = now_ms + REMOVAL_INTERVAL_MS;
             let kind = claim_kind(&name);
             steps.push(SweepStep::Remove {
                 kind,
@@ -96,51 +102,52 @@
             });
         }
         if now_ms >= self.next_list_ms {
-            // Put off until the answer says when the next look is due; so a list that fails
-            // is tried again.
-            self.next_list_ms = now_ms + PAUSE_MS;
+            // `apply_list` replaces this time; if the list call fails, it is the time of the
+            // retry.
+            self.next_list_ms = now_ms + LIST_INTERVAL_MS;
             let kind = claim_kind(&format!("{:x}", self.kind));
             steps.push(SweepStep::List { kind });
         }
         steps
     }
 
-    /// Takes the names and versions of the claims of the present kind.
+    /// Applies a list of the names and versions of the claims of the current kind.
     pub fn apply_list(&mut self, now_ms: u64, claims: Vec<(Arc<str>, u64)>) {
-        let is_second_look = !self.seen.is_empty();
-        if is_second_look {
-            let mut old = claims;
-            old.retain(|(name, version)| self.is_old(now_ms, name, *version));
-            self.old.extend(old);
+        let is_second_list = !self.seen.is_empty();
+        if is_second_list {
+            let mut to_remove = claims;
+            to_remove.retain(|(name, version)| self.is_unchanged(now_ms, name, *version));
+            self.to_remove.extend(to_remove);
         } else {
-            let first_sights = claims.into_iter().map(|(name, version)| {
-                let sight = FirstSight {
+            let seen_claims = claims.into_iter().map(|(name, version)| {
+                let seen_claim = SeenClaim {
                     version,
-                    seen_ms: now_ms,
+                    first_seen_ms: now_ms,
                 };
-                (name, sight)
+                (name, seen_claim)
             });
-            self.seen.extend(first_sights);
+            self.seen.extend(seen_claims);
         }
-        if is_second_look || self.seen.is_empty() {
+        if is_second_list || self.seen.is_empty() {
             self.seen.clear();
             self.kind = (self.kind + 1) % CLAIM_KINDS;
-            self.next_list_ms = now_ms + PAUSE_MS;
+            self.next_list_ms = now_ms + LIST_INTERVAL_MS;
         } else {
             self.next_list_ms = now_ms + self.unchanged_ms;
         }
     }
 
-    fn is_old(&self, now_ms: u64, name: &Arc<str>, version: u64) -> bool {
-        self.seen.get(name).is_some_and(|sight| {
-            sight.version == version && now_ms >= sight.seen_ms + self.unchanged_ms
+    /// Returns whether a claim has had the same version for long enough to be removed.
+    fn is_unchanged(&self, now_ms: u64, name: &Arc<str>, version: u64) -> bool {
+        self.seen.get(name).is_some_and(|seen_claim| {
+            seen_claim.version == version && now_ms >= seen_claim.first_seen_ms + self.unchanged_ms
         })
     }
 
-    /// When [`ClaimSweep::tick`] is due next.
+    /// Returns when [`ClaimSweep::tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> u64 {
-        if self.old.is_empty() {
+        if self.to_remove.is_empty() {
             self.next_list_ms
         } else {
             self.next_list_ms.min(self.next_removal_ms)
