--- a/lib/src/claims/sweep.rs
+++ b/lib/src/claims/sweep.rs
@@ -1,10 +1,9 @@
 //! Removal of abandoned claims, whose entry crashed or whose removal was lost.
 //!
-//! Each entry lists one kind of claims at a time, and lists it again once no request
-//! can need these claims any more. A claim that still has the same version is then removed at
-//! that version. The
-//! entry measures this time by its own clock from its first list, so no two clocks are
-//! compared.
+//! Each entry lists one kind of claims at a time, and lists it again once no request can need
+//! these claims any more. A claim that still has the same version is then removed at that
+//! version. The entry measures this time by its own clock from its first list, so no two clocks
+//! are compared.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/lib/tests/test_claim_sweep.rs
+++ b/lib/tests/test_claim_sweep.rs
@@ -1,4 +1,4 @@
-//! The sweep of claims that were left behind.
+//! The sweep of abandoned claims.
 
 use std::sync::Arc;
 
@@ -24,8 +24,8 @@
         .collect()
 }
 
-/// A sweep that has seen two claims at one minute.
-fn looked_once() -> ClaimSweep {
+/// Returns a sweep that has listed two claims, after one minute.
+fn sweep_after_first_list() -> ClaimSweep {
     let mut sweep = ClaimSweep::new(16, UNCHANGED_MS);
     let steps = sweep.tick(60_000);
     let list = SweepStep::List {
@@ -38,9 +38,9 @@
 
 #[test]
 fn listed_unchanged_claim_is_removed_at_its_version() {
-    // An entry dies and leaves two claims. One is taken over by a repetition meanwhile; only
-    // the other has not moved when another entry looks again.
-    let mut sweep = looked_once();
+    // An entry crashes and leaves two claims. A repetition takes over one of them; only the
+    // other still has its version when another entry lists the claims again.
+    let mut sweep = sweep_after_first_list();
     assert_eq!(sweep.next_tick_ms(), 660_000);
     assert_eq!(sweep.tick(659_999), []);
     sweep.tick(660_000);
@@ -51,7 +51,7 @@
 
 #[test]
 fn listed_goes_on_to_the_next_kind() {
-    let mut sweep = looked_once();
+    let mut sweep = sweep_after_first_list();
     sweep.tick(660_000);
     sweep.apply_list(660_000, claims(&[]));
     let list = SweepStep::List {
@@ -70,7 +70,7 @@
 
 #[test]
 fn tick_removals_leave_the_store_room() {
-    let mut sweep = looked_once();
+    let mut sweep = sweep_after_first_list();
     sweep.tick(660_000);
     sweep.apply_list(660_000, claims(&[("0a", 5), ("0b", 7)]));
     assert_eq!(removed(&sweep.tick(660_001)).len(), 1);
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -1,4 +1,4 @@
-//! Claims against a store that loses answers, lags, conflicts and goes down.
+//! Claims against a store that loses responses, returns stale reads, reports conflicts and fails.
 
 use sardinewood::claims::ClaimDecision;
 use sardinewood::claims::ClaimRequest;
@@ -34,7 +34,7 @@
     }
 }
 
-fn asked(holder: Holder) -> ClaimRequest {
+fn claim_request(holder: Holder) -> ClaimRequest {
     ClaimRequest {
         name: IdempotencyKey::new("rundu", "refund-7").expect("a valid key"),
         digest: RequestDigest::new("POST", "/v1/refunds", b"100"),
@@ -45,7 +45,7 @@
 }
 
 fn stored(version: u64, holder: Holder) -> StoreResponse {
-    let digest = asked(holder.clone()).digest.to_string().into();
+    let digest = claim_request(holder.clone()).digest.to_string().into();
     StoreResponse::Current(Some(StoredClaim {
         version,
         claim: Some(Claim {
@@ -78,10 +78,10 @@
 
 #[test]
 fn claim_lost_answer_is_settled_by_reading_back() {
-    // The caller sees one answer. The write takes effect, its answer is lost, and the
-    // entry reads back its own claim: it may dispatch, and need not refuse.
+    // The write takes effect, but its response is lost. The entry reads back its own claim, so
+    // it may dispatch and needn't refuse the request.
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     assert_eq!(claims.handle_response(50, OURS, StoreResponse::Lost), []);
     assert!(is_read(&claims.tick(150)));
     let steps = claims.handle_response(160, OURS, stored(9, holder(OURS, 1, 7)));
@@ -90,9 +90,10 @@
 
 #[test]
 fn claim_lost_answer_follows_the_winner() {
-    // Two entries claim one name; ours hears nothing, and reads back that the other won.
+    // Two entries claim one key. Our entry gets no response, and reads back that the other
+    // entry holds the claim.
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     claims.handle_response(50, OURS, StoreResponse::Lost);
     claims.tick(150);
     let steps = claims.handle_response(160, OURS, stored(9, holder(THEIRS, 1, 8)));
@@ -103,10 +104,10 @@
 
 #[test]
 fn claim_stale_read_fails_at_the_conditional_write() {
-    // A replica that lags shows no claim. The write that follows is create-if-absent,
-    // so it fails and shows the claim that the read did not.
+    // A stale read from a lagging replica shows no claim. The write that follows is
+    // create-if-absent, so it fails and returns the claim that the read didn't show.
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     claims.handle_response(50, OURS, StoreResponse::Lost);
     claims.tick(150);
     let steps = claims.handle_response(160, OURS, StoreResponse::Current(None));
@@ -118,9 +119,9 @@
 
 #[test]
 fn claim_store_down_refuses_what_may_run_once() {
-    // The caller of a refund hears "not run" and when to come back, within the patience.
+    // The caller of a refund is told "not run", and when to retry, within the time limit.
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     let mut now_ms = 0;
     let failure = loop {
         now_ms += 100;
@@ -128,21 +129,21 @@
         if let Some(ClaimDecision::Fail(failure)) = decision(&steps) {
             break *failure;
         }
-        now_ms = claims.next_tick_ms().expect("a next try");
+        now_ms = claims.next_tick_ms().expect("a retry is due");
         claims.tick(now_ms);
     };
     assert_eq!(
         failure,
         Failure::not_run(FailureReason::StoreDown).retry_after(100)
     );
-    // The patience, and the answer to the last call within it.
+    // The time limit, and the response to the last call made within it.
     assert!(now_ms <= 2_000 + 100, "{now_ms}");
 }
 
 #[test]
 fn claim_store_down_lets_idempotent_work_go_on() {
     let mut claims = Claims::new(ClaimRules::default());
-    let mut request = asked(holder(OURS, 1, 7));
+    let mut request = claim_request(holder(OURS, 1, 7));
     request.required = false;
     claims.claim(0, request);
     let steps = claims.handle_response(50, OURS, StoreResponse::Lost);
@@ -151,31 +152,31 @@
 
 #[test]
 fn claim_store_silent_does_not_outlast_a_grant() {
-    // A named summary may run twice, so it goes on without a claim. Waiting two seconds for
-    // the store's answer, its grant would lapse after one, and each next grant as well: its
-    // caller would hear "not run" at the deadline, with upstreams idle. The next summary
-    // does not wait at all.
+    // A summary with a key may run twice, so it proceeds without a claim. If it waited two
+    // seconds for the store, its grant would expire after one, and so would each later grant:
+    // its caller would be told "not run" at the deadline, although upstreams are idle. The next
+    // summary doesn't wait at all.
     let mut claims = Claims::new(ClaimRules::default());
-    let mut request = asked(holder(OURS, 1, 7));
+    let mut request = claim_request(holder(OURS, 1, 7));
     request.required = false;
     claims.claim(0, request);
     assert_eq!(claims.next_tick_ms(), Some(250));
     let steps = claims.tick(250);
     assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
-    let mut next = asked(holder(THEIRS, 1, 7));
+    let mut next = claim_request(holder(THEIRS, 1, 7));
     next.required = false;
     let steps = claims.claim(300, next.clone());
     assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
     assert!(
         is_write(&claims.claim(5_250, next), None),
-        "tried again later"
+        "claims are made again after the backoff"
     );
 }
 
 #[test]
 fn claim_other_call_is_refused() {
     let mut claims = Claims::new(ClaimRules::default());
-    let mut request = asked(holder(OURS, 1, 7));
+    let mut request = claim_request(holder(OURS, 1, 7));
     request.digest = RequestDigest::new("POST", "/v1/refunds", b"900");
     claims.claim(0, request);
     let steps = claims.handle_response(5, OURS, stored(9, holder(THEIRS, 1, 8)));
@@ -186,7 +187,7 @@
 #[test]
 fn claim_settled_holder_is_replaced_at_its_version() {
     let mut claims = Claims::new(ClaimRules::default());
-    let mut request = asked(holder(OURS, 1, 7));
+    let mut request = claim_request(holder(OURS, 1, 7));
     request.settled = Some(holder(THEIRS, 1, 8));
     claims.claim(0, request);
     let steps = claims.handle_response(5, OURS, stored(9, holder(THEIRS, 1, 8)));
@@ -195,11 +196,12 @@
 
 #[test]
 fn claim_settled_attempt_at_another_agent_is_not_replaced() {
-    // The first entry's grant at agent 8 lapsed before its dispatch; it claimed the same
-    // attempt number again at agent 9, where it runs. Ours settled it at agent 8. Going by
-    // the attempt's number alone, it would take the claim over, and the refund runs twice.
+    // The first entry's grant at agent 8 expired before the dispatch, so it claimed the same
+    // attempt number again at agent 9, where the attempt runs. Our entry settled the attempt at
+    // agent 8. If it compared only the attempt's number, it would take over the claim, and the
+    // refund would run twice.
     let mut claims = Claims::new(ClaimRules::default());
-    let mut request = asked(holder(OURS, 1, 7));
+    let mut request = claim_request(holder(OURS, 1, 7));
     request.settled = Some(holder(THEIRS, 1, 8));
     claims.claim(0, request);
     let steps = claims.handle_response(5, OURS, stored(10, holder(THEIRS, 1, 9)));
@@ -219,57 +221,58 @@
         }))
     };
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     let steps = claims.handle_response(5, OURS, bar(OURS));
     let refused = ClaimDecision::Fail(Failure::not_run(FailureReason::PredecessorUnknown));
     assert_eq!(decision(&steps), Some(&refused));
-    claims.claim(10, asked(holder(THEIRS, 1, 7)));
+    claims.claim(10, claim_request(holder(THEIRS, 1, 7)));
     let steps = claims.handle_response(15, THEIRS, bar(OURS));
     assert!(is_write(&steps, Some(9)), "{steps:?}");
 }
 
 #[test]
 fn claim_of_the_next_grant_waits_for_the_call_under_way() {
-    // The link to the first agent breaks while its claim is being written, and another
-    // agent grants. The store's answer is about the first grant. Taken for the second, the
-    // store would name agent 7 while the refund runs at agent 8; a repetition would settle
-    // it as never sent at agent 7, and run it again.
+    // The link to the first agent breaks while the claim is being written, and another agent
+    // grants the attempt. The store's response is about the first grant. If it decided the
+    // second claim, the store would name agent 7 while the refund runs at agent 8; a repetition
+    // would settle it as never sent at agent 7 and run it again.
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
-    assert_eq!(claims.claim(2, asked(holder(OURS, 1, 8))), []);
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
+    assert_eq!(claims.claim(2, claim_request(holder(OURS, 1, 8))), []);
     let steps = claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     assert!(is_write(&steps, Some(9)), "{steps:?}");
     let steps = claims.handle_response(8, OURS, StoreResponse::Written { version: 10 });
     assert_eq!(decision(&steps), Some(&ClaimDecision::Dispatch));
 }
 
-fn vouched(answer: StoreResponse) -> Vec<ClaimStep> {
+fn check_not_run(response: StoreResponse) -> Vec<ClaimStep> {
     let mut claims = Claims::new(ClaimRules::default());
     let failure = Failure::not_run(FailureReason::TooLate);
-    let steps = claims.confirm_not_run(0, OURS, asked(holder(OURS, 1, 7)).name, failure);
+    let steps = claims.confirm_not_run(0, OURS, claim_request(holder(OURS, 1, 7)).name, failure);
     assert!(is_write(&steps, None), "a read may be stale: {steps:?}");
-    claims.handle_response(5, OURS, answer)
+    claims.handle_response(5, OURS, response)
 }
 
 #[test]
-fn vouch_another_request_may_have_run() {
-    // The refund ran through another entry; its repetition is refused here for want of
-    // time. "Not run" would send the caller to credit it under a new key.
-    let steps = vouched(stored(9, holder(THEIRS, 1, 8)));
+fn confirm_not_run_another_request_may_have_run() {
+    // The refund ran through another entry, and its repetition is refused here because too
+    // little time is left. If the caller were told "not run", it would credit the refund again
+    // under a new key.
+    let steps = check_not_run(stored(9, holder(THEIRS, 1, 8)));
     let unknown = ClaimDecision::Fail(Failure::unknown(FailureReason::TooLate));
     assert_eq!(decision(&steps), Some(&unknown));
 }
 
 #[test]
-fn vouch_store_does_not_tell() {
-    let steps = vouched(StoreResponse::Lost);
+fn confirm_not_run_store_does_not_tell() {
+    let steps = check_not_run(StoreResponse::Lost);
     let unknown = ClaimDecision::Fail(Failure::unknown(FailureReason::TooLate));
     assert_eq!(decision(&steps), Some(&unknown));
 }
 
 #[test]
-fn vouch_nobody_has_run_it() {
-    let steps = vouched(StoreResponse::Written { version: 9 });
+fn confirm_not_run_nobody_has_run_it() {
+    let steps = check_not_run(StoreResponse::Written { version: 9 });
     let [
         ClaimStep::Call { call, .. },
         ClaimStep::Decided { decision, .. },
@@ -280,21 +283,21 @@
     assert_eq!(
         *call,
         StoreCall::Delete { version: 9 },
-        "no bar stays behind"
+        "the bar is removed"
     );
     let not_run = Failure::not_run(FailureReason::TooLate);
     assert_eq!(*decision, ClaimDecision::Fail(not_run));
 }
 
 #[test]
-fn vouch_passes_over_the_answer_to_an_earlier_read() {
-    // A read that was under way shows a state from before another entry's claim.
+fn confirm_not_run_passes_over_the_answer_to_an_earlier_read() {
+    // The response to a read in progress shows a state from before another entry's claim.
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     claims.handle_response(5, OURS, StoreResponse::Lost);
     assert!(is_read(&claims.tick(105)));
     let failure = Failure::not_run(FailureReason::TooLate);
-    claims.confirm_not_run(106, OURS, asked(holder(OURS, 1, 7)).name, failure);
+    claims.confirm_not_run(106, OURS, claim_request(holder(OURS, 1, 7)).name, failure);
     assert_eq!(
         claims.handle_response(107, OURS, StoreResponse::Current(None)),
         []
@@ -311,15 +314,18 @@
         ..ClaimRules::default()
     };
     let mut claims = Claims::new(rules);
-    assert!(is_write(&claims.claim(0, asked(holder(OURS, 1, 7))), None));
-    assert_eq!(claims.claim(1, asked(holder(THEIRS, 1, 7))), []);
+    assert!(is_write(
+        &claims.claim(0, claim_request(holder(OURS, 1, 7))),
+        None
+    ));
+    assert_eq!(claims.claim(1, claim_request(holder(THEIRS, 1, 7))), []);
     assert!(is_write(&claims.tick(1_101), None));
 }
 
 #[test]
 fn finish_keeps_the_name_for_its_retention() {
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     assert_eq!(claims.finish(1_000, OURS, true), []);
     assert_eq!(claims.tick(600_999), []);
@@ -341,7 +347,7 @@
 #[test]
 fn finish_not_run_frees_the_name_at_once() {
     let mut claims = Claims::new(ClaimRules::default());
-    claims.claim(0, asked(holder(OURS, 1, 7)));
+    claims.claim(0, claim_request(holder(OURS, 1, 7)));
     claims.handle_response(5, OURS, StoreResponse::Written { version: 9 });
     let steps = claims.finish(1_000, OURS, false);
     assert!(matches!(
--- a/lib/tests/test_idempotency.rs
+++ b/lib/tests/test_idempotency.rs
@@ -1,4 +1,4 @@
-//! Names of requests: whose they are, and what is refused.
+//! Idempotency keys: their scope, validation, lookup and expiry.
 
 use sardinewood::claims::idempotency::IdempotencyKey;
 use sardinewood::claims::idempotency::IdempotencyTable;
@@ -7,21 +7,21 @@
 use sardinewood::claims::idempotency::RequestDigest;
 use sardinewood::ids::RequestId;
 
-fn name(customer: &str, key: &str) -> IdempotencyKey {
+fn key(customer: &str, key: &str) -> IdempotencyKey {
     IdempotencyKey::new(customer, key).expect("a valid key")
 }
 
 #[test]
-fn request_name_new_keeps_customers_apart() {
-    // The caller of one customer guesses another's key, or moves bytes between the two
-    // parts; it must come to another name, or it would read a foreign answer.
-    assert_ne!(name("rundu", "refund-7"), name("walvis", "refund-7"));
-    assert_ne!(name("rundu", "x-1"), name("rundux", "-1"));
-    assert_eq!(name("rundu", "refund-7"), name("rundu", "refund-7"));
+fn idempotency_key_new_keeps_customers_apart() {
+    // A caller guesses the key of another customer, or moves bytes between the customer's name
+    // and the key. The digest must differ, or the caller would read another customer's answer.
+    assert_ne!(key("rundu", "refund-7"), key("walvis", "refund-7"));
+    assert_ne!(key("rundu", "x-1"), key("rundux", "-1"));
+    assert_eq!(key("rundu", "refund-7"), key("rundu", "refund-7"));
 }
 
 #[test]
-fn request_name_new_refuses_bad_keys() {
+fn idempotency_key_new_refuses_bad_keys() {
     assert_eq!(IdempotencyKey::new("rundu", ""), Err(KeyError::Empty));
     assert_eq!(
         IdempotencyKey::new("rundu", &"k".repeat(256)),
@@ -34,32 +34,32 @@
 }
 
 #[test]
-fn known_names_admission_tells_repetition_from_misuse() {
+fn idempotency_table_lookup_tells_repetition_from_misuse() {
     let first = RequestDigest::new("POST", "/v1/refunds", b"100");
     let second = RequestDigest::new("POST", "/v1/refunds", b"900");
-    let mut names = IdempotencyTable::new(1, 1_000);
-    names.insert(name("rundu", "a"), first, RequestId(1));
+    let mut table = IdempotencyTable::new(1, 1_000);
+    table.insert(key("rundu", "a"), first, RequestId(1));
     assert_eq!(
-        names.lookup(name("rundu", "a"), first),
+        table.lookup(key("rundu", "a"), first),
         KeyLookup::Join(RequestId(1))
     );
     assert_eq!(
-        names.lookup(name("rundu", "a"), second),
+        table.lookup(key("rundu", "a"), second),
         KeyLookup::KeyReused
     );
-    assert_eq!(names.lookup(name("rundu", "b"), first), KeyLookup::Full);
+    assert_eq!(table.lookup(key("rundu", "b"), first), KeyLookup::Full);
 }
 
 #[test]
-fn known_names_expire_keeps_unfinished() {
+fn idempotency_table_expire_keeps_unfinished() {
     let digest = RequestDigest::new("POST", "/", b"");
-    let mut names = IdempotencyTable::new(10, 1_000);
-    names.insert(name("rundu", "done"), digest, RequestId(1));
-    names.insert(name("rundu", "open"), digest, RequestId(2));
-    names.finish(name("rundu", "done"), 500);
-    names.expire(1_499);
-    assert_eq!(names.len(), 2);
-    names.expire(1_500);
-    assert_eq!(names.request(name("rundu", "done")), None);
-    assert_eq!(names.request(name("rundu", "open")), Some(RequestId(2)));
+    let mut table = IdempotencyTable::new(10, 1_000);
+    table.insert(key("rundu", "done"), digest, RequestId(1));
+    table.insert(key("rundu", "open"), digest, RequestId(2));
+    table.finish(key("rundu", "done"), 500);
+    table.expire(1_499);
+    assert_eq!(table.len(), 2);
+    table.expire(1_500);
+    assert_eq!(table.request(key("rundu", "done")), None);
+    assert_eq!(table.request(key("rundu", "open")), Some(RequestId(2)));
 }
--- a/lib/tests/test_ordering.rs
+++ b/lib/tests/test_ordering.rs
@@ -1,4 +1,4 @@
-//! Orders across entries, against a small queue object that conflicts and loses answers.
+//! Order queues across entries, against a stored object with conflicts and lost responses.
 
 use sardinewood::claims::object::Holder;
 use sardinewood::ids::AttemptId;
@@ -33,7 +33,7 @@
     }
 }
 
-/// The one object that the two entries share.
+/// The stored object that the two entries share.
 #[derive(Default)]
 struct Shared {
     stored: StoredQueue,
@@ -63,29 +63,29 @@
         }
     }
 
-    /// Answers each call at once; returns the other steps.
+    /// Responds to each call at once, and returns the other steps.
     fn serve(
         &mut self,
         now_ms: u64,
         orders: &mut OrderQueues,
         steps: Vec<OrderStep>,
     ) -> Vec<OrderStep> {
-        let mut left = Vec::new();
+        let mut other_steps = Vec::new();
         let mut todo = steps;
         while !todo.is_empty() {
             let mut next = Vec::new();
             for step in todo {
                 match step {
                     OrderStep::Call { order, call } => {
-                        let answer = self.apply(&call);
-                        next.extend(orders.handle_response(now_ms, order, answer));
+                        let response = self.apply(&call);
+                        next.extend(orders.handle_response(now_ms, order, response));
                     }
-                    other => left.push(other),
+                    other => other_steps.push(other),
                 }
             }
             todo = next;
         }
-        left
+        other_steps
     }
 
     fn tick(&mut self, now_ms: u64, orders: &mut OrderQueues) -> Vec<OrderStep> {
@@ -127,7 +127,7 @@
     assert_eq!(
         shared.stored,
         StoredQueue::default(),
-        "no empty queue stays"
+        "the empty queue is removed"
     );
     shared.tick(400, &mut one);
     assert!(one.is_empty() && other.is_empty());
@@ -152,9 +152,9 @@
 
 #[test]
 fn overdue_head_never_claimed_is_barred() {
-    // The entry of the first request dies before its dispatch. The second waits until the
-    // first is past its deadline, bars its claim, and has its turn.
-    let (mut shared, _dead, mut other) = two_entries();
+    // The entry of the first request crashes before the dispatch. The second request waits
+    // until the first is past its deadline; then the first is barred and the second runs.
+    let (mut shared, _crashed, mut other) = two_entries();
     assert_eq!(shared.tick(2_009, &mut other), []);
     let steps = shared.tick(2_060, &mut other);
     let bar = OrderStep::Bar {
@@ -169,7 +169,7 @@
     assert_eq!(steps, [OrderStep::Turn { request: SECOND }]);
 }
 
-fn held() -> Holder {
+fn head_holder() -> Holder {
     Holder {
         attempt: AttemptId {
             request: FIRST,
@@ -183,23 +183,28 @@
     }
 }
 
-fn examined() -> (Shared, OrderQueues) {
-    let (mut shared, _dead, mut other) = two_entries();
+fn with_head_settling() -> (Shared, OrderQueues) {
+    let (mut shared, _crashed, mut other) = two_entries();
     shared.tick(2_060, &mut other);
-    let answer = BarResponse::Held {
-        holder: held(),
+    let response = BarResponse::Held {
+        holder: head_holder(),
         version: 40,
     };
-    let steps = other.handle_bar_response(2_070, order(), answer);
+    let steps = other.handle_bar_response(2_070, order(), response);
     let steps = shared.serve(2_070, &mut other, steps);
-    assert_eq!(steps, [OrderStep::Settle { holder: held() }]);
+    assert_eq!(
+        steps,
+        [OrderStep::Settle {
+            holder: head_holder()
+        }]
+    );
     (shared, other)
 }
 
 #[test]
 fn overdue_head_finished_gives_way() {
-    let (mut shared, mut other) = examined();
-    let steps = other.handle_settlement(2_100, held().attempt, Settlement::Finished);
+    let (mut shared, mut other) = with_head_settling();
+    let steps = other.handle_settlement(2_100, head_holder().attempt, Settlement::Finished);
     let mut steps = shared.serve(2_100, &mut other, steps);
     steps.extend(shared.tick(2_200, &mut other));
     assert_eq!(steps, [OrderStep::Turn { request: SECOND }]);
@@ -207,19 +212,24 @@
 
 #[test]
 fn overdue_head_running_is_waited_for() {
-    let (mut shared, mut other) = examined();
-    let steps = other.handle_settlement(2_100, held().attempt, Settlement::Running);
+    let (mut shared, mut other) = with_head_settling();
+    let steps = other.handle_settlement(2_100, head_holder().attempt, Settlement::Running);
     assert_eq!(shared.serve(2_100, &mut other, steps), []);
     let steps = shared.tick(3_200, &mut other);
-    assert_eq!(steps, [OrderStep::Settle { holder: held() }]);
+    assert_eq!(
+        steps,
+        [OrderStep::Settle {
+            holder: head_holder()
+        }]
+    );
 }
 
 #[test]
 fn overdue_head_never_sent_is_barred_before_the_successor_runs() {
-    // The agent has barred the attempt, but the head's entry may wake up and claim its next
-    // one; only a bar in place of the claim keeps it from running after its successor.
-    let (mut shared, mut other) = examined();
-    let steps = other.handle_settlement(2_100, held().attempt, Settlement::NeverSent);
+    // The agent has barred the attempt, but the head's entry may resume and claim its next
+    // attempt. Only a bar instead of the claim prevents that it runs after its successor.
+    let (mut shared, mut other) = with_head_settling();
+    let steps = other.handle_settlement(2_100, head_holder().attempt, Settlement::NeverSent);
     let steps = shared.serve(2_100, &mut other, steps);
     let bar = OrderStep::Bar {
         order: order(),
@@ -231,10 +241,10 @@
 
 #[test]
 fn overdue_head_in_doubt_refuses_the_successor() {
-    // Nobody can tell whether the first letter may still go out. The second is not run, and
-    // its caller hears so at once; the key stays closed until the doubt is settled.
-    let (mut shared, mut other) = examined();
-    let steps = other.handle_settlement(2_100, held().attempt, Settlement::InDoubt);
+    // It's unknown whether the first letter may still be sent. The second request is not run,
+    // and its caller is told so at once; the queue stays blocked until the attempt is settled.
+    let (mut shared, mut other) = with_head_settling();
+    let steps = other.handle_settlement(2_100, head_holder().attempt, Settlement::InDoubt);
     let steps = shared.serve(2_100, &mut other, steps);
     let failure = Failure::not_run(FailureReason::PredecessorUnknown).retry_after(1_000);
     assert_eq!(
@@ -245,13 +255,14 @@
         }]
     );
     assert_eq!(shared.join(2_200, &mut other, RequestId(3)), []);
-    assert!(other.awaits_settlement(held().attempt));
+    assert!(other.awaits_settlement(head_holder().attempt));
 }
 
 #[test]
 fn lost_write_leaves_no_place_behind() {
-    // The place is written, but the answer is lost until the caller was told "not run".
-    // When the store is back, the entry takes the place away; nothing waits behind it.
+    // The place is written, but the store's response is lost, and the caller is told "not run".
+    // When the store responds again, the entry removes the place, so that nothing waits
+    // behind it.
     let mut shared = Shared::default();
     let mut orders = OrderQueues::new(OrderRules::default());
     orders.join(0, order(), place(FIRST));
