--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -171,7 +171,7 @@
 #[derive(Debug)]
 pub struct Claims {
     rules: ClaimRules,
-    tracked_claims: IndexMap<RequestId, TrackedClaim>,
+    by_request: IndexMap<RequestId, TrackedClaim>,
     not_run_checks: IndexMap<RequestId, NotRunCheck>,
     window_start_ms: u64,
     calls_in_window: u64,
@@ -189,7 +189,7 @@
     pub fn new(rules: ClaimRules) -> Self {
         Self {
             rules,
-            tracked_claims: IndexMap::new(),
+            by_request: IndexMap::new(),
             not_run_checks: IndexMap::new(),
             window_start_ms: 0,
             calls_in_window: 0,
@@ -208,7 +208,7 @@
         let give_up_at_ms = now_ms + self.rules.store_timeout_ms;
         let proceed_unclaimed_at_ms =
             (!claim_request.required).then_some(now_ms + self.rules.optional_timeout_ms);
-        let before = self.tracked_claims.get_mut(&request);
+        let before = self.by_request.get_mut(&request);
         // A grant can be lost while its claim is being written, and the next grant's claim
         // requested before the store has responded. That response must not decide the new
         // claim: the store would name the lost grant while the request runs under the new one.
@@ -222,7 +222,7 @@
             return Vec::new();
         }
         let expected = match self
-            .tracked_claims
+            .by_request
             .get(&request)
             .map(|tracked_claim| tracked_claim.phase)
         {
@@ -236,7 +236,7 @@
             is_outdated: false,
             proceed_unclaimed_at_ms,
         };
-        self.tracked_claims.insert(request, tracked_claim);
+        self.by_request.insert(request, tracked_claim);
         self.next_call(now_ms, request, NextCall::Write { expected });
         std::mem::take(&mut self.steps)
     }
@@ -261,7 +261,7 @@
         }
         self.calls_in_window += 1;
         let phase = self
-            .tracked_claims
+            .by_request
             .get(&request)
             .map(|tracked_claim| tracked_claim.phase);
         let check = NotRunCheck {
@@ -326,7 +326,7 @@
             return std::mem::take(&mut self.steps);
         }
         match self
-            .tracked_claims
+            .by_request
             .get(&request)
             .map(|tracked_claim| tracked_claim.phase)
         {
@@ -355,14 +355,14 @@
         } else {
             0
         };
-        if let Some(tracked_claim) = self.tracked_claims.get_mut(&request) {
+        if let Some(tracked_claim) = self.by_request.get_mut(&request) {
             if let Phase::Held { version } = tracked_claim.phase {
                 tracked_claim.phase = Phase::Retained {
                     until_ms: now_ms + retain_ms,
                     version,
                 };
             } else {
-                self.tracked_claims.swap_remove(&request);
+                self.by_request.swap_remove(&request);
             }
         }
         self.tick(now_ms)
@@ -371,7 +371,7 @@
     /// Returns the calls and decisions that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<ClaimStep> {
         let due: Vec<(RequestId, Phase)> = self
-            .tracked_claims
+            .by_request
             .iter()
             .filter(|(_, tracked_claim)| {
                 due_ms(tracked_claim).is_some_and(|due_ms| due_ms <= now_ms)
@@ -394,24 +394,24 @@
     /// Returns when [`Claims::tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> Option<u64> {
-        self.tracked_claims.values().filter_map(due_ms).min()
+        self.by_request.values().filter_map(due_ms).min()
     }
 
     /// Returns the number of tracked claims.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.tracked_claims.len()
+        self.by_request.len()
     }
 
     /// Returns whether no claim is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.tracked_claims.is_empty()
+        self.by_request.is_empty()
     }
 
     fn decide(&mut self, now_ms: u64, request: RequestId, response: StoreResponse) {
         let is_outdated = self
-            .tracked_claims
+            .by_request
             .get_mut(&request)
             .is_some_and(|tracked_claim| std::mem::take(&mut tracked_claim.is_outdated));
         match response {
@@ -422,7 +422,7 @@
             StoreResponse::Written { version } => self.set_held(request, version),
             StoreResponse::Current(current) => self.decide_current(now_ms, request, current),
             StoreResponse::Lost => {
-                self.pause(now_ms, request, self.rules.retry_delay_ms, NextCall::Read)
+                self.pause(now_ms, request, self.rules.retry_delay_ms, NextCall::Read);
             }
             StoreResponse::Limited { retry_after_ms } => {
                 self.pause(now_ms, request, retry_after_ms, NextCall::Read);
@@ -432,7 +432,7 @@
 
     /// Decides by the claim that the store has for the key.
     fn decide_current(&mut self, now_ms: u64, request: RequestId, current: Option<StoredClaim>) {
-        let Some(tracked_claim) = self.tracked_claims.get(&request) else {
+        let Some(tracked_claim) = self.by_request.get(&request) else {
             return;
         };
         let Some(current) = current else {
@@ -448,7 +448,7 @@
                 self.next_call(now_ms, request, NextCall::Write { expected });
             }
             Relation::HeldByOther(holder) => {
-                self.decide_without_claim(request, ClaimDecision::Follow(holder))
+                self.decide_without_claim(request, ClaimDecision::Follow(holder));
             }
             Relation::KeyReused => self.fail(request, Failure::not_run(FailureReason::KeyReused)),
             Relation::LostPlace => {
@@ -466,7 +466,7 @@
             self.pause(now_ms, request, self.rules.retry_delay_ms, call);
             return;
         }
-        let Some(tracked_claim) = self.tracked_claims.get_mut(&request) else {
+        let Some(tracked_claim) = self.by_request.get_mut(&request) else {
             return;
         };
         let store_call = match call {
@@ -496,7 +496,7 @@
     /// A request that may run twice proceeds without a claim: an outage of the store would
     /// otherwise stop work that doesn't need the store.
     fn pause(&mut self, now_ms: u64, request: RequestId, pause_ms: u64, call: NextCall) {
-        let Some(tracked_claim) = self.tracked_claims.get_mut(&request) else {
+        let Some(tracked_claim) = self.by_request.get_mut(&request) else {
             return;
         };
         let until_ms = now_ms + pause_ms.max(1);
@@ -528,7 +528,7 @@
     }
 
     fn set_held(&mut self, request: RequestId, version: u64) {
-        if let Some(tracked_claim) = self.tracked_claims.get_mut(&request) {
+        if let Some(tracked_claim) = self.by_request.get_mut(&request) {
             tracked_claim.phase = Phase::Held { version };
         }
         self.steps.push(ClaimStep::Decided {
@@ -543,13 +543,13 @@
 
     /// Stops tracking a claim that this entry doesn't hold, and reports the decision.
     fn decide_without_claim(&mut self, request: RequestId, decision: ClaimDecision) {
-        self.tracked_claims.swap_remove(&request);
+        self.by_request.swap_remove(&request);
         self.steps.push(ClaimStep::Decided { request, decision });
     }
 
     fn delete(&mut self, now_ms: u64, request: RequestId, version: u64, retries_left: u8) {
         let has_budget = self.has_budget(now_ms);
-        let Some(tracked_claim) = self.tracked_claims.get_mut(&request) else {
+        let Some(tracked_claim) = self.by_request.get_mut(&request) else {
             return;
         };
         if !has_budget {
@@ -588,7 +588,7 @@
             StoreResponse::Written { .. } | StoreResponse::Current(_)
         );
         if is_done || retries_left == 0 {
-            self.tracked_claims.swap_remove(&request);
+            self.by_request.swap_remove(&request);
         } else {
             self.delete(now_ms, request, version, retries_left - 1);
         }
