--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -147,7 +147,7 @@
 /// use sardinewood::claims::{ClaimDecision, ClaimRequest, ClaimRules, ClaimStep, Claims};
 /// use sardinewood::claims::object::{Holder, StoreResponse};
 /// use sardinewood::ids::{AttemptId, GrantId, Incarnation, RequestId};
-/// use sardinewood::claims::idempotency::{RequestDigest, IdempotencyKey};
+/// use sardinewood::claims::idempotency::{IdempotencyKey, RequestDigest};
 ///
 /// let request = RequestId(1);
 /// let claim_request = ClaimRequest {
@@ -209,8 +209,8 @@
         let proceed_unclaimed_at_ms =
             (!claim_request.required).then_some(now_ms + self.rules.optional_timeout_ms);
         let before = self.by_request.get_mut(&request);
-        // A grant can be lost while its claim is being written, and the next grant's claim
-        // requested before the store has responded. That response must not decide the new
+        // A grant can be lost while its claim is being written, and the claim for the next grant
+        // can be requested before the store has responded. That response must not decide the new
         // claim: the store would name the lost grant while the request runs under the new one.
         if let Some(tracked_claim) = before
             && matches!(tracked_claim.phase, Phase::Writing | Phase::Reading)
@@ -460,7 +460,7 @@
         }
     }
 
-    /// Makes a call, or delays it if the call rate is exhausted.
+    /// Makes a call; if the call rate is exhausted, delays it or gives up as `pause` does.
     fn next_call(&mut self, now_ms: u64, request: RequestId, call: NextCall) {
         if !self.has_budget(now_ms) {
             self.pause(now_ms, request, self.rules.retry_delay_ms, call);
--- a/lib/src/claims/object.rs
+++ b/lib/src/claims/object.rs
@@ -12,7 +12,7 @@
 /// The number of object kinds that claims are divided among, so that each list stays small.
 pub const CLAIM_KINDS: u8 = 16;
 
-/// Returns the object kind under which the claim of this name is stored: by the first digit of
+/// Returns the object kind under which a claim is stored, which depends on the first digit of
 /// its name.
 ///
 /// ```
@@ -101,7 +101,7 @@
         let text = String::deserialize(input)?;
         let (request, number) = text
             .split_once('/')
-            .ok_or_else(|| D::Error::custom("an attempt is `req-…/number`"))?;
+            .ok_or_else(|| D::Error::custom("attempt id must have the form `req-…/number`"))?;
         Ok(AttemptId {
             request: request.parse().map_err(D::Error::custom)?,
             number: number.parse().map_err(D::Error::custom)?,
--- a/lib/src/claims/progress.rs
+++ b/lib/src/claims/progress.rs
@@ -16,7 +16,7 @@
     Pausing { until_ms: u64, call: NextCall },
     /// This entry holds the claim, stored at this version.
     Held { version: u64 },
-    /// No call has been made yet and nothing is stored, so there is nothing to remove.
+    /// No call has been made yet for the attempt.
     Idle,
     /// The request has ended, and the claim is removed at this time.
     Retained { until_ms: u64, version: u64 },
--- a/lib/src/ordering.rs
+++ b/lib/src/ordering.rs
@@ -126,7 +126,7 @@
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
-/// use sardinewood::ordering::queue::{OrderResponse, OrderKey, OrderRules, OrderStep, Place};
+/// use sardinewood::ordering::queue::{OrderKey, OrderResponse, OrderRules, OrderStep, Place};
 /// use sardinewood::ordering::OrderQueues;
 ///
 /// let order = OrderKey::new("kowalczyk", "counsellor-4")?;
@@ -174,8 +174,8 @@
 
     /// Records that this entry has finished with a request, and removes its place.
     ///
-    /// If the request may still run at an agent, its place stays, and if it is at the head,
-    /// the head is barred or settled first.
+    /// If the request may still run at an agent, its place stays. If it is at the head, it is
+    /// checked until it is barred or its agent reports that it doesn't run.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -436,7 +436,8 @@
         (should_check && !state.removals.contains(&head.request)).then(|| head.clone())
     }
 
-    /// Starts to bar the head; `replace` is the version of its claim, if there is one.
+    /// Starts to bar the head; `replace` is the version of its claim if the claim's attempt was
+    /// settled as never sent.
     fn bar_head(&mut self, order: OrderKey, place: Place, replace: Option<u64>) {
         if let Some(state) = self.queues.get_mut(&order) {
             state.head_check = HeadCheck::Barring;
@@ -462,7 +463,7 @@
         }
     }
 
-    /// Asks an agent again that did not reply or reported that the attempt is running.
+    /// Asks the agent again if it did not reply or reported that the attempt is running.
     fn retry_settlement(&mut self, now_ms: u64, order: OrderKey) {
         let head_grace_ms = self.rules.head_grace_ms;
         let Some(state) = self.queues.get_mut(&order) else {
