--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -11,7 +11,7 @@
 pub mod candidates;
 pub mod control;
 pub mod events;
-pub mod explanations;
+pub mod decision_log;
 pub mod link;
 pub mod prefix_hints;
 pub mod profile_limits;
--- a/lib/src/entry/control.rs
+++ b/lib/src/entry/control.rs
@@ -404,10 +404,10 @@
             })
             .collect();
         if let Some(last) = decisions.last()
-            && remembered.more > 0
+            && remembered.omitted > 0
         {
             decisions.push(Decision {
-                what: format!("{} further decisions", remembered.more).into(),
+                what: format!("{} further decisions", remembered.omitted).into(),
                 why: "the memory of one request is bounded".into(),
                 ..last.clone()
             });
--- a/lib/src/entry/explanations.rs
+++ b/lib/src/entry/decision_log.rs
@@ -19,7 +19,7 @@
 
 /// One thing that was decided or heard about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Decided {
+pub enum LoggedDecision {
     /// It came and waits.
     Admitted { tier: Tier, customer: Arc<str> },
     /// An agent was asked for a grant.
@@ -36,7 +36,7 @@
     /// It was sent.
     Dispatched { attempt: AttemptId, agent: Arc<str> },
     /// The link to the agent of its attempt is back, and the agent is asked after it.
-    AskedAfter { agent: Arc<str> },
+    QueriedAttempt { agent: Arc<str> },
     /// The agent said what became of it.
     Settled {
         agent: Arc<str>,
@@ -50,13 +50,13 @@
     Failed(Failure),
 }
 
-impl Decided {
+impl LoggedDecision {
     /// What happened, in a few words.
     ///
     /// ```
-    /// use sardinewood::entry::explanations::Decided;
+    /// use sardinewood::entry::decision_log::LoggedDecision;
     ///
-    /// assert_eq!(Decided::Asked { agent: "lang-1".into() }.what(), "asked lang-1 for a grant");
+    /// assert_eq!(LoggedDecision::Asked { agent: "lang-1".into() }.what(), "asked lang-1 for a grant");
     /// ```
     #[must_use]
     pub fn what(&self) -> String {
@@ -69,7 +69,7 @@
             Self::Dispatched { attempt, agent } => {
                 format!("dispatched attempt {} to {agent}", attempt.number)
             }
-            Self::AskedAfter { agent } => format!("asked {agent} what became of it"),
+            Self::QueriedAttempt { agent } => format!("asked {agent} what became of it"),
             Self::Settled { agent, .. } => format!("settled by {agent}"),
             Self::Ended { attempt, .. } => format!("attempt {} ended", attempt.number),
             Self::CallerGone => "caller gone".into(),
@@ -80,9 +80,9 @@
     /// Why it happened, in a few words.
     ///
     /// ```
-    /// use sardinewood::entry::explanations::Decided;
+    /// use sardinewood::entry::decision_log::LoggedDecision;
     ///
-    /// assert_eq!(Decided::CallerGone.why(), "the connection ended");
+    /// assert_eq!(LoggedDecision::CallerGone.why(), "the connection ended");
     /// ```
     #[must_use]
     pub fn why(&self) -> String {
@@ -95,7 +95,7 @@
                 "the request does not wait any more, or the upstream leaves".into()
             }
             Self::Dispatched { .. } => "its grant came first".into(),
-            Self::AskedAfter { .. } => "the link was lost and is back".into(),
+            Self::QueriedAttempt { .. } => "the link was lost and is back".into(),
             Self::Settled { settlement, .. } => format!("{settlement:?}"),
             Self::Ended { end, .. } => format!("{end:?}"),
             Self::CallerGone => "the connection ended".into(),
@@ -106,40 +106,40 @@
 
 /// The decisions about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Remembered {
+pub struct RequestHistory {
     /// The decisions, each with its time.
-    pub decisions: Vec<(u64, Decided)>,
+    pub decisions: Vec<(u64, LoggedDecision)>,
     /// How many more there were.
-    pub more: usize,
+    pub omitted: usize,
 }
 
 /// A bounded memory of decisions: the requests that came last.
 ///
 /// ```
-/// use sardinewood::entry::explanations::{Decided, Explanations};
+/// use sardinewood::entry::decision_log::{LoggedDecision, DecisionLog};
 /// use sardinewood::ids::RequestId;
 ///
-/// let mut memory = Explanations::new(1);
-/// memory.record(5, RequestId(1), Decided::CallerGone);
+/// let mut memory = DecisionLog::new(1);
+/// memory.record(5, RequestId(1), LoggedDecision::CallerGone);
 /// assert_eq!(memory.get(RequestId(1)).unwrap().decisions[0].0, 5);
-/// memory.record(6, RequestId(2), Decided::CallerGone);
+/// memory.record(6, RequestId(2), LoggedDecision::CallerGone);
 /// assert!(memory.get(RequestId(1)).is_none(), "only one request is remembered");
 /// ```
 #[derive(Debug)]
-pub struct Explanations {
+pub struct DecisionLog {
     max_requests: usize,
-    by_request: IndexMap<RequestId, Remembered>,
+    by_request: IndexMap<RequestId, RequestHistory>,
     oldest_first: VecDeque<RequestId>,
 }
 
-impl Explanations {
+impl DecisionLog {
     /// An empty memory of at most `max_requests` requests.
     ///
     /// ```
-    /// use sardinewood::entry::explanations::Explanations;
+    /// use sardinewood::entry::decision_log::DecisionLog;
     /// use sardinewood::ids::RequestId;
     ///
-    /// assert!(Explanations::new(10).get(RequestId(1)).is_none());
+    /// assert!(DecisionLog::new(10).get(RequestId(1)).is_none());
     /// ```
     #[must_use]
     pub fn new(max_requests: usize) -> Self {
@@ -152,12 +152,12 @@
 
     /// What is remembered of a request.
     #[must_use]
-    pub fn get(&self, request: RequestId) -> Option<&Remembered> {
+    pub fn get(&self, request: RequestId) -> Option<&RequestHistory> {
         self.by_request.get(&request)
     }
 
     /// Remembers a decision.
-    pub fn record(&mut self, now_ms: u64, request: RequestId, decided: Decided) {
+    pub fn record(&mut self, now_ms: u64, request: RequestId, decided: LoggedDecision) {
         if !self.by_request.contains_key(&request) {
             self.make_room();
             self.oldest_first.push_back(request);
@@ -166,7 +166,7 @@
         if remembered.decisions.len() < MAX_DECISIONS {
             remembered.decisions.push((now_ms, decided));
         } else {
-            remembered.more += 1;
+            remembered.omitted += 1;
         }
     }
 
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -28,9 +28,9 @@
 pub use crate::entry::events::EntryEvent;
 pub use crate::entry::events::EntryStep;
 pub use crate::entry::events::FinishedAs;
-use crate::entry::explanations::Decided;
-use crate::entry::explanations::Explanations;
-use crate::entry::explanations::Remembered;
+use crate::entry::decision_log::LoggedDecision;
+use crate::entry::decision_log::DecisionLog;
+use crate::entry::decision_log::RequestHistory;
 use crate::entry::profile_limits::ProfileLimiter;
 use crate::entry::retry_budget::RetryBudget;
 use crate::entry::run::Phase;
@@ -186,7 +186,7 @@
     parked: IndexMap<Arc<str>, IndexSet<RequestId>>,
     estimates: WorkEstimates,
     appointments: StartedAppointments,
-    memory: Explanations,
+    memory: DecisionLog,
     /// The time of the event that is handled.
     now_ms: u64,
     nonce: u64,
@@ -216,7 +216,7 @@
             parked: IndexMap::new(),
             appointments: StartedAppointments::new(MAX_APPOINTMENTS),
             estimates: WorkEstimates::default(),
-            memory: Explanations::new(rules.remembered_requests),
+            memory: DecisionLog::new(rules.remembered_requests),
             now_ms: 0,
             nonce: seed,
             shutting_down: false,
@@ -317,11 +317,11 @@
 
     /// What was decided about a request, if it is still remembered.
     #[must_use]
-    pub fn explain(&self, request: RequestId) -> Option<&Remembered> {
+    pub fn explain(&self, request: RequestId) -> Option<&RequestHistory> {
         self.memory.get(request)
     }
 
-    fn record(&mut self, request: RequestId, decided: Decided) {
+    fn record(&mut self, request: RequestId, decided: LoggedDecision) {
         self.memory.record(self.now_ms, request, decided);
     }
 
@@ -341,7 +341,7 @@
 
     fn tell_vouched(&mut self, request: RequestId, failure: Failure, name: Option<IdempotencyKey>) {
         let Some(name) = name else {
-            self.record(request, Decided::Failed(failure));
+            self.record(request, LoggedDecision::Failed(failure));
             self.steps.push(EntryStep::Fail { request, failure });
             return;
         };
--- a/lib/src/entry/state/attempts.rs
+++ b/lib/src/entry/state/attempts.rs
@@ -4,7 +4,7 @@
 use super::AnswerEnd;
 use super::Arc;
 use super::AttemptId;
-use super::Decided;
+use super::LoggedDecision;
 use super::EntryMessage;
 use super::EntryState;
 use super::EntryStep;
@@ -105,7 +105,7 @@
     /// one must not push others out of the memory.
     fn note_declined(&mut self, request: RequestId, agent: &Arc<str>) {
         if self.memory.get(request).is_some() {
-            let declined = Decided::Declined {
+            let declined = LoggedDecision::Declined {
                 agent: agent.clone(),
             };
             self.record(request, declined);
@@ -178,7 +178,7 @@
             retain: run.submission.named.is_some(),
             call: run.submission.call.clone(),
         };
-        let dispatched = Decided::Dispatched {
+        let dispatched = LoggedDecision::Dispatched {
             attempt: id,
             agent: agent.clone(),
         };
@@ -201,7 +201,7 @@
         };
         let attempt = attempt.clone();
         let is_abandoned = matches!(run.phase, Phase::Abandoned(_));
-        let ended = Decided::Ended {
+        let ended = LoggedDecision::Ended {
             attempt: id,
             end: end.clone(),
         };
@@ -327,7 +327,7 @@
         if attempt.id != id || attempt.agent != *agent {
             return;
         }
-        let settled = Decided::Settled {
+        let settled = LoggedDecision::Settled {
             agent: agent.clone(),
             settlement,
         };
--- a/lib/src/entry/state/links.rs
+++ b/lib/src/entry/state/links.rs
@@ -3,7 +3,7 @@
 use super::AnswerEnd;
 use super::Arc;
 use super::Catalog;
-use super::Decided;
+use super::LoggedDecision;
 use super::EntryMessage;
 use super::EntryState;
 use super::EntryStep;
@@ -35,7 +35,7 @@
             return;
         };
         let cancel = matches!(run.phase, Phase::Abandoned(_)) && !run.submission.non_idempotent;
-        let asked_after = Decided::AskedAfter {
+        let asked_after = LoggedDecision::QueriedAttempt {
             agent: attempt.agent.clone(),
         };
         self.record(request, asked_after);
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -4,7 +4,7 @@
 use super::AttemptId;
 use super::ClaimDecision;
 use super::ClaimRequest;
-use super::Decided;
+use super::LoggedDecision;
 use super::EntryMessage;
 use super::EntryState;
 use super::EntryStep;
@@ -151,7 +151,7 @@
             return;
         }
         run.held_grant = Some((agent.clone(), grant));
-        let held = Decided::Held {
+        let held = LoggedDecision::Held {
             agent: agent.clone(),
         };
         self.record(request, held);
--- a/lib/src/entry/state/waiting.rs
+++ b/lib/src/entry/state/waiting.rs
@@ -2,7 +2,7 @@
 
 use super::Admission;
 use super::Arc;
-use super::Decided;
+use super::LoggedDecision;
 use super::EntryMessage;
 use super::EntryState;
 use super::Failure;
@@ -49,7 +49,7 @@
         self.queue.insert(run.place());
         self.timers
             .set(run.submission.deadline_at_ms, TimerKind::Deadline, request);
-        let admitted = Decided::Admitted {
+        let admitted = LoggedDecision::Admitted {
             tier: run.submission.tier(),
             customer: run.submission.customer.name.clone(),
         };
@@ -187,7 +187,7 @@
         }
         self.record(
             request,
-            Decided::Asked {
+            LoggedDecision::Asked {
                 agent: agent.clone(),
             },
         );
@@ -257,7 +257,7 @@
         };
         run.refused.insert(agent.clone(), until_ms);
         run.too_late += usize::from(reason == RefusalReason::TooLate);
-        let refused = Decided::Refused {
+        let refused = LoggedDecision::Refused {
             agent: agent.clone(),
             reason,
         };
@@ -312,7 +312,7 @@
         };
         let phase = run.phase.clone();
         let outcome = run.outcome();
-        self.record(request, Decided::CallerGone);
+        self.record(request, LoggedDecision::CallerGone);
         match phase {
             Phase::Waiting => {
                 let outcome = outcome.into();
