--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -22,4 +22,4 @@
 pub mod state;
 pub mod store_records;
 pub mod timers;
-pub mod work_estimates;
+pub mod output_estimator;
--- a/lib/src/entry/work_estimates.rs
+++ b/lib/src/entry/output_estimator.rs
@@ -47,9 +47,9 @@
 /// Output lengths by profile.
 ///
 /// ```
-/// use sardinewood::entry::work_estimates::WorkEstimates;
+/// use sardinewood::entry::output_estimator::OutputEstimator;
 ///
-/// let mut estimates = WorkEstimates::default();
+/// let mut estimates = OutputEstimator::default();
 /// assert_eq!(estimates.output_tokens("lookup", 50), None, "nothing was seen");
 /// for output_tokens in [40, 50, 60, 40, 50, 60, 50, 5_000] {
 ///     estimates.observe(&"lookup".into(), output_tokens);
@@ -57,11 +57,11 @@
 /// assert_eq!(estimates.output_tokens("lookup", 50), Some(50));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct WorkEstimates {
+pub struct OutputEstimator {
     by_profile: IndexMap<Arc<str>, Seen>,
 }
 
-impl WorkEstimates {
+impl OutputEstimator {
     /// Takes a whole answer in.
     pub fn observe(&mut self, profile: &Arc<str>, output_tokens: u32) {
         if self.by_profile.len() >= PROFILES && !self.by_profile.contains_key(profile) {
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -37,7 +37,7 @@
 use crate::entry::run::Run;
 use crate::entry::timers::TimerKind;
 use crate::entry::timers::Timers;
-use crate::entry::work_estimates::WorkEstimates;
+use crate::entry::output_estimator::OutputEstimator;
 use crate::ids::AttemptId;
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
@@ -184,7 +184,7 @@
     limits: ProfileLimiter,
     /// Requests that wait for room among the concurrent ones of their profile, by profile.
     parked: IndexMap<Arc<str>, IndexSet<RequestId>>,
-    estimates: WorkEstimates,
+    estimates: OutputEstimator,
     appointments: StartedAppointments,
     memory: DecisionLog,
     /// The time of the event that is handled.
@@ -215,7 +215,7 @@
             limits: ProfileLimiter::default(),
             parked: IndexMap::new(),
             appointments: StartedAppointments::new(MAX_APPOINTMENTS),
-            estimates: WorkEstimates::default(),
+            estimates: OutputEstimator::default(),
             memory: DecisionLog::new(rules.remembered_requests),
             now_ms: 0,
             nonce: seed,
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -56,4 +56,4 @@
 mod test_tls;
 mod test_whole_once;
 mod test_whole_path;
-mod test_work_estimates;
+mod test_output_estimator;
--- a/lib/tests/test_work_estimates.rs
+++ b/lib/tests/test_output_estimator.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use sardinewood::entry::work_estimates::WorkEstimates;
+use sardinewood::entry::output_estimator::OutputEstimator;
 
 #[test]
 fn output_tokens_a_long_answer_does_not_move_the_quantile() {
-    let mut estimates = WorkEstimates::default();
+    let mut estimates = OutputEstimator::default();
     let lookup: Arc<str> = "lookup".into();
     for _ in 0..50 {
         estimates.observe(&lookup, 60);
@@ -17,7 +17,7 @@
 
 #[test]
 fn output_tokens_follows_the_latest_answers() {
-    let mut estimates = WorkEstimates::default();
+    let mut estimates = OutputEstimator::default();
     let lookup: Arc<str> = "lookup".into();
     for output_tokens in [60, 600] {
         for _ in 0..300 {
@@ -29,6 +29,6 @@
 
 #[test]
 fn output_tokens_unknown_profile_is_unknown() {
-    let estimates = WorkEstimates::default();
+    let estimates = OutputEstimator::default();
     assert_eq!(estimates.output_tokens("lookup", 50), None);
 }
