--- a/lib/src/entry/admission.rs
+++ b/lib/src/entry/admission.rs
@@ -32,7 +32,7 @@
 
 /// A request's place in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct QueuedRequest {
     /// The request.
     pub request: RequestId,
     /// Its importance.
@@ -55,16 +55,16 @@
 /// Requests that wait, by tier and then by arrival.
 ///
 /// ```
-/// use sardinewood::entry::admission::{Admission, Place, QueueLimits, WaitingQueue};
+/// use sardinewood::entry::admission::{Admission, QueuedRequest, QueueLimits, WaitingQueue};
 /// use sardinewood::ids::RequestId;
 /// use sardinewood::config::objects::Tier;
 ///
 /// let mut queue = WaitingQueue::new(QueueLimits { max_requests: 1, max_body_bytes: 100 });
-/// let lookup = Place { request: RequestId(1), tier: Tier(3), arrived_ms: 0, body_bytes: 10 };
+/// let lookup = QueuedRequest { request: RequestId(1), tier: Tier(3), arrived_ms: 0, body_bytes: 10 };
 /// queue.insert(lookup);
-/// let summary = Place { request: RequestId(2), tier: Tier(0), arrived_ms: 5, body_bytes: 10 };
+/// let summary = QueuedRequest { request: RequestId(2), tier: Tier(0), arrived_ms: 5, body_bytes: 10 };
 /// assert_eq!(queue.admit(summary), Admission::Admit { give_way: vec![RequestId(1)] });
-/// let other = Place { request: RequestId(3), ..lookup };
+/// let other = QueuedRequest { request: RequestId(3), ..lookup };
 /// assert_eq!(queue.admit(other), Admission::Full);
 /// ```
 #[derive(Debug)]
@@ -132,7 +132,7 @@
     /// Whether `place` may wait, and which requests give way to it. The youngest of the
     /// lowest tier goes first: it has waited least, so the least is lost with it.
     #[must_use]
-    pub fn admit(&self, place: Place) -> Admission {
+    pub fn admit(&self, place: QueuedRequest) -> Admission {
         let mut requests = self.requests + 1;
         let mut body_bytes = self.body_bytes + place.body_bytes;
         let mut give_way = Vec::new();
@@ -149,7 +149,7 @@
     }
 
     /// Puts a request into the queue.
-    pub fn insert(&mut self, place: Place) {
+    pub fn insert(&mut self, place: QueuedRequest) {
         let key = (place.arrived_ms, place.request, place.body_bytes);
         if self.tiers[place.tier.index()].insert(key) {
             self.requests += 1;
@@ -158,7 +158,7 @@
     }
 
     /// Takes a request out of the queue.
-    pub fn remove(&mut self, place: Place) {
+    pub fn remove(&mut self, place: QueuedRequest) {
         let key = (place.arrived_ms, place.request, place.body_bytes);
         if self.tiers[place.tier.index()].remove(&key) {
             self.requests -= 1;
--- a/lib/src/entry/run.rs
+++ b/lib/src/entry/run.rs
@@ -7,7 +7,7 @@
 
 use crate::caller::submission::Submission;
 use crate::claims::object::Holder;
-use crate::entry::admission::Place;
+use crate::entry::admission::QueuedRequest;
 use crate::ids::AttemptId;
 use crate::ids::GrantId;
 use crate::link::wire::AnswerEnd;
@@ -113,8 +113,8 @@
 
     /// Its place in the queue of requests that wait.
     #[must_use]
-    pub fn place(&self) -> Place {
-        Place {
+    pub fn place(&self) -> QueuedRequest {
+        QueuedRequest {
             request: self.submission.request,
             tier: self.submission.tier(),
             arrived_ms: self.arrived_ms,
