--- a/lib/src/entry/admission.rs
+++ b/lib/src/entry/admission.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It waits; these, all less important, give way to it.
-    Admit { give_way: Vec<RequestId> },
+    Admit { evicted: Vec<RequestId> },
     /// All that waits is at least as important.
     Full,
 }
@@ -63,7 +63,7 @@
 /// let lookup = QueuedRequest { request: RequestId(1), tier: Tier(3), arrived_ms: 0, body_bytes: 10 };
 /// queue.insert(lookup);
 /// let summary = QueuedRequest { request: RequestId(2), tier: Tier(0), arrived_ms: 5, body_bytes: 10 };
-/// assert_eq!(queue.admit(summary), Admission::Admit { give_way: vec![RequestId(1)] });
+/// assert_eq!(queue.admit(summary), Admission::Admit { evicted: vec![RequestId(1)] });
 /// let other = QueuedRequest { request: RequestId(3), ..lookup };
 /// assert_eq!(queue.admit(other), Admission::Full);
 /// ```
@@ -135,7 +135,7 @@
     pub fn admit(&self, place: QueuedRequest) -> Admission {
         let mut requests = self.requests + 1;
         let mut body_bytes = self.body_bytes + place.body_bytes;
-        let mut give_way = Vec::new();
+        let mut evicted = Vec::new();
         let mut lower = self.less_important(place.tier);
         while requests > self.limits.max_requests || body_bytes > self.limits.max_body_bytes {
             let Some((request, bytes)) = lower.next() else {
@@ -143,9 +143,9 @@
             };
             requests -= 1;
             body_bytes -= bytes;
-            give_way.push(request);
+            evicted.push(request);
         }
-        Admission::Admit { give_way }
+        Admission::Admit { evicted }
     }
 
     /// Puts a request into the queue.
--- a/lib/src/entry/state/waiting.rs
+++ b/lib/src/entry/state/waiting.rs
@@ -35,13 +35,13 @@
             self.tell_refusal(&run, failure);
             return;
         }
-        let Admission::Admit { give_way } = self.queue.admit(run.place()) else {
+        let Admission::Admit { evicted } = self.queue.admit(run.place()) else {
             let failure = Failure::not_run(FailureReason::QueueFull);
             let failure = failure.retry_after(self.rules.retry_after_ms);
             self.tell_refusal(&run, failure);
             return;
         };
-        for other in give_way {
+        for other in evicted {
             self.fail_waiting(other, FailureReason::GaveWay);
         }
         self.budget.earn(run.submission.tier());
