--- a/lib/src/entry/candidates.rs
+++ b/lib/src/entry/candidates.rs
@@ -113,13 +113,13 @@
 /// How links are chosen.
 ///
 /// ```
-/// use sardinewood::entry::candidates::LinkChoice;
+/// use sardinewood::entry::candidates::LinkPolicy;
 ///
-/// let choice = LinkChoice { entry: "entry-1".into(), data_centre: "wdh-1".into(), max_links: 192 };
+/// let choice = LinkPolicy { entry: "entry-1".into(), data_centre: "wdh-1".into(), max_links: 192 };
 /// assert_eq!(choice.per_target(2), 96);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LinkChoice {
+pub struct LinkPolicy {
     /// The name of this entry, which spreads the entries over the agents.
     pub entry: Arc<str>,
     /// Where this entry stands; near agents are linked first.
@@ -133,7 +133,7 @@
 /// candidates, so that there is a choice.
 const MIN_LINKS_PER_TARGET: usize = 8;
 
-impl LinkChoice {
+impl LinkPolicy {
     /// Links kept for each of so many targets.
     #[must_use]
     pub fn per_target(&self, targets: usize) -> usize {
@@ -144,7 +144,7 @@
 /// All agents that an entry knows.
 #[derive(Debug)]
 pub struct AgentTable {
-    choice: LinkChoice,
+    choice: LinkPolicy,
     agents: IndexMap<Arc<str>, Agent>,
     linked_by_target: IndexMap<Target, Vec<Arc<str>>>,
     hints: PrefixHints,
@@ -158,7 +158,7 @@
 impl AgentTable {
     /// A table without agents.
     #[must_use]
-    pub fn new(choice: LinkChoice) -> Self {
+    pub fn new(choice: LinkPolicy) -> Self {
         Self {
             choice,
             agents: IndexMap::new(),
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -23,7 +23,7 @@
 use crate::entry::admission::WaitingQueue;
 use crate::entry::appointments::StartedAppointments;
 use crate::entry::candidates::AgentTable;
-use crate::entry::candidates::LinkChoice;
+use crate::entry::candidates::LinkPolicy;
 use crate::entry::candidates::Wanted;
 pub use crate::entry::events::EntryEvent;
 pub use crate::entry::events::EntryStep;
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryRules {
     /// Which agents are linked.
-    pub links: LinkChoice,
+    pub links: LinkPolicy,
     /// How much may wait.
     pub queue: QueueLimits,
     /// How many agents are asked for a grant at one time.
@@ -113,7 +113,7 @@
     #[must_use]
     pub fn new(entry: Arc<str>, data_centre: Arc<str>) -> Self {
         Self {
-            links: LinkChoice {
+            links: LinkPolicy {
                 entry,
                 data_centre,
                 max_links: 192,
