--- a/lib/src/entry/candidates.rs
+++ b/lib/src/entry/candidates.rs
@@ -53,7 +53,7 @@
     /// Requests with an attempt there.
     pub running: IndexSet<RequestId>,
     /// It is not asked before this time.
-    pub closed_until_ms: u64,
+    pub backoff_until_ms: u64,
     /// The incarnation and sequence of the newest grant that came from it.
     pub newest_grant: Option<(Incarnation, u64)>,
 }
@@ -70,7 +70,7 @@
             heard_at_ms: None,
             reserved: IndexSet::new(),
             running: IndexSet::new(),
-            closed_until_ms: 0,
+            backoff_until_ms: 0,
             newest_grant: None,
         }
     }
@@ -89,13 +89,13 @@
         self.configured
             && self.linked.is_some()
             && self.upstream.activity == Activity::Active
-            && self.closed_until_ms <= now_ms
+            && self.backoff_until_ms <= now_ms
     }
 }
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct PlacementRequest<'a> {
     /// What the request asks for.
     pub target: &'a Target,
     /// Tokens of its prompt.
@@ -209,7 +209,7 @@
     }
 
     /// Whether `is_out` holds for each agent that could be asked for `target`.
-    pub fn are_all_out(&self, target: &Target, is_out: impl Fn(&str) -> bool) -> bool {
+    pub fn all_agents_match(&self, target: &Target, is_out: impl Fn(&str) -> bool) -> bool {
         self.linked_by_target
             .get(target)
             .is_none_or(|names| names.iter().all(|name| is_out(name)))
@@ -258,7 +258,7 @@
     /// Chooses the agents to ask, the most promising first.
     pub fn choose(
         &self,
-        wanted: Wanted<'_>,
+        wanted: PlacementRequest<'_>,
         now_ms: u64,
         excluded: impl Fn(&str) -> bool,
     ) -> Vec<Arc<str>> {
@@ -290,7 +290,7 @@
 
     /// Expected time to the end of the answer there in microseconds, with what it costs the
     /// others.
-    fn score(&self, agent: &Agent, wanted: Wanted<'_>, cached_tokens: u32) -> u64 {
+    fn score(&self, agent: &Agent, wanted: PlacementRequest<'_>, cached_tokens: u32) -> u64 {
         let load = agent.load;
         let step_us = nonzero_or(u64::from(load.step_us), UNKNOWN_STEP_US);
         let missing_tokens = wanted.prompt_tokens.saturating_sub(cached_tokens);
@@ -323,7 +323,7 @@
     /// Tokens of the prompt that are likely to be cached, by agent. A prefix that is cached
     /// nowhere has a home, so that entries that don't know of each other's requests begin
     /// at the same agent.
-    fn cached_tokens(&self, wanted: Wanted<'_>, names: &[Arc<str>], now_ms: u64) -> Cached {
+    fn cached_tokens(&self, wanted: PlacementRequest<'_>, names: &[Arc<str>], now_ms: u64) -> Cached {
         let Some(first_block) = wanted.prefix.first() else {
             return Cached::new();
         };
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -24,7 +24,7 @@
 use crate::entry::appointments::StartedAppointments;
 use crate::entry::candidates::AgentTable;
 use crate::entry::candidates::LinkPolicy;
-use crate::entry::candidates::Wanted;
+use crate::entry::candidates::PlacementRequest;
 pub use crate::entry::events::EntryEvent;
 pub use crate::entry::events::EntryStep;
 pub use crate::entry::events::FinishedAs;
--- a/lib/src/entry/state/links.rs
+++ b/lib/src/entry/state/links.rs
@@ -18,7 +18,7 @@
             return;
         };
         known.linked = Some(incarnation);
-        known.closed_until_ms = 0;
+        known.backoff_until_ms = 0;
         let running: Vec<_> = known.running.iter().copied().collect();
         for request in running {
             self.ask_after(request);
--- a/lib/src/entry/state/waiting.rs
+++ b/lib/src/entry/state/waiting.rs
@@ -14,7 +14,7 @@
 use super::Run;
 use super::Submission;
 use super::TimerKind;
-use super::Wanted;
+use super::PlacementRequest;
 use crate::entry::run::Attempt;
 use crate::link::wire::RefusalReason;
 
@@ -152,7 +152,7 @@
             return;
         };
         let missing = self.rules.candidates.saturating_sub(run.reserved.len());
-        let wanted = Wanted {
+        let wanted = PlacementRequest {
             target: &run.submission.target,
             prompt_tokens: run.submission.estimate.prompt_tokens,
             output_tokens: run.submission.estimate.expected_output_tokens,
@@ -210,7 +210,7 @@
         let is_out = |agent: &str| run.tried.contains(agent);
         let nowhere_left = run.reserved.is_empty()
             && !run.tried.is_empty()
-            && self.agents.are_all_out(&run.submission.target, is_out);
+            && self.agents.all_agents_match(&run.submission.target, is_out);
         if nowhere_left {
             self.fail_waiting(request, FailureReason::UpstreamFailed);
             return;
@@ -240,7 +240,7 @@
         if let Some(known) = self.agents.get_mut(agent) {
             known.reserved.swap_remove(&request);
             if matches!(reason, RefusalReason::Leaving | RefusalReason::UpstreamDown) {
-                known.closed_until_ms = until_ms;
+                known.backoff_until_ms = until_ms;
             }
         }
         let Some(run) = self.runs.get_mut(&request) else {
@@ -280,7 +280,7 @@
         }
         let is_out = |agent: &str| run.refused.get(agent) == Some(&NEVER_MS);
         run.too_late >= self.rules.candidates
-            || self.agents.are_all_out(&run.submission.target, is_out)
+            || self.agents.all_agents_match(&run.submission.target, is_out)
     }
 
     /// Takes a request out of the queue and its reservations back.
