--- a/lib/src/entry/candidates.rs
+++ b/lib/src/entry/candidates.rs
@@ -338,8 +338,8 @@
     }
 
     /// A prompt with these leading blocks is sent to `agent`.
-    pub fn note_prefix(&mut self, prefix: &[u64], agent: &Arc<str>, now_ms: u64) {
-        self.hints.note(prefix, agent, now_ms);
+    pub fn record_prefix(&mut self, prefix: &[u64], agent: &Arc<str>, now_ms: u64) {
+        self.hints.record(prefix, agent, now_ms);
     }
 
     /// What the upstream of `agent` had cached is gone.
--- a/lib/src/entry/prefix_hints.rs
+++ b/lib/src/entry/prefix_hints.rs
@@ -26,7 +26,7 @@
 /// use sardinewood::entry::prefix_hints::PrefixHints;
 ///
 /// let mut hints = PrefixHints::default();
-/// hints.note(&[1, 2, 3], &"lang-1".into(), 1_000);
+/// hints.record(&[1, 2, 3], &"lang-1".into(), 1_000);
 /// assert_eq!(hints.cached_blocks(&[1, 2, 9], 2_000), [("lang-1".into(), 2)]);
 /// assert!(hints.cached_blocks(&[1, 2, 9], 100_000).is_empty(), "too old");
 /// ```
@@ -39,7 +39,7 @@
 
 impl PrefixHints {
     /// A prompt with these leading blocks goes to `agent`.
-    pub fn note(&mut self, prefix: &[u64], agent: &Arc<str>, now_ms: u64) {
+    pub fn record(&mut self, prefix: &[u64], agent: &Arc<str>, now_ms: u64) {
         for block in prefix {
             let agents = self.place(*block);
             agents.retain(|(name, at_ms)| name != agent && at_ms + MAX_AGE_MS > now_ms);
--- a/lib/src/entry/state/attempts.rs
+++ b/lib/src/entry/state/attempts.rs
@@ -148,7 +148,7 @@
             return;
         };
         self.agents
-            .note_prefix(&run.submission.estimate.prefix, agent, now_ms);
+            .record_prefix(&run.submission.estimate.prefix, agent, now_ms);
         if let Some(appointment) = &run.submission.appointment {
             self.appointments
                 .insert(&run.submission.customer.name, appointment);
