--- a/lib/src/entry/profile_limits.rs
+++ b/lib/src/entry/profile_limits.rs
@@ -128,7 +128,7 @@
 
     /// Whether one more request may be placed or run.
     #[must_use]
-    pub fn has_room(&self, profile: &Profile, entries: u64) -> bool {
+    pub fn can_start(&self, profile: &Profile, entries: u64) -> bool {
         let Some(concurrent) = share(profile.limits.concurrent.map(u64::from), entries) else {
             return true;
         };
--- a/lib/src/entry/state/limits.rs
+++ b/lib/src/entry/state/limits.rs
@@ -39,7 +39,7 @@
         }
         let profile = run.submission.profile.clone();
         let entries = self.agents.entries(&run.submission.target);
-        if !self.limits.has_room(&profile, entries) {
+        if !self.limits.can_start(&profile, entries) {
             let parked = self.parked.entry(profile.name.clone()).or_default();
             parked.insert(request);
             return false;
