--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -175,7 +175,7 @@
                 let steps = self.entries[entry].claims.claim(self.now_ms, asked);
                 self.follow_claims(entry, steps);
             }
-            EntryStep::Vouch {
+            EntryStep::ConfirmNotRun {
                 request,
                 name,
                 failure,
--- a/bench/src/own_policy/entries.rs
+++ b/bench/src/own_policy/entries.rs
@@ -77,7 +77,7 @@
                 }
             }
             EntryStep::Claim { .. }
-            | EntryStep::Vouch { .. }
+            | EntryStep::ConfirmNotRun { .. }
             | EntryStep::AwaitTurn { .. }
             | EntryStep::Finished { .. } => {}
         }
--- a/lib/src/entry/control.rs
+++ b/lib/src/entry/control.rs
@@ -266,7 +266,7 @@
     ) -> Vec<EntryEvent> {
         match step {
             EntryStep::Claim(asked) => return self.records.claim(now_ms, asked),
-            EntryStep::Vouch {
+            EntryStep::ConfirmNotRun {
                 request,
                 name,
                 failure,
@@ -329,7 +329,7 @@
             EntryStep::Dial { .. }
             | EntryStep::HangUp { .. }
             | EntryStep::Claim(_)
-            | EntryStep::Vouch { .. }
+            | EntryStep::ConfirmNotRun { .. }
             | EntryStep::AwaitTurn { .. }
             | EntryStep::Finished { .. } => {}
         }
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -109,7 +109,7 @@
     Claim(ClaimRequest),
     /// Look whether the name may have run through another entry before its caller hears
     /// that it did not.
-    Vouch {
+    ConfirmNotRun {
         request: RequestId,
         name: IdempotencyKey,
         failure: Failure,
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -346,7 +346,7 @@
             return;
         };
         self.vouching.insert(request);
-        self.steps.push(EntryStep::Vouch {
+        self.steps.push(EntryStep::ConfirmNotRun {
             request,
             name,
             failure,
