--- a/bench/src/faults/world_entries.rs
+++ b/bench/src/faults/world_entries.rs
@@ -166,7 +166,7 @@
                     self.redial_later(entry, agent);
                 }
             }
-            EntryStep::HangUp { agent } => {
+            EntryStep::CloseLink { agent } => {
                 if let Some(agent) = self.agent_number(&agent) {
                     self.hang_up(entry, agent);
                 }
--- a/bench/src/own_policy/entries.rs
+++ b/bench/src/own_policy/entries.rs
@@ -70,7 +70,7 @@
                     self.dial(world, entry, upstream);
                 }
             }
-            EntryStep::HangUp { agent } => {
+            EntryStep::CloseLink { agent } => {
                 if let Some(upstream) = self.upstreams.get_index_of(&agent) {
                     self.wanted.swap_remove(&(entry, upstream));
                     self.drop_link(world, entry, upstream);
--- a/lib/src/entry/control.rs
+++ b/lib/src/entry/control.rs
@@ -280,7 +280,7 @@
                 outcome,
             } => return self.records.finish(now_ms, request, order, outcome),
             EntryStep::Dial { agent, address } => self.dial(agent, address, links),
-            EntryStep::HangUp { agent } => {
+            EntryStep::CloseLink { agent } => {
                 if let Some(link) = links.swap_remove(&agent) {
                     link.abort();
                 }
@@ -327,7 +327,7 @@
                 routes.tell(request, CallerNote::Fail(failure));
             }
             EntryStep::Dial { .. }
-            | EntryStep::HangUp { .. }
+            | EntryStep::CloseLink { .. }
             | EntryStep::Claim(_)
             | EntryStep::ConfirmNotRun { .. }
             | EntryStep::AwaitTurn { .. }
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -128,7 +128,7 @@
         address: SocketAddr,
     },
     /// Close the link to this agent.
-    HangUp { agent: Arc<str> },
+    CloseLink { agent: Arc<str> },
 }
 
 /// How a request ended, for those who keep its name or its order.
--- a/lib/src/entry/state/links.rs
+++ b/lib/src/entry/state/links.rs
@@ -176,7 +176,7 @@
             .collect();
         for agent in unwanted {
             self.link_lost(now_ms, &agent);
-            self.steps.push(EntryStep::HangUp { agent });
+            self.steps.push(EntryStep::CloseLink { agent });
         }
         for (agent, address) in &wanted {
             if self.dialled.get(agent) != Some(address) {
