--- a/bench/src/faults/world_records.rs
+++ b/bench/src/faults/world_records.rs
@@ -64,7 +64,7 @@
                     },
                 ),
                 OrderStep::Settle { holder } => {
-                    self.decide_entry(entry, EntryEvent::Inquire { holder });
+                    self.decide_entry(entry, EntryEvent::QueryAttempt { holder });
                 }
                 OrderStep::Turn { request } => self.decide_entry(
                     entry,
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -55,7 +55,7 @@
         passed: bool,
     },
     /// Ask the agent what became of an attempt that this entry did not dispatch.
-    Inquire { holder: Holder },
+    QueryAttempt { holder: Holder },
     /// The reader of an answer has come to its end.
     Ended {
         attempt: AttemptId,
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -249,7 +249,7 @@
                 end,
                 passed,
             } => self.follower_ended(now_ms, request, &end, passed),
-            EntryEvent::Inquire { holder } => self.inquire(&holder),
+            EntryEvent::QueryAttempt { holder } => self.inquire(&holder),
             EntryEvent::Measured {
                 request,
                 output_tokens,
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -236,7 +236,7 @@
                     place,
                     replace,
                 } => self.call_bar(order, place, replace),
-                OrderStep::Settle { holder } => events.push(EntryEvent::Inquire { holder }),
+                OrderStep::Settle { holder } => events.push(EntryEvent::QueryAttempt { holder }),
                 OrderStep::Turn { request } => events.push(EntryEvent::Turn {
                     request,
                     refused: None,
