--- a/bench/src/faults/world_records.rs
+++ b/bench/src/faults/world_records.rs
@@ -68,14 +68,14 @@
                 }
                 OrderStep::Turn { request } => self.decide_entry(
                     entry,
-                    EntryEvent::Turn {
+                    EntryEvent::TurnDecided {
                         request,
                         refused: None,
                     },
                 ),
                 OrderStep::Refuse { request, failure } => self.decide_entry(
                     entry,
-                    EntryEvent::Turn {
+                    EntryEvent::TurnDecided {
                         request,
                         refused: Some(failure),
                     },
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -31,7 +31,7 @@
         decision: ClaimDecision,
     },
     /// The turn that [`EntryStep::AwaitTurn`] asked for has come, or never will.
-    Turn {
+    TurnDecided {
         request: RequestId,
         refused: Option<Failure>,
     },
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -233,7 +233,7 @@
         match event {
             EntryEvent::Submitted(submission) => self.submit(now_ms, *submission),
             EntryEvent::Claimed { request, decision } => self.claimed(now_ms, request, decision),
-            EntryEvent::Turn { request, refused } => self.turn(now_ms, request, refused),
+            EntryEvent::TurnDecided { request, refused } => self.turn(now_ms, request, refused),
             EntryEvent::Agent { agent, message } => self.agent_said(now_ms, &agent, message),
             EntryEvent::LinkUp { agent, incarnation } => {
                 self.link_up(now_ms, &agent, incarnation);
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -237,11 +237,11 @@
                     replace,
                 } => self.call_bar(order, place, replace),
                 OrderStep::Settle { holder } => events.push(EntryEvent::QueryAttempt { holder }),
-                OrderStep::Turn { request } => events.push(EntryEvent::Turn {
+                OrderStep::Turn { request } => events.push(EntryEvent::TurnDecided {
                     request,
                     refused: None,
                 }),
-                OrderStep::Refuse { request, failure } => events.push(EntryEvent::Turn {
+                OrderStep::Refuse { request, failure } => events.push(EntryEvent::TurnDecided {
                     request,
                     refused: Some(failure),
                 }),
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -1002,7 +1002,7 @@
     let steps = scene.submit(ordered);
     assert!(reserves(&steps).is_empty());
     assert!(matches!(steps.as_slice(), [EntryStep::AwaitTurn { .. }]));
-    let steps = scene.take(EntryEvent::Turn {
+    let steps = scene.take(EntryEvent::TurnDecided {
         request: RequestId(1),
         refused: None,
     });
