--- a/bench/src/faults/world_faults.rs
+++ b/bench/src/faults/world_faults.rs
@@ -246,7 +246,7 @@
     pub(super) fn shut_entry_down(&mut self, fault: Fault) {
         let entry = fault.entry;
         self.post_to_entry(entry, 0, EntryInput::Event(EntryEvent::ShutDown));
-        let over = EntryInput::Event(EntryEvent::GraceOver);
+        let over = EntryInput::Event(EntryEvent::GracePeriodEnded);
         self.post_to_entry(entry, GRACE_MS, over);
         self.schedule(self.now_ms + DRAIN_LOOK_MS, Event::Heal(fault));
     }
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -74,10 +74,10 @@
     HostGone { agent: Arc<str> },
     /// A new configuration is in force.
     CatalogChanged(Arc<Catalog>),
-    /// No new requests; those that wait go on until [`EntryEvent::GraceOver`].
+    /// No new requests; those that wait go on until [`EntryEvent::GracePeriodEnded`].
     ShutDown,
     /// What still waits is handed back.
-    GraceOver,
+    GracePeriodEnded,
     /// Time has passed.
     Tick,
 }
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -234,7 +234,7 @@
         let _stopped = self.events.send(EntryEvent::ShutDown);
         let half = self.grace / 2;
         if timeout(half, self.drained()).await.is_err() {
-            let _stopped = self.events.send(EntryEvent::GraceOver);
+            let _stopped = self.events.send(EntryEvent::GracePeriodEnded);
             let _late = timeout(half, self.drained()).await;
         }
         self.stop_listening.cancel();
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -258,7 +258,7 @@
             EntryEvent::HostGone { agent } => self.host_gone(now_ms, &agent),
             EntryEvent::CatalogChanged(catalog) => self.catalog_changed(now_ms, &catalog),
             EntryEvent::ShutDown => self.shutting_down = true,
-            EntryEvent::GraceOver => self.hand_back_waiting(),
+            EntryEvent::GracePeriodEnded => self.hand_back_waiting(),
             EntryEvent::Tick => self.tick(now_ms),
         }
         if self.links_changed {
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -731,7 +731,7 @@
     let steps = scene.submit(submission(3, 0));
     assert_failed(&steps, Outcome::NotRun, FailureReason::ShuttingDown);
     assert_eq!(dispatches(&scene.grant("a", 1)).len(), 1);
-    let steps = scene.take(EntryEvent::GraceOver);
+    let steps = scene.take(EntryEvent::GracePeriodEnded);
     assert_failed(&steps, Outcome::NotRun, FailureReason::ShuttingDown);
     assert!(!scene.entry.is_drained(), "the first one still runs");
     scene.end(1, 1, complete(), true);
