--- a/bench/src/faults/world_records.rs
+++ b/bench/src/faults/world_records.rs
@@ -4,7 +4,7 @@
 use sardinewood::claims::ClaimStep;
 use sardinewood::claims::object::StoreResponse;
 use sardinewood::entry::state::EntryEvent;
-use sardinewood::entry::state::FinishedAs;
+use sardinewood::entry::state::RequestOutcome;
 use sardinewood::ids::RequestId;
 use sardinewood::ordering::queue::BarResponse;
 use sardinewood::ordering::queue::OrderKey;
@@ -90,14 +90,14 @@
         entry: usize,
         request: RequestId,
         order: Option<OrderKey>,
-        outcome: FinishedAs,
+        outcome: RequestOutcome,
     ) {
-        let may_have_run = outcome != FinishedAs::NotRun;
+        let may_have_run = outcome != RequestOutcome::NotRun;
         let claims = &mut self.entries[entry].claims;
         let steps = claims.finish(self.now_ms, request, may_have_run);
         self.follow_claims(entry, steps);
         if let Some(order) = order {
-            let may_still_run = outcome == FinishedAs::InDoubt;
+            let may_still_run = outcome == RequestOutcome::InDoubt;
             let orders = &mut self.entries[entry].orders;
             let steps = orders.finish(self.now_ms, order, request, may_still_run);
             self.follow_orders(entry, steps);
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -120,7 +120,7 @@
     Finished {
         request: RequestId,
         order: Option<OrderKey>,
-        outcome: FinishedAs,
+        outcome: RequestOutcome,
     },
     /// Keep a link to this agent.
     Dial {
@@ -133,7 +133,7 @@
 
 /// How a request ended, for those who keep its name or its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinishedAs {
+pub enum RequestOutcome {
     /// The whole answer went to the caller.
     Answered,
     /// It did not run and never will.
@@ -144,7 +144,7 @@
     InDoubt,
 }
 
-impl From<Outcome> for FinishedAs {
+impl From<Outcome> for RequestOutcome {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun => Self::NotRun,
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -27,7 +27,7 @@
 use crate::entry::candidates::PlacementRequest;
 pub use crate::entry::events::EntryEvent;
 pub use crate::entry::events::EntryStep;
-pub use crate::entry::events::FinishedAs;
+pub use crate::entry::events::RequestOutcome;
 use crate::entry::decision_log::LoggedDecision;
 use crate::entry::decision_log::DecisionLog;
 use crate::entry::decision_log::RequestHistory;
@@ -387,7 +387,7 @@
     }
 
     /// Takes a request out of everything that refers to it.
-    fn remove(&mut self, request: RequestId, outcome: FinishedAs) {
+    fn remove(&mut self, request: RequestId, outcome: RequestOutcome) {
         self.leave_queue(request);
         let Some(run) = self.runs.swap_remove(&request) else {
             return;
--- a/lib/src/entry/state/attempts.rs
+++ b/lib/src/entry/state/attempts.rs
@@ -10,7 +10,7 @@
 use super::EntryStep;
 use super::Failure;
 use super::FailureReason;
-use super::FinishedAs;
+use super::RequestOutcome;
 use super::Holder;
 use super::Phase;
 use super::RequestId;
@@ -211,7 +211,7 @@
             return;
         }
         match end {
-            AnswerEnd::Complete { .. } => self.remove(id.request, FinishedAs::Answered),
+            AnswerEnd::Complete { .. } => self.remove(id.request, RequestOutcome::Answered),
             AnswerEnd::NotSent => self.never_sent(now_ms, &attempt),
             AnswerEnd::InDoubt { .. } => self.in_doubt(now_ms, id.request, attempt, passed),
             AnswerEnd::Broken { .. } | AnswerEnd::Cancelled | AnswerEnd::Preempted => {
@@ -244,8 +244,8 @@
             return;
         };
         let outcome = match end {
-            AnswerEnd::NotSent if run.tried.len() == 1 => FinishedAs::NotRun,
-            _ => FinishedAs::Unknown,
+            AnswerEnd::NotSent if run.tried.len() == 1 => RequestOutcome::NotRun,
+            _ => RequestOutcome::Unknown,
         };
         self.remove(id.request, outcome);
     }
@@ -292,7 +292,7 @@
         };
         if passed || run.submission.non_idempotent {
             self.tell_failure(request, Failure::unknown(FailureReason::InDoubt));
-            self.remove(request, FinishedAs::InDoubt);
+            self.remove(request, RequestOutcome::InDoubt);
         } else {
             run.phase = Phase::InDoubt(attempt);
             self.timers
@@ -378,10 +378,10 @@
                 self.ended_abandoned(id, &AnswerEnd::NotSent);
             }
             Settlement::Finished | Settlement::Ended => {
-                self.remove(id.request, FinishedAs::Unknown);
+                self.remove(id.request, RequestOutcome::Unknown);
             }
             Settlement::Running if !goes_on_here => {
-                self.remove(id.request, FinishedAs::InDoubt);
+                self.remove(id.request, RequestOutcome::InDoubt);
             }
             Settlement::Running | Settlement::NeverSent | Settlement::InDoubt => {}
         }
--- a/lib/src/entry/state/followed.rs
+++ b/lib/src/entry/state/followed.rs
@@ -7,7 +7,7 @@
 use super::EntryStep;
 use super::Failure;
 use super::FailureReason;
-use super::FinishedAs;
+use super::RequestOutcome;
 use super::Holder;
 use super::Phase;
 use super::RequestId;
@@ -188,7 +188,7 @@
             return;
         };
         match end {
-            AnswerEnd::Complete { .. } => self.remove(request, FinishedAs::Answered),
+            AnswerEnd::Complete { .. } => self.remove(request, RequestOutcome::Answered),
             _ if passed => {
                 self.fail_with(request, Failure::unknown(FailureReason::UpstreamFailed));
             }
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -10,7 +10,7 @@
 use super::EntryStep;
 use super::Failure;
 use super::FailureReason;
-use super::FinishedAs;
+use super::RequestOutcome;
 use super::Holder;
 use super::IdempotencyKey;
 use super::Outcome;
@@ -223,7 +223,7 @@
 
     /// A follower has left. The attempt goes on for nobody if its own caller has left too.
     pub(super) fn follower_gone(&mut self, request: RequestId, attempt: &Attempt) {
-        self.remove(request, FinishedAs::NotRun);
+        self.remove(request, RequestOutcome::NotRun);
         self.cancel_unwanted(attempt.id.request);
     }
 
@@ -245,13 +245,13 @@
     }
 
     /// Tells those who keep names and orders that a request is over here.
-    pub(super) fn finish_named(&mut self, run: &Run, outcome: FinishedAs) {
+    pub(super) fn finish_named(&mut self, run: &Run, outcome: RequestOutcome) {
         let Some(named) = run.submission.named else {
             return;
         };
         let request = run.submission.request;
         let is_owner = self.names.request(named.name) == Some(request);
-        if is_owner && outcome == FinishedAs::NotRun {
+        if is_owner && outcome == RequestOutcome::NotRun {
             self.names.remove(named.name);
         } else if is_owner {
             self.names.finish(named.name, self.now_ms);
--- a/lib/src/entry/state/waiting.rs
+++ b/lib/src/entry/state/waiting.rs
@@ -7,7 +7,7 @@
 use super::EntryState;
 use super::Failure;
 use super::FailureReason;
-use super::FinishedAs;
+use super::RequestOutcome;
 use super::Outcome;
 use super::Phase;
 use super::RequestId;
@@ -374,7 +374,7 @@
             .get(&request)
             .is_some_and(|run| matches!(run.phase, Phase::Abandoned(_)));
         if abandoned {
-            self.remove(request, FinishedAs::InDoubt);
+            self.remove(request, RequestOutcome::InDoubt);
         }
     }
 
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -23,7 +23,7 @@
 use crate::claims::sweep::ClaimSweep;
 use crate::claims::sweep::SweepStep;
 use crate::entry::state::EntryEvent;
-use crate::entry::state::FinishedAs;
+use crate::entry::state::RequestOutcome;
 use crate::ids::AttemptId;
 use crate::ids::RequestId;
 use crate::link::wire::Settlement;
@@ -139,13 +139,13 @@
         now_ms: u64,
         request: RequestId,
         order: Option<OrderKey>,
-        outcome: FinishedAs,
+        outcome: RequestOutcome,
     ) -> Vec<EntryEvent> {
-        let may_have_run = outcome != FinishedAs::NotRun;
+        let may_have_run = outcome != RequestOutcome::NotRun;
         let steps = self.claims.finish(now_ms, request, may_have_run);
         let mut events = self.follow_claims(steps);
         if let Some(order) = order {
-            let may_still_run = outcome == FinishedAs::InDoubt;
+            let may_still_run = outcome == RequestOutcome::InDoubt;
             let steps = self.orders.finish(now_ms, order, request, may_still_run);
             events.extend(self.follow_orders(steps));
         }
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -22,7 +22,7 @@
 use sardinewood::entry::state::EntryRules;
 use sardinewood::entry::state::EntryState;
 use sardinewood::entry::state::EntryStep;
-use sardinewood::entry::state::FinishedAs;
+use sardinewood::entry::state::RequestOutcome;
 use sardinewood::ids::AttemptId;
 use sardinewood::ids::GrantId;
 use sardinewood::ids::Incarnation;
@@ -806,7 +806,7 @@
     let finished = EntryStep::Finished {
         request: RequestId(1),
         order: None,
-        outcome: FinishedAs::Answered,
+        outcome: RequestOutcome::Answered,
     };
     assert_eq!(steps, [finished]);
 }
