--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -294,7 +294,7 @@
             ..defaults.queue
         },
         candidates: settings.candidates,
-        retain_names_ms: settings.retain_ms,
+        retain_keys_ms: settings.retain_ms,
         claims: true,
         turns: true,
         ..defaults
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -93,9 +93,9 @@
     /// Of how many requests the decisions are remembered.
     pub remembered_requests: usize,
     /// How many names are remembered.
-    pub max_names: usize,
+    pub max_idempotency_keys: usize,
     /// How long a name is remembered after its request is over.
-    pub retain_names_ms: u64,
+    pub retain_keys_ms: u64,
     /// Whether named requests need a claim before their first dispatch.
     pub claims: bool,
     /// Whether requests with an order key need their turn before they are placed.
@@ -126,8 +126,8 @@
             forget_after_ms: 30_000,
             retry_after_ms: 1_000,
             remembered_requests: 4_096,
-            max_names: 50_000,
-            retain_names_ms: 120_000,
+            max_idempotency_keys: 50_000,
+            retain_keys_ms: 120_000,
             claims: false,
             turns: false,
         }
@@ -205,7 +205,7 @@
             agents: AgentTable::new(rules.links.clone()),
             queue: WaitingQueue::new(rules.queue),
             expire_names_at_ms: 0,
-            names: IdempotencyTable::new(rules.max_names, rules.retain_names_ms),
+            names: IdempotencyTable::new(rules.max_idempotency_keys, rules.retain_keys_ms),
             dialled: IndexMap::new(),
             runs: IndexMap::new(),
             unplaced: IndexSet::new(),
