--- a/lib/src/entry/candidates.rs
+++ b/lib/src/entry/candidates.rs
@@ -323,7 +323,12 @@
     /// Tokens of the prompt that are likely to be cached, by agent. A prefix that is cached
     /// nowhere has a home, so that entries that don't know of each other's requests begin
     /// at the same agent.
-    fn cached_tokens(&self, wanted: PlacementRequest<'_>, names: &[Arc<str>], now_ms: u64) -> Cached {
+    fn cached_tokens(
+        &self,
+        wanted: PlacementRequest<'_>,
+        names: &[Arc<str>],
+        now_ms: u64,
+    ) -> Cached {
         let Some(first_block) = wanted.prefix.first() else {
             return Cached::new();
         };
--- a/lib/src/entry/state/links.rs
+++ b/lib/src/entry/state/links.rs
@@ -3,11 +3,11 @@
 use super::AnswerEnd;
 use super::Arc;
 use super::Catalog;
-use super::LoggedDecision;
 use super::EntryMessage;
 use super::EntryState;
 use super::EntryStep;
 use super::Incarnation;
+use super::LoggedDecision;
 use super::Phase;
 use super::RequestId;
 
--- a/lib/src/entry/state/waiting.rs
+++ b/lib/src/entry/state/waiting.rs
@@ -2,19 +2,19 @@
 
 use super::Admission;
 use super::Arc;
-use super::LoggedDecision;
 use super::EntryMessage;
 use super::EntryState;
 use super::Failure;
 use super::FailureReason;
-use super::RequestOutcome;
+use super::LoggedDecision;
 use super::Outcome;
 use super::Phase;
+use super::PlacementRequest;
 use super::RequestId;
+use super::RequestOutcome;
 use super::Run;
 use super::Submission;
 use super::TimerKind;
-use super::PlacementRequest;
 use crate::entry::run::Attempt;
 use crate::link::wire::RefusalReason;
 
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -840,7 +840,10 @@
     };
     let steps = scene.submit(refund);
     assert!(failures(&steps).is_empty(), "{steps:?}");
-    assert!(matches!(steps[..], [EntryStep::ConfirmNotRun { .. }]), "{steps:?}");
+    assert!(
+        matches!(steps[..], [EntryStep::ConfirmNotRun { .. }]),
+        "{steps:?}"
+    );
     assert!(!scene.entry.is_drained(), "its caller still waits");
     let failure = Failure::unknown(FailureReason::ShuttingDown);
     let steps = scene.take(decided(1, ClaimDecision::Fail(failure)));
