--- a/lib/src/entry/admission.rs
+++ b/lib/src/entry/admission.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of requests that wait in an entry, and who gives way when it is full.
+//! The bounded queue of waiting requests in an entry, and which ones are evicted when it is full.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::config::objects::Tier;
 use crate::ids::RequestId;
 
-/// How much may wait in one entry.
+/// The bounds of the queue of one entry.
 ///
 /// ```
 /// use sardinewood::entry::admission::QueueLimits;
@@ -15,9 +15,9 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Requests that wait.
+    /// The most requests that may wait.
     pub max_requests: usize,
-    /// Bytes of their bodies.
+    /// The most bytes that the bodies of waiting requests may take.
     pub max_body_bytes: usize,
 }
 
@@ -30,29 +30,29 @@
     }
 }
 
-/// A request's place in the queue.
+/// A request as the queue sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
     /// The request.
     pub request: RequestId,
-    /// Its importance.
+    /// Its tier, 0 being the most important.
     pub tier: Tier,
-    /// When it came.
+    /// When it arrived.
     pub arrived_ms: u64,
-    /// What its body takes.
+    /// The size of its body.
     pub body_bytes: usize,
 }
 
-/// Whether a request may wait.
+/// Whether a request may enter the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits; these, all less important, give way to it.
+    /// The request may wait; the `evicted` ones, all of lower tiers, must leave the queue.
     Admit { evicted: Vec<RequestId> },
-    /// All that waits is at least as important.
+    /// The queue is full, and the lower tiers hold too little to make space.
     Full,
 }
 
-/// Requests that wait, by tier and then by arrival.
+/// The queue of waiting requests, ordered by tier and then by arrival.
 ///
 /// ```
 /// use sardinewood::entry::admission::{Admission, QueuedRequest, QueueLimits, WaitingQueue};
@@ -76,7 +76,7 @@
 }
 
 impl WaitingQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     ///
     /// ```
     /// use sardinewood::entry::admission::{QueueLimits, WaitingQueue};
@@ -93,7 +93,7 @@
         }
     }
 
-    /// How many requests wait.
+    /// Returns how many requests wait.
     ///
     /// ```
     /// use sardinewood::entry::admission::{QueueLimits, WaitingQueue};
@@ -105,7 +105,7 @@
         self.requests
     }
 
-    /// How many requests of each tier wait.
+    /// Returns how many requests of each tier wait.
     ///
     /// ```
     /// use sardinewood::entry::admission::{QueueLimits, WaitingQueue};
@@ -117,7 +117,7 @@
         std::array::from_fn(|tier| self.tiers[tier].len())
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request waits.
     ///
     /// ```
     /// use sardinewood::entry::admission::{QueueLimits, WaitingQueue};
@@ -129,14 +129,15 @@
         self.requests == 0
     }
 
-    /// Whether `place` may wait, and which requests give way to it. The youngest of the
-    /// lowest tier goes first: it has waited least, so the least is lost with it.
+    /// Returns whether `candidate` may enter the queue, and which requests are evicted for it.
+    /// The youngest request of the lowest tier is evicted first: it has waited least, so the
+    /// least waiting time is lost.
     #[must_use]
-    pub fn admit(&self, place: QueuedRequest) -> Admission {
+    pub fn admit(&self, candidate: QueuedRequest) -> Admission {
         let mut requests = self.requests + 1;
-        let mut body_bytes = self.body_bytes + place.body_bytes;
+        let mut body_bytes = self.body_bytes + candidate.body_bytes;
         let mut evicted = Vec::new();
-        let mut lower = self.less_important(place.tier);
+        let mut lower = self.eviction_order(candidate.tier);
         while requests > self.limits.max_requests || body_bytes > self.limits.max_body_bytes {
             let Some((request, bytes)) = lower.next() else {
                 return Admission::Full;
@@ -148,26 +149,26 @@
         Admission::Admit { evicted }
     }
 
-    /// Puts a request into the queue.
-    pub fn insert(&mut self, place: QueuedRequest) {
-        let key = (place.arrived_ms, place.request, place.body_bytes);
-        if self.tiers[place.tier.index()].insert(key) {
+    /// Adds a request to the queue.
+    pub fn insert(&mut self, queued: QueuedRequest) {
+        let key = (queued.arrived_ms, queued.request, queued.body_bytes);
+        if self.tiers[queued.tier.index()].insert(key) {
             self.requests += 1;
-            self.body_bytes += place.body_bytes;
+            self.body_bytes += queued.body_bytes;
         }
     }
 
-    /// Takes a request out of the queue.
-    pub fn remove(&mut self, place: QueuedRequest) {
-        let key = (place.arrived_ms, place.request, place.body_bytes);
-        if self.tiers[place.tier.index()].remove(&key) {
+    /// Removes a request from the queue.
+    pub fn remove(&mut self, queued: QueuedRequest) {
+        let key = (queued.arrived_ms, queued.request, queued.body_bytes);
+        if self.tiers[queued.tier.index()].remove(&key) {
             self.requests -= 1;
-            self.body_bytes -= place.body_bytes;
+            self.body_bytes -= queued.body_bytes;
         }
     }
 
-    /// Requests of lower tiers than `tier`, the one to give way first in front.
-    fn less_important(&self, tier: Tier) -> impl Iterator<Item = (RequestId, usize)> {
+    /// Returns the requests of lower tiers than `tier`, in the order of eviction.
+    fn eviction_order(&self, tier: Tier) -> impl Iterator<Item = (RequestId, usize)> {
         let above = tier.index() + 1;
         self.tiers[above..]
             .iter()
--- a/lib/src/entry/appointments.rs
+++ b/lib/src/entry/appointments.rs
@@ -1,22 +1,22 @@
-//! Which appointments have begun, so that what was started goes before what was not.
+//! The appointments that have started, which are preferred over those that have not.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use indexmap::IndexSet;
 
-/// An appointment of a customer.
+/// The identity of an appointment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Appointment {
     customer: Arc<str>,
     name: Arc<str>,
 }
 
-/// The appointments that had a request dispatched from this entry; the newest ones.
+/// A bounded set of the newest appointments of which this entry has dispatched a request.
 ///
-/// An appointment whose requests come through several entries counts as begun in each
-/// only after its first request there: the order is a preference, and asking the other
-/// entries would cost each request a round trip.
+/// An appointment whose requests arrive through several entries counts as started in each
+/// entry only after its first dispatch there: the order is only a preference, and asking the
+/// other entries would cost each request a round trip.
 ///
 /// ```
 /// use sardinewood::entry::appointments::StartedAppointments;
@@ -35,7 +35,7 @@
 }
 
 impl StartedAppointments {
-    /// Keeps at most `capacity` appointments.
+    /// Creates an empty set of at most `capacity` appointments.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether an appointment has begun.
+    /// Returns whether an appointment has started.
     #[must_use]
     pub fn contains(&self, customer: &Arc<str>, name: &Arc<str>) -> bool {
         self.known.contains(&Appointment {
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Notes that an appointment has begun.
+    /// Records that an appointment has started.
     pub fn insert(&mut self, customer: &Arc<str>, name: &Arc<str>) {
         let appointment = Appointment {
             customer: customer.clone(),
--- a/lib/src/entry/candidates.rs
+++ b/lib/src/entry/candidates.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the agents, and which of them are asked for a grant.
+//! The table of agents that an entry knows, and the choice of agents to ask for a grant.
 
 use std::hash::Hasher;
 use std::net::SocketAddr;
@@ -19,42 +19,44 @@
 use crate::ids::RequestId;
 use crate::link::wire::Load;
 
-/// One link in so many goes to an agent of any data centre.
+/// One link in this many may go to an agent of any data centre, so that the entry still has
+/// links when its own data centre is lost.
 const FAR_SHARE: usize = 4;
 /// Added to the expected time at an upstream of another data centre, so that of two equal
-/// ones the near one is asked.
+/// upstreams the one in the own data centre is chosen.
 const OTHER_DATA_CENTRE_US: u64 = 2_000;
-/// Of the requests that a prefill holds up, this part counts (1 of so many).
+/// Divisor for the delay that a prefill causes to the running requests: one part in this many
+/// is counted.
 const HELD_UP_DIVISOR: u64 = 2;
-/// Taken for an upstream that has not reported its speed yet.
+/// The assumed prefill speed of an upstream that has not reported its own yet.
 const UNKNOWN_PREFILL_TOKENS_PER_S: u64 = 5_000;
-/// Taken for an upstream that has not reported its speed yet.
+/// The assumed time per output token at an upstream that has not reported its own yet.
 const UNKNOWN_STEP_US: u64 = 10_000;
 
 /// What an entry knows of one agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// The upstream beside it, as it was last configured.
+    /// The upstream of this agent, as last configured.
     pub upstream: Arc<Upstream>,
-    /// Whether the configuration still has it.
+    /// Whether the agent is in the current configuration.
     pub configured: bool,
-    /// The incarnation at the other end of the link, while there is one.
+    /// The incarnation of the agent at the other end of the link, or `None` without a link.
     pub linked: Option<Incarnation>,
-    /// The load that it reported last; stale on arrival.
+    /// The last reported load; stale on arrival.
     pub load: Load,
-    /// Requests that ran there from here when the load came.
+    /// Requests of this entry that ran there when the load report arrived.
     pub running_at_report: usize,
-    /// The newest configuration revision that it has.
+    /// The configuration revision that the agent reported last.
     pub revision: u64,
-    /// When its last heartbeat came.
+    /// When its last heartbeat arrived.
     pub heard_at_ms: Option<u64>,
-    /// Requests with a reservation there.
+    /// Requests of this entry with a reservation there.
     pub reserved: IndexSet<RequestId>,
-    /// Requests with an attempt there.
+    /// Requests of this entry with an attempt there.
     pub running: IndexSet<RequestId>,
-    /// It is not asked before this time.
+    /// The agent is not asked before this time.
     pub backoff_until_ms: u64,
-    /// The incarnation and sequence of the newest grant that came from it.
+    /// The incarnation and sequence number of its newest grant.
     pub newest_grant: Option<(Incarnation, u64)>,
 }
 
@@ -75,15 +77,16 @@
         }
     }
 
-    /// Slots in use there: those of the report, corrected by what went there from here and
-    /// ended since. A report is stale on arrival, but one's own part is known exactly.
+    /// Returns the slots in use: the reported ones, corrected by the requests that this entry
+    /// has started and finished there since. A report is stale on arrival, but the entry knows
+    /// its own share exactly.
     #[must_use]
     pub fn occupied_slots(&self) -> u64 {
         let reported = u64::from(self.upstream.slots.saturating_sub(self.load.free_slots));
         (reported + self.running.len() as u64).saturating_sub(self.running_at_report as u64)
     }
 
-    /// Whether it may get new work.
+    /// Returns whether the agent may get new requests.
     #[must_use]
     pub fn takes_work(&self, now_ms: u64) -> bool {
         self.configured
@@ -93,74 +96,74 @@
     }
 }
 
-/// What is to be placed.
+/// A request to place, as the choice of agents sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// What the request asks for.
+    /// The model or service.
     pub target: &'a Target,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Output tokens that it is expected to take.
+    /// The expected output tokens.
     pub output_tokens: u32,
     /// Fingerprints of the prompt's leading blocks.
     pub prefix: &'a [u64],
     /// How many agents to choose.
     pub count: usize,
-    /// Breaks ties, so that entries with the same hints do not all ask the same agents.
+    /// Breaks ties, so that entries with the same hints don't all ask the same agents.
     pub nonce: u64,
 }
 
-/// How links are chosen.
+/// How an entry chooses the agents to link to.
 ///
 /// ```
 /// use sardinewood::entry::candidates::LinkPolicy;
 ///
-/// let choice = LinkPolicy { entry: "entry-1".into(), data_centre: "wdh-1".into(), max_links: 192 };
-/// assert_eq!(choice.per_target(2), 96);
+/// let policy = LinkPolicy { entry: "entry-1".into(), data_centre: "wdh-1".into(), max_links: 192 };
+/// assert_eq!(policy.per_target(2), 96);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkPolicy {
-    /// The name of this entry, which spreads the entries over the agents.
+    /// The name of this entry. It is hashed, so that entries choose different agents.
     pub entry: Arc<str>,
-    /// Where this entry stands; near agents are linked first.
+    /// The data centre of this entry, whose agents are linked first.
     pub data_centre: Arc<str>,
-    /// Links kept for all targets together, so that many entries before many agents do not
-    /// mean a link for each pair.
+    /// The most links for all targets together, so that large fleets don't need a link between
+    /// each entry and each agent.
     pub max_links: usize,
 }
 
-/// Links kept for each target, however many targets there are: twice the usual number of
-/// candidates, so that there is a choice.
+/// The least number of links for each target, however many targets there are: twice the usual
+/// number of candidates, so that there is a choice.
 const MIN_LINKS_PER_TARGET: usize = 8;
 
 impl LinkPolicy {
-    /// Links kept for each of so many targets.
+    /// Returns how many links each of `targets` targets gets.
     #[must_use]
     pub fn per_target(&self, targets: usize) -> usize {
         (self.max_links / targets.max(1)).max(MIN_LINKS_PER_TARGET)
     }
 }
 
-/// All agents that an entry knows.
+/// The agents that an entry knows.
 #[derive(Debug)]
 pub struct AgentTable {
-    choice: LinkPolicy,
+    policy: LinkPolicy,
     agents: IndexMap<Arc<str>, Agent>,
     linked_by_target: IndexMap<Target, Vec<Arc<str>>>,
     hints: PrefixHints,
-    /// How many agents the configuration has for each target.
+    /// The number of agents for each target in the configuration.
     serving: IndexMap<Target, usize>,
 }
 
-/// Agents and how many leading blocks of a prompt they are likely to have cached.
+/// Agents, with the number of leading blocks of a prompt that they probably have cached.
 type Cached = Vec<(Arc<str>, u32)>;
 
 impl AgentTable {
-    /// A table without agents.
+    /// Creates a table without agents.
     #[must_use]
-    pub fn new(choice: LinkPolicy) -> Self {
+    pub fn new(policy: LinkPolicy) -> Self {
         Self {
-            choice,
+            policy,
             agents: IndexMap::new(),
             linked_by_target: IndexMap::new(),
             hints: PrefixHints::default(),
@@ -168,30 +171,30 @@
         }
     }
 
-    /// An agent by name.
+    /// Returns an agent by name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Agent> {
         self.agents.get(name)
     }
 
-    /// An agent by name, to change what is known of it.
+    /// Returns an agent by name, for changes.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Agent> {
         self.agents.get_mut(name)
     }
 
-    /// All agents.
+    /// Returns all agents.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &Agent)> {
         self.agents.iter()
     }
 
-    /// Whether the configuration has an upstream for `target`.
+    /// Returns whether the configuration has an upstream for `target`.
     #[must_use]
     pub fn serves(&self, target: &Target) -> bool {
         self.linked_by_target.contains_key(target)
     }
 
-    /// About how many entries there are: as many as have a link to one agent, times the
-    /// agents for each of which an entry keeps only one link.
+    /// Estimates the number of entries: the most entries that a linked agent reports, times the
+    /// number of agents of the target for each link of this entry.
     #[must_use]
     pub fn entries(&self, target: &Target) -> u64 {
         let Some(linked) = self.linked_by_target.get(target) else {
@@ -208,14 +211,14 @@
         seen.unwrap_or(1).max(1) * spread.max(1)
     }
 
-    /// Whether `is_out` holds for each agent that could be asked for `target`.
-    pub fn all_agents_match(&self, target: &Target, is_out: impl Fn(&str) -> bool) -> bool {
+    /// Returns whether `is_excluded` holds for each agent that could be asked for `target`.
+    pub fn all_agents_match(&self, target: &Target, is_excluded: impl Fn(&str) -> bool) -> bool {
         self.linked_by_target
             .get(target)
-            .is_none_or(|names| names.iter().all(|name| is_out(name)))
+            .is_none_or(|names| names.iter().all(|name| is_excluded(name)))
     }
 
-    /// Takes over a new configuration. An agent that is gone from it stays known until
+    /// Applies a new configuration. An agent that is no longer in it stays in the table until
     /// [`Self::forget_gone`].
     pub fn replace_catalog(&mut self, catalog: &Catalog) {
         for agent in self.agents.values_mut() {
@@ -232,13 +235,13 @@
         self.choose_links(catalog);
     }
 
-    /// Forgets the agents that are gone from the configuration and have no attempts.
+    /// Removes the agents that are no longer in the configuration and have no attempts.
     pub fn forget_gone(&mut self) {
         self.agents
             .retain(|_, agent| agent.configured || !agent.running.is_empty());
     }
 
-    /// The agents to which a link is wanted, and where they are reached.
+    /// Returns the agents to link to, with their addresses.
     #[must_use]
     pub fn wanted_links(&self) -> IndexMap<Arc<str>, SocketAddr> {
         let busy = self
@@ -255,17 +258,17 @@
             .collect()
     }
 
-    /// Chooses the agents to ask, the most promising first.
+    /// Chooses the agents to ask, the one with the shortest expected time first.
     pub fn choose(
         &self,
-        wanted: PlacementRequest<'_>,
+        placement: PlacementRequest<'_>,
         now_ms: u64,
         excluded: impl Fn(&str) -> bool,
     ) -> Vec<Arc<str>> {
-        let Some(names) = self.linked_by_target.get(wanted.target) else {
+        let Some(names) = self.linked_by_target.get(placement.target) else {
             return Vec::new();
         };
-        let cached = self.cached_tokens(wanted, names, now_ms);
+        let cached = self.cached_tokens(placement, names, now_ms);
         let cached_tokens = |name: &Arc<str>| {
             let blocks = cached.iter().find(|(known, _)| known == name);
             blocks.map_or(0, |(_, blocks)| blocks * BLOCK_TOKENS)
@@ -277,34 +280,36 @@
                 let agent = self.agents.get(name)?;
                 agent
                     .takes_work(now_ms)
-                    .then(|| (self.score(agent, wanted, cached_tokens(name)), name))
+                    .then(|| (self.score(agent, placement, cached_tokens(name)), name))
             })
             .collect();
-        scored.sort_unstable_by_key(|(total_us, name)| (*total_us, rendezvous(wanted.nonce, name)));
+        scored.sort_unstable_by_key(|(total_us, name)| {
+            (*total_us, rendezvous(placement.nonce, name))
+        });
         scored
             .into_iter()
-            .take(wanted.count)
+            .take(placement.count)
             .map(|(_, name)| name.clone())
             .collect()
     }
 
-    /// Expected time to the end of the answer there in microseconds, with what it costs the
-    /// others.
-    fn score(&self, agent: &Agent, wanted: PlacementRequest<'_>, cached_tokens: u32) -> u64 {
+    /// Returns the expected time in microseconds until the agent completes the answer, plus the
+    /// delay that the request causes to others there.
+    fn score(&self, agent: &Agent, placement: PlacementRequest<'_>, cached_tokens: u32) -> u64 {
         let load = agent.load;
         let step_us = nonzero_or(u64::from(load.step_us), UNKNOWN_STEP_US);
-        let missing_tokens = wanted.prompt_tokens.saturating_sub(cached_tokens);
+        let missing_tokens = placement.prompt_tokens.saturating_sub(cached_tokens);
         let prompt_us = prefill_us(agent, missing_tokens);
-        let run_us = prompt_us + u64::from(wanted.output_tokens) * step_us;
+        let run_us = prompt_us + u64::from(placement.output_tokens) * step_us;
         let slots = u64::from(agent.upstream.slots.max(1));
         let occupied = agent.occupied_slots();
-        // Each request of a batch slows the others down, so of two engines with room the
-        // emptier one is done first, and the work there too.
+        // Each request of a batch slows the others down, so of two engines with free slots the
+        // less occupied one finishes this request and its others sooner.
         let shared_us = run_us * occupied / slots;
-        // A prompt that is computed holds up every request of the batch, so what a cached
-        // prefix saves grows with the batch.
+        // A prefill delays every request of the batch, so the saving of a cached prefix grows
+        // with the batch.
         let held_up_us = prompt_us * occupied / HELD_UP_DIVISOR;
-        let asked = agent.reserved.len() as u64 / wanted.count.max(1) as u64;
+        let asked = agent.reserved.len() as u64 / placement.count.max(1) as u64;
         let queued = (occupied + asked).saturating_sub(slots);
         let queued_us = queued * run_us / slots;
         let backlog_us = if load.free_slots > 0 {
@@ -312,7 +317,7 @@
         } else {
             u64::from(load.backlog_ms) * 1_000
         };
-        let far_us = if agent.upstream.data_centre == self.choice.data_centre {
+        let far_us = if agent.upstream.data_centre == self.policy.data_centre {
             0
         } else {
             OTHER_DATA_CENTRE_US
@@ -320,34 +325,37 @@
         run_us + shared_us + held_up_us + queued_us + backlog_us + far_us
     }
 
-    /// Tokens of the prompt that are likely to be cached, by agent. A prefix that is cached
-    /// nowhere has a home, so that entries that don't know of each other's requests begin
-    /// at the same agent.
+    /// Returns how many leading blocks of the prompt each agent probably has cached. A prefix
+    /// that is cached nowhere has a preferred agent, so that entries that don't know of each
+    /// other's requests start at the same agent.
     fn cached_tokens(
         &self,
-        wanted: PlacementRequest<'_>,
+        placement: PlacementRequest<'_>,
         names: &[Arc<str>],
         now_ms: u64,
     ) -> Cached {
-        let Some(first_block) = wanted.prefix.first() else {
+        let Some(first_block) = placement.prefix.first() else {
             return Cached::new();
         };
-        let cached = self.hints.cached_blocks(wanted.prefix, now_ms);
+        let cached = self.hints.cached_blocks(placement.prefix, now_ms);
         if !cached.is_empty() {
             return cached;
         }
-        let home = names
+        let preferred = names
             .iter()
             .max_by_key(|name| rendezvous(*first_block, name));
-        home.map(|name| (name.clone(), 1)).into_iter().collect()
+        preferred
+            .map(|name| (name.clone(), 1))
+            .into_iter()
+            .collect()
     }
 
-    /// A prompt with these leading blocks is sent to `agent`.
+    /// Records that a prompt with these leading blocks is sent to `agent`.
     pub fn record_prefix(&mut self, prefix: &[u64], agent: &Arc<str>, now_ms: u64) {
         self.hints.record(prefix, agent, now_ms);
     }
 
-    /// What the upstream of `agent` had cached is gone.
+    /// Forgets the cached prefixes of `agent`, whose upstream has lost its cache.
     pub fn forget_prefixes(&mut self, agent: &str) {
         self.hints.forget(agent);
     }
@@ -359,7 +367,7 @@
                 by_target.entry(target).or_default().push(upstream);
             }
         }
-        let count = self.choice.per_target(by_target.len());
+        let count = self.policy.per_target(by_target.len());
         self.serving = by_target
             .iter()
             .map(|(target, upstreams)| (target.clone(), upstreams.len()))
@@ -372,16 +380,16 @@
 
     fn nearest(&self, mut upstreams: Vec<&Arc<Upstream>>, count: usize) -> Vec<Arc<str>> {
         let mut hasher = XxHash64::with_seed(0);
-        hasher.write(self.choice.entry.as_bytes());
+        hasher.write(self.policy.entry.as_bytes());
         let entry = hasher.finish();
         upstreams.sort_by_key(|upstream| {
             (
                 upstream.activity != Activity::Active,
-                upstream.data_centre != self.choice.data_centre,
+                upstream.data_centre != self.policy.data_centre,
                 rendezvous(entry, &upstream.name),
             )
         });
-        // Some links go elsewhere, for the day when the whole data centre is lost.
+        // Some links go to other data centres, in case the own data centre is lost as a whole.
         let near = count - count / FAR_SHARE;
         if upstreams.len() > near {
             upstreams[near..].sort_by_key(|upstream| {
@@ -397,7 +405,7 @@
     }
 }
 
-/// Expected time to compute a prompt there.
+/// Returns the expected time in microseconds to compute a prompt at `agent`.
 fn prefill_us(agent: &Agent, prompt_tokens: u32) -> u64 {
     let rate = nonzero_or(
         u64::from(agent.load.prefill_tokens_per_s),
@@ -406,7 +414,7 @@
     u64::from(prompt_tokens) * 1_000_000 / rate
 }
 
-/// Everything that an upstream can be asked for.
+/// Returns all targets that an upstream serves.
 fn targets(serves: &Serves) -> Vec<Target> {
     match serves {
         Serves::Models(models) => models.iter().cloned().map(Target::Model).collect(),
@@ -418,8 +426,8 @@
     if value == 0 { default } else { value }
 }
 
-/// A number that depends on the key and the name only: the name with the greatest one is
-/// the key's home, and losing a name moves only the keys that had it as their home.
+/// Returns the rendezvous hash of a key and a name. The name with the highest hash is preferred
+/// for the key; if a name goes away, only the keys that preferred it move.
 fn rendezvous(key: u64, name: &str) -> u64 {
     XxHash64::oneshot(key, name.as_bytes())
 }
--- a/lib/src/entry/decision_log.rs
+++ b/lib/src/entry/decision_log.rs
@@ -1,5 +1,5 @@
-//! What was decided about each request, remembered for a while, so that an operator can
-//! ask why.
+//! A bounded log of the decisions about each request, with which operators find out why a
+//! request was treated as it was.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,49 +14,50 @@
 use crate::link::wire::Settlement;
 use crate::verdict::Failure;
 
-/// Decisions kept for one request; what comes after them is counted.
+/// The most decisions that are kept for one request; later ones are only counted.
 const MAX_DECISIONS: usize = 40;
 
-/// One thing that was decided or heard about a request.
+/// A decision about a request, or an event that concerns it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoggedDecision {
-    /// It came and waits.
+    /// The request was admitted to the queue.
     Admitted { tier: Tier, customer: Arc<str> },
     /// An agent was asked for a grant.
     Asked { agent: Arc<str> },
-    /// An agent refused.
+    /// An agent refused the request.
     Refused {
         agent: Arc<str>,
         reason: RefusalReason,
     },
-    /// A grant came, and is kept until a claim or a turn is decided.
+    /// A grant came and is held until a claim is decided.
     Held { agent: Arc<str> },
-    /// A grant was not taken.
+    /// A grant was declined.
     Declined { agent: Arc<str> },
-    /// It was sent.
+    /// An attempt was dispatched.
     Dispatched { attempt: AttemptId, agent: Arc<str> },
-    /// The link to the agent of its attempt is back, and the agent is asked after it.
+    /// The agent was asked for the state of the attempt.
     QueriedAttempt { agent: Arc<str> },
-    /// The agent said what became of it.
+    /// The agent reported the state of the attempt.
     Settled {
         agent: Arc<str>,
         settlement: Settlement,
     },
-    /// Its attempt ended.
+    /// The attempt ended.
     Ended { attempt: AttemptId, end: AnswerEnd },
-    /// Its caller left.
+    /// The caller disconnected.
     CallerGone,
-    /// Its caller was told that there is no answer.
+    /// The request failed without an answer.
     Failed(Failure),
 }
 
 impl LoggedDecision {
-    /// What happened, in a few words.
+    /// Describes what happened in a few words.
     ///
     /// ```
     /// use sardinewood::entry::decision_log::LoggedDecision;
     ///
-    /// assert_eq!(LoggedDecision::Asked { agent: "lang-1".into() }.what(), "asked lang-1 for a grant");
+    /// let asked = LoggedDecision::Asked { agent: "lang-1".into() };
+    /// assert_eq!(asked.what(), "asked lang-1 for a grant");
     /// ```
     #[must_use]
     pub fn what(&self) -> String {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Why it happened, in a few words.
+    /// Describes why it happened in a few words.
     ///
     /// ```
     /// use sardinewood::entry::decision_log::LoggedDecision;
@@ -104,26 +105,26 @@
     }
 }
 
-/// The decisions about one request.
+/// The logged decisions about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHistory {
-    /// The decisions, each with its time.
+    /// The decisions, each with its time in milliseconds.
     pub decisions: Vec<(u64, LoggedDecision)>,
-    /// How many more there were.
+    /// How many later decisions were not kept.
     pub omitted: usize,
 }
 
-/// A bounded memory of decisions: the requests that came last.
+/// A bounded log of decisions that keeps the latest requests.
 ///
 /// ```
-/// use sardinewood::entry::decision_log::{LoggedDecision, DecisionLog};
+/// use sardinewood::entry::decision_log::{DecisionLog, LoggedDecision};
 /// use sardinewood::ids::RequestId;
 ///
-/// let mut memory = DecisionLog::new(1);
-/// memory.record(5, RequestId(1), LoggedDecision::CallerGone);
-/// assert_eq!(memory.get(RequestId(1)).unwrap().decisions[0].0, 5);
-/// memory.record(6, RequestId(2), LoggedDecision::CallerGone);
-/// assert!(memory.get(RequestId(1)).is_none(), "only one request is remembered");
+/// let mut log = DecisionLog::new(1);
+/// log.record(5, RequestId(1), LoggedDecision::CallerGone);
+/// assert_eq!(log.get(RequestId(1)).unwrap().decisions[0].0, 5);
+/// log.record(6, RequestId(2), LoggedDecision::CallerGone);
+/// assert!(log.get(RequestId(1)).is_none(), "only one request is kept");
 /// ```
 #[derive(Debug)]
 pub struct DecisionLog {
@@ -133,7 +134,7 @@
 }
 
 impl DecisionLog {
-    /// An empty memory of at most `max_requests` requests.
+    /// Creates an empty log of at most `max_requests` requests.
     ///
     /// ```
     /// use sardinewood::entry::decision_log::DecisionLog;
@@ -150,27 +151,27 @@
         }
     }
 
-    /// What is remembered of a request.
+    /// Returns the decisions about a request, if they are still kept.
     #[must_use]
     pub fn get(&self, request: RequestId) -> Option<&RequestHistory> {
         self.by_request.get(&request)
     }
 
-    /// Remembers a decision.
-    pub fn record(&mut self, now_ms: u64, request: RequestId, decided: LoggedDecision) {
+    /// Adds a decision to the log of its request.
+    pub fn record(&mut self, now_ms: u64, request: RequestId, decision: LoggedDecision) {
         if !self.by_request.contains_key(&request) {
-            self.make_room();
+            self.evict_oldest();
             self.oldest_first.push_back(request);
         }
-        let remembered = self.by_request.entry(request).or_default();
-        if remembered.decisions.len() < MAX_DECISIONS {
-            remembered.decisions.push((now_ms, decided));
+        let history = self.by_request.entry(request).or_default();
+        if history.decisions.len() < MAX_DECISIONS {
+            history.decisions.push((now_ms, decision));
         } else {
-            remembered.omitted += 1;
+            history.omitted += 1;
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.by_request.len() >= self.max_requests {
             let Some(oldest) = self.oldest_first.pop_front() else {
                 return;
--- a/lib/src/entry/events.rs
+++ b/lib/src/entry/events.rs
@@ -1,4 +1,4 @@
-//! What an entry reacts to, and what it does next.
+//! The events that an entry handles, and the steps that it returns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,83 +20,86 @@
 use crate::verdict::Failure;
 use crate::verdict::Outcome;
 
-/// What an entry's decisions react to.
+/// An event that [`EntryState::handle`](super::state::EntryState::handle) reacts to.
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
-    /// A caller's request, checked and complete.
+    /// A caller submitted a request, which is validated and complete.
     Submitted(Box<Submission>),
-    /// The claim that [`EntryStep::Claim`] asked for is decided.
+    /// The claim of [`EntryStep::Claim`], or the check of [`EntryStep::ConfirmNotRun`], is
+    /// decided.
     Claimed {
         request: RequestId,
         decision: ClaimDecision,
     },
-    /// The turn that [`EntryStep::AwaitTurn`] asked for has come, or never will.
+    /// The turn of [`EntryStep::AwaitTurn`] has come, or was refused.
     TurnDecided {
         request: RequestId,
         refused: Option<Failure>,
     },
-    /// An agent said something that is not part of an answer with a reader.
+    /// An agent sent a message that is not part of an answer with a reader.
     Agent {
         agent: Arc<str>,
         message: AgentMessage,
     },
-    /// A link is open and both sides have said hello.
+    /// A link is open, and both sides have exchanged hello messages.
     LinkUp {
         agent: Arc<str>,
         incarnation: Incarnation,
     },
-    /// A link is gone.
+    /// A link was lost.
     LinkLost { agent: Arc<str> },
-    /// The reader of an answer that belongs to another request of the same name has come
-    /// to its end.
+    /// The reader of an answer that belongs to another request with the same idempotency key
+    /// has reached its end.
     FollowerEnded {
         request: RequestId,
         end: AnswerEnd,
         passed: bool,
     },
-    /// Ask the agent what became of an attempt that this entry did not dispatch.
+    /// The claims or order queues need the state of an attempt that this entry did not dispatch.
     QueryAttempt { holder: Holder },
-    /// The reader of an answer has come to its end.
+    /// The reader of an answer has reached its end.
     Ended {
         attempt: AttemptId,
         end: AnswerEnd,
-        /// Whether the caller has got any part of it.
+        /// Whether the caller has received any part of it.
         passed: bool,
     },
-    /// The whole answer of a request had so many tokens. Comes before its end.
+    /// The output length of a complete answer. Comes before the event of its end.
     Measured {
         request: RequestId,
         output_tokens: u32,
     },
-    /// The caller has gone away.
+    /// The caller has disconnected.
     CallerGone { request: RequestId },
-    /// A host is gone for good, so nothing runs on it any more.
+    /// The host of an agent is permanently gone, so nothing runs on it any more.
     HostGone { agent: Arc<str> },
-    /// A new configuration is in force.
+    /// A new configuration is in effect.
     CatalogChanged(Arc<Catalog>),
-    /// No new requests; those that wait go on until [`EntryEvent::GracePeriodEnded`].
+    /// The entry shuts down: it accepts no new requests; waiting ones stay queued until
+    /// [`EntryEvent::GracePeriodEnded`].
     ShutDown,
-    /// What still waits is handed back.
+    /// The grace period is over: requests that still wait fail.
     GracePeriodEnded,
-    /// Time has passed.
+    /// A timer may be due.
     Tick,
 }
 
-/// What an entry does next.
+/// A step for the driver of an entry to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryStep {
-    /// Send a message on the link to an agent; without a link it is lost.
+    /// Send a message over the link to an agent. Without a link it is lost.
     Send {
         agent: Arc<str>,
         message: EntryMessage,
     },
-    /// Read the answer of this attempt for the request's caller. Comes before its dispatch.
+    /// Start to read the answer of this attempt for the request's caller. Comes before the
+    /// dispatch of an own attempt.
     Begin {
         request: RequestId,
         attempt: AttemptId,
         agent: Arc<str>,
     },
-    /// Ask the agent for the answer from where its reader is.
+    /// Ask the agent to send the answer from the reader's position on.
     Resume { attempt: AttemptId, agent: Arc<str> },
     /// Tell the reader of this attempt how it ended.
     End { attempt: AttemptId, end: AnswerEnd },
@@ -105,24 +108,24 @@
         request: RequestId,
         failure: Failure,
     },
-    /// Claim the name of a request for the attempt that would be dispatched.
+    /// Claim the idempotency key of a request for the attempt to dispatch.
     Claim(ClaimRequest),
-    /// Look whether the name may have run through another entry before its caller hears
-    /// that it did not.
+    /// Check whether another entry may have run the request with this idempotency key, before
+    /// the caller is told that it did not run.
     ConfirmNotRun {
         request: RequestId,
         name: IdempotencyKey,
         failure: Failure,
     },
-    /// Find out when the request's turn under its order key has come.
+    /// Wait for the request's turn under its order key.
     AwaitTurn { order: OrderKey, place: Place },
-    /// The request is over here; what was kept for it elsewhere can go.
+    /// The request has finished here; state kept for it elsewhere can be dropped.
     Finished {
         request: RequestId,
         order: Option<OrderKey>,
         outcome: RequestOutcome,
     },
-    /// Keep a link to this agent.
+    /// Open a link to this agent and keep it open.
     Dial {
         agent: Arc<str>,
         address: SocketAddr,
@@ -131,16 +134,16 @@
     CloseLink { agent: Arc<str> },
 }
 
-/// How a request ended, for those who keep its name or its order.
+/// How a request ended, for the owners of its claim and its place in an order queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer went to the caller.
+    /// The caller received the complete answer.
     Answered,
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have run, and does not run any more.
+    /// The request may have run, but does not run any more.
     Unknown,
-    /// It may still run.
+    /// The request may still be running.
     InDoubt,
 }
 
--- a/lib/src/entry/output_estimator.rs
+++ b/lib/src/entry/output_estimator.rs
@@ -1,28 +1,28 @@
-//! How many output tokens a request of a profile is expected to take, from those seen.
+//! Estimates how many output tokens a request of a profile takes, from recent answers.
 //!
-//! Lengths differ a hundredfold within a profile, so a mean would follow the few longest.
-//! A quantile of the latest answers does not.
+//! Output lengths differ a hundredfold within a profile, so the few longest answers would
+//! dominate a mean. They don't dominate a percentile.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-/// Answers of one profile that are remembered.
+/// How many answers of each profile are remembered.
 const WINDOW: usize = 256;
-/// Fewer answers than this say nothing yet.
-const ENOUGH: usize = 8;
-/// Profiles that are remembered; the one that came first is dropped beyond.
-const PROFILES: usize = 4_096;
+/// The least number of answers for an estimate.
+const MIN_ANSWERS: usize = 8;
+/// The most profiles that are remembered; beyond them the one added first is dropped.
+const MAX_PROFILES: usize = 4_096;
 
-/// The latest answers of one profile.
+/// The output lengths of the latest answers of one profile.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct RecentLengths {
     in_order: VecDeque<u32>,
     sorted: Vec<u32>,
 }
 
-impl Seen {
+impl RecentLengths {
     fn observe(&mut self, output_tokens: u32) {
         if self.in_order.len() == WINDOW
             && let Some(oldest) = self.in_order.pop_front()
@@ -35,8 +35,8 @@
         self.sorted.insert(position, output_tokens);
     }
 
-    fn quantile(&self, percent: usize) -> Option<u32> {
-        if self.sorted.len() < ENOUGH {
+    fn percentile(&self, percent: usize) -> Option<u32> {
+        if self.sorted.len() < MIN_ANSWERS {
             return None;
         }
         let rank = (self.sorted.len() * percent).div_ceil(100);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Output lengths by profile.
+/// Estimates of output lengths, by profile.
 ///
 /// ```
 /// use sardinewood::entry::output_estimator::OutputEstimator;
@@ -58,23 +58,23 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OutputEstimator {
-    by_profile: IndexMap<Arc<str>, Seen>,
+    by_profile: IndexMap<Arc<str>, RecentLengths>,
 }
 
 impl OutputEstimator {
-    /// Takes a whole answer in.
+    /// Records the output length of a complete answer.
     pub fn observe(&mut self, profile: &Arc<str>, output_tokens: u32) {
-        if self.by_profile.len() >= PROFILES && !self.by_profile.contains_key(profile) {
+        if self.by_profile.len() >= MAX_PROFILES && !self.by_profile.contains_key(profile) {
             self.by_profile.shift_remove_index(0);
         }
         let seen = self.by_profile.entry(Arc::clone(profile)).or_default();
         seen.observe(output_tokens);
     }
 
-    /// The length that `percent` in a hundred answers of the profile do not exceed; `None`
-    /// while too few were seen.
+    /// Returns the output length that `percent` percent of the profile's answers don't exceed, or
+    /// `None` while there are too few answers.
     #[must_use]
     pub fn output_tokens(&self, profile: &str, percent: usize) -> Option<u32> {
-        self.by_profile.get(profile)?.quantile(percent)
+        self.by_profile.get(profile)?.percentile(percent)
     }
 }
--- a/lib/src/entry/prefix_hints.rs
+++ b/lib/src/entry/prefix_hints.rs
@@ -1,26 +1,26 @@
-//! Where the beginning of a prompt was computed lately, as far as one entry knows.
+//! Hints which agents have a prompt's prefix cached, from the requests that this entry sent.
 //!
-//! An engine's own cache events come late and with gaps, and tell nothing about a request
-//! that is placed now. What an entry sent where, it knows at once. It does not know what was
-//! evicted since, so a hint ages; a wrong one costs one prefill, as no hint would.
+//! The cache events of engines come late and with gaps, and say nothing about requests that
+//! are being placed. The entry knows its own dispatches at once, but not what an engine has
+//! evicted since, so hints expire. A wrong hint costs one prefill, as does a missing one.
 
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-/// Tokens of one block of a prompt, for which there is one fingerprint.
+/// Tokens of one block of a prompt. Each block has one fingerprint.
 pub const BLOCK_TOKENS: u32 = 256;
-/// Blocks that are remembered; the one that was noted first is dropped beyond.
-const BLOCKS: usize = 16_384;
-/// Agents that are remembered for each block.
-const AGENTS: usize = 8;
-/// A hint older than this says nothing any more.
+/// The most blocks that are remembered; beyond them the one recorded first is dropped.
+const MAX_BLOCKS: usize = 16_384;
+/// The most agents that are remembered for each block.
+const MAX_AGENTS_PER_BLOCK: usize = 8;
+/// Hints older than this are ignored.
 const MAX_AGE_MS: u64 = 60_000;
 
-/// The agents of one block, with when each was sent it.
+/// The agents that were sent one block, each with the time of the last dispatch.
 type Agents = Vec<(Arc<str>, u64)>;
 
-/// Blocks and the agents whose upstreams computed them.
+/// Prompt blocks, with the agents whose upstreams probably have them cached.
 ///
 /// ```
 /// use sardinewood::entry::prefix_hints::PrefixHints;
@@ -33,24 +33,24 @@
 #[derive(Debug, Default)]
 pub struct PrefixHints {
     by_block: IndexMap<u64, Agents>,
-    /// Where the next block goes once all places are taken.
+    /// The index of the oldest block, which the next new block replaces when the map is full.
     oldest: usize,
 }
 
 impl PrefixHints {
-    /// A prompt with these leading blocks goes to `agent`.
+    /// Records that a prompt with these leading blocks is sent to `agent`.
     pub fn record(&mut self, prefix: &[u64], agent: &Arc<str>, now_ms: u64) {
         for block in prefix {
-            let agents = self.place(*block);
+            let agents = self.agents_of(*block);
             agents.retain(|(name, at_ms)| name != agent && at_ms + MAX_AGE_MS > now_ms);
-            if agents.len() >= AGENTS {
+            if agents.len() >= MAX_AGENTS_PER_BLOCK {
                 agents.remove(0);
             }
             agents.push((agent.clone(), now_ms));
         }
     }
 
-    /// How many leading blocks each agent is likely to have, where it is any.
+    /// Returns the agents that probably have leading blocks cached, and how many.
     #[must_use]
     pub fn cached_blocks(&self, prefix: &[u64], now_ms: u64) -> Vec<(Arc<str>, u32)> {
         let mut found: Vec<(Arc<str>, u32)> = Vec::new();
@@ -71,20 +71,21 @@
         found
     }
 
-    /// What `agent` had in its cache is gone.
+    /// Removes all hints for `agent`.
     pub fn forget(&mut self, agent: &str) {
         for agents in self.by_block.values_mut() {
             agents.retain(|(name, _)| **name != *agent);
         }
     }
 
-    /// The agents of a block, which takes the place of the oldest if it is new.
-    fn place(&mut self, block: u64) -> &mut Agents {
-        if !self.by_block.contains_key(&block) && self.by_block.len() >= BLOCKS {
-            // The new block is last, so it is swapped to the place of the oldest.
+    /// Returns the agents of a block. A new block replaces the oldest one if the map is full.
+    fn agents_of(&mut self, block: u64) -> &mut Agents {
+        if !self.by_block.contains_key(&block) && self.by_block.len() >= MAX_BLOCKS {
+            // The new block is the last one, so `swap_remove_index` puts it at the index of the
+            // oldest.
             self.by_block.insert(block, Agents::new());
             self.by_block.swap_remove_index(self.oldest);
-            self.oldest = (self.oldest + 1) % BLOCKS;
+            self.oldest = (self.oldest + 1) % MAX_BLOCKS;
         }
         self.by_block.entry(block).or_default()
     }
--- a/lib/src/entry/profile_limits.rs
+++ b/lib/src/entry/profile_limits.rs
@@ -1,8 +1,8 @@
-//! What the work of each profile may cost, shared by all entries without a central counter.
+//! Rate and concurrency limits of profiles, shared by all entries without a central counter.
 //!
-//! Each entry keeps its part of a limit: the limit divided by the number of entries that
-//! the agents see. Together they exceed a limit only while that number is out of date (by
-//! its factor), by the rounding up to whole requests, and by one burst of a bucket.
+//! Each entry enforces its share of a limit: the limit divided by the number of entries that
+//! the agents report. Together the entries exceed a limit only by the factor by which that
+//! number is out of date, by the rounding up to whole requests, and by one burst of a bucket.
 
 use std::sync::Arc;
 
@@ -11,61 +11,62 @@
 use crate::config::objects::Profile;
 
 const MINUTE_MS: u64 = 60_000;
-/// A bucket holds what its rate gives in this time, so that a profile that was quiet may
-/// start a short burst.
+/// A bucket holds what its rate yields in this time, so that an idle profile may start with a
+/// short burst.
 const BURST_MS: u64 = 5_000;
-/// Counts are kept in thousandths, so that low rates add up between two requests.
+/// Buckets count in thousandths, so that low rates accumulate between two requests.
 const MILLI: u64 = 1_000;
 
-/// A token bucket. What is left is in thousandths.
+/// A token bucket. Its content is in thousandths of a unit.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    left_millis: u64,
-    filled_ms: u64,
+    available_millis: u64,
+    refilled_ms: u64,
 }
 
 impl Bucket {
     fn full(per_min: u64, now_ms: u64) -> Self {
         Self {
-            left_millis: burst_millis(per_min),
-            filled_ms: now_ms,
+            available_millis: burst_millis(per_min),
+            refilled_ms: now_ms,
         }
     }
 
-    fn fill(&mut self, per_min: u64, now_ms: u64) {
-        let passed_ms = now_ms.saturating_sub(self.filled_ms).min(MINUTE_MS);
-        let gained = per_min.saturating_mul(passed_ms) * MILLI / MINUTE_MS;
-        // The time that gave less than a thousandth counts for the next filling.
-        if gained > 0 || passed_ms == MINUTE_MS {
-            self.filled_ms = now_ms;
-            self.left_millis = (self.left_millis + gained).min(burst_millis(per_min));
+    fn refill(&mut self, per_min: u64, now_ms: u64) {
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_ms).min(MINUTE_MS);
+        let gained = per_min.saturating_mul(elapsed_ms) * MILLI / MINUTE_MS;
+        // Time that yielded less than a thousandth is kept for the next refill.
+        if gained > 0 || elapsed_ms == MINUTE_MS {
+            self.refilled_ms = now_ms;
+            self.available_millis = (self.available_millis + gained).min(burst_millis(per_min));
         }
     }
 
-    /// How long until there is anything to spend; a request larger than the whole bucket
-    /// passes when it is full, and is paid for afterwards.
+    /// Returns how long to wait until `amount` can be spent, or `None` if it can be now. A request
+    /// larger than the whole bucket passes when the bucket is full, and empties it.
     fn wait_ms(&self, per_min: u64, amount: u64) -> Option<u64> {
         let needed = amount.saturating_mul(MILLI).min(burst_millis(per_min));
-        if self.left_millis >= needed {
+        if self.available_millis >= needed {
             return None;
         }
-        let missing = needed - self.left_millis;
+        let missing = needed - self.available_millis;
         Some((missing * MINUTE_MS).div_ceil(per_min.max(1) * MILLI))
     }
 
     fn spend(&mut self, amount: u64) {
         let spent = amount.saturating_mul(MILLI);
-        self.left_millis = self.left_millis.saturating_sub(spent);
+        self.available_millis = self.available_millis.saturating_sub(spent);
     }
 }
 
+/// Returns the capacity of a bucket in thousandths, at least one unit.
 fn burst_millis(per_min: u64) -> u64 {
     (per_min.saturating_mul(BURST_MS) * MILLI / MINUTE_MS).max(MILLI)
 }
 
-/// What one profile has used here.
+/// The usage of one profile in this entry.
 #[derive(Clone, Debug)]
-struct Used {
+struct Usage {
     requests: Bucket,
     tokens: Bucket,
     active: u32,
@@ -85,12 +86,12 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct ProfileLimiter {
-    used: IndexMap<Arc<str>, Used>,
+    used: IndexMap<Arc<str>, Usage>,
 }
 
 impl ProfileLimiter {
-    /// How long a new request of `tokens` has to wait for its profile's rates; `None` if
-    /// it may be admitted. `entries` is how many entries share the limits.
+    /// Returns how long a new request of `tokens` has to wait for its profile's rates, or `None`
+    /// if it may be admitted. `entries` is the number of entries that share the limits.
     pub fn wait_ms(
         &mut self,
         now_ms: u64,
@@ -105,17 +106,17 @@
         }
         let used = self.used(now_ms, profile, entries);
         let requests = requests_per_min.and_then(|per_min| {
-            used.requests.fill(per_min, now_ms);
+            used.requests.refill(per_min, now_ms);
             used.requests.wait_ms(per_min, 1)
         });
         let tokens = tokens_per_min.and_then(|per_min| {
-            used.tokens.fill(per_min, now_ms);
+            used.tokens.refill(per_min, now_ms);
             used.tokens.wait_ms(per_min, tokens)
         });
         requests.max(tokens)
     }
 
-    /// Counts a request that was admitted.
+    /// Charges an admitted request to the rates of its profile.
     pub fn admit(&mut self, now_ms: u64, profile: &Profile, tokens: u64, entries: u64) {
         let limits = &profile.limits;
         if limits.requests_per_min.is_none() && limits.tokens_per_min.is_none() {
@@ -126,7 +127,7 @@
         used.tokens.spend(tokens);
     }
 
-    /// Whether one more request may be placed or run.
+    /// Returns whether the concurrency limit allows one more request to be placed or run.
     #[must_use]
     pub fn can_start(&self, profile: &Profile, entries: u64) -> bool {
         let Some(concurrent) = share(profile.limits.concurrent.map(u64::from), entries) else {
@@ -136,27 +137,27 @@
         u64::from(active) < concurrent
     }
 
-    /// Counts a request that is placed or runs.
+    /// Counts a request that is placed or runs towards the concurrency limit.
     pub fn start(&mut self, now_ms: u64, profile: &Profile, entries: u64) {
         if profile.limits.concurrent.is_some() {
             self.used(now_ms, profile, entries).active += 1;
         }
     }
 
-    /// Counts the end of a request that was started.
+    /// Releases a request that was counted by [`Self::start`].
     pub fn finish(&mut self, profile: &Profile) {
         if let Some(used) = self.used.get_mut(&profile.name) {
             used.active = used.active.saturating_sub(1);
         }
     }
 
-    fn used(&mut self, now_ms: u64, profile: &Profile, entries: u64) -> &mut Used {
+    fn used(&mut self, now_ms: u64, profile: &Profile, entries: u64) -> &mut Usage {
         let limits = &profile.limits;
         let full =
             |limit: Option<u64>| Bucket::full(share(limit, entries).unwrap_or_default(), now_ms);
         self.used
             .entry(profile.name.clone())
-            .or_insert_with(|| Used {
+            .or_insert_with(|| Usage {
                 requests: full(limits.requests_per_min),
                 tokens: full(limits.tokens_per_min),
                 active: 0,
@@ -164,7 +165,7 @@
     }
 }
 
-/// This entry's part of a limit, at least one.
+/// Returns this entry's share of a limit, at least one.
 fn share(limit: Option<u64>, entries: u64) -> Option<u64> {
     limit.map(|limit| limit.div_ceil(entries.max(1)).max(1))
 }
--- a/lib/src/entry/retry_budget.rs
+++ b/lib/src/entry/retry_budget.rs
@@ -1,20 +1,20 @@
-//! A budget for second attempts, so that a fleet under stress makes fewer of them.
+//! A budget for retries, which limits them when the fleet is overloaded.
 
 use crate::config::objects::TIER_COUNT;
 use crate::config::objects::Tier;
 
-/// What one request adds to its tier's budget, in thousandths of an attempt.
+/// What one request adds to its tier's budget, in thousandths of a retry.
 const EARNED_MILLIS: u64 = 200;
-/// What a second attempt costs, in thousandths of an attempt.
+/// What a retry costs, in thousandths of a retry.
 const SPENT_MILLIS: u64 = 1_000;
-/// What a tier has at the start and at most, in thousandths of an attempt. A quiet fleet
-/// can move this many requests off an upstream that dies.
+/// The budget of a tier at the start and at most, in thousandths of a retry. A fleet with little
+/// traffic can move this many requests (200) off an upstream that crashes.
 const MAX_MILLIS: u64 = 200_000;
 
-/// Second attempts that each tier may still make.
+/// The retries that each tier may still make.
 ///
-/// Without it, an overload that breaks attempts makes more attempts, which keep the
-/// overload up after its cause is gone. Second attempts stay below a fifth of the requests.
+/// Without a budget, an overload that breaks attempts causes more attempts, which sustain the
+/// overload after its cause is gone. Retries stay below a fifth of the requests.
 ///
 /// ```
 /// use sardinewood::config::objects::Tier;
@@ -38,7 +38,7 @@
 }
 
 impl RetryBudget {
-    /// Counts a new request.
+    /// Adds the share of a new request to the budget of its tier.
     ///
     /// ```
     /// use sardinewood::config::objects::Tier;
@@ -53,7 +53,7 @@
         *millis = (*millis + EARNED_MILLIS).min(MAX_MILLIS);
     }
 
-    /// Whether a second attempt may be made.
+    /// Returns whether the budget of a tier allows a retry.
     ///
     /// ```
     /// use sardinewood::config::objects::Tier;
@@ -66,7 +66,7 @@
         self.millis[tier.index()] >= SPENT_MILLIS
     }
 
-    /// Counts a second attempt.
+    /// Takes a retry from the budget of its tier.
     ///
     /// ```
     /// use sardinewood::config::objects::Tier;
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -1,8 +1,8 @@
-//! The decisions of an entry: which agent is asked, which grant is taken, and what a
-//! caller is told.
+//! The state machine of an entry, without I/O: which agents get a reservation, which grant
+//! is used, and what a caller is told.
 //!
-//! Requests wait here, not at the agents. Of each there is at most one attempt that may
-//! be alive; `docs/design/protocol.md` says what may be concluded from which message.
+//! Requests are queued in the entry, not at the agents. Each request has at most one attempt
+//! that may be alive; `docs/design/protocol.md` says what each message proves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -56,14 +56,15 @@
 mod named;
 mod waiting;
 
-/// Appointments of which it is remembered that they have begun.
+/// How many started appointments are remembered.
 const MAX_APPOINTMENTS: usize = 20_000;
 
-/// The expected length covers so many in a hundred answers of a profile. With fewer, work
-/// is begun that does not end in time; with more, work is refused that would have.
+/// The percentile of a profile's output lengths that is taken as the expected length. A lower
+/// one starts requests that miss their deadline; a higher one refuses requests that would
+/// have met it.
 const EXPECTED_PERCENT: usize = 70;
 
-/// What an entry's decisions depend on besides events.
+/// The configuration of [`EntryState`].
 ///
 /// ```
 /// use sardinewood::entry::state::EntryRules;
@@ -73,37 +74,39 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryRules {
-    /// Which agents are linked.
+    /// How the agents to link to are chosen.
     pub links: LinkPolicy,
-    /// How much may wait.
+    /// The bounds of the queue of waiting requests.
     pub queue: QueueLimits,
-    /// How many agents are asked for a grant at one time.
+    /// How many agents hold a reservation of one request at a time.
     pub candidates: usize,
-    /// The share of a profile's answers that the expected length covers; without one the
-    /// length that came with the request is believed.
+    /// The percentile of a profile's output lengths that is taken as the expected length. If
+    /// it is `None`, the estimate that came with the request is used.
     pub expected_percent: Option<usize>,
-    /// When candidates that refused are asked again, at the latest.
+    /// The pause before a request with too few reservations asks more agents, and the least
+    /// pause before an agent that refused is asked again.
     pub reserve_again_ms: u64,
-    /// How long a named request runs on for a caller that may come back.
+    /// How long a request with an idempotency key goes on after its caller disconnected, in
+    /// case the caller repeats it.
     pub orphan_grace_ms: u64,
-    /// How long an attempt that nobody waits for is remembered after its deadline.
+    /// How long an abandoned attempt is remembered after its deadline.
     pub forget_after_ms: u64,
-    /// When a caller that was refused for load may try again.
+    /// The retry hint for callers that were refused because of load.
     pub retry_after_ms: u64,
-    /// Of how many requests the decisions are remembered.
+    /// For how many requests the decisions are kept.
     pub remembered_requests: usize,
-    /// How many names are remembered.
+    /// How many idempotency keys are remembered.
     pub max_idempotency_keys: usize,
-    /// How long a name is remembered after its request is over.
+    /// How long an idempotency key is remembered after its request has finished.
     pub retain_keys_ms: u64,
-    /// Whether named requests need a claim before their first dispatch.
+    /// Whether requests with an idempotency key need a claim before each dispatch.
     pub claims: bool,
-    /// Whether requests with an order key need their turn before they are placed.
+    /// Whether requests with an order key wait for their turn before agents are asked.
     pub turns: bool,
 }
 
 impl EntryRules {
-    /// The rules with their defaults.
+    /// Returns the default rules.
     ///
     /// ```
     /// use sardinewood::entry::state::EntryRules;
@@ -134,7 +137,7 @@
     }
 }
 
-/// How many requests are where; for metrics, readiness and tests.
+/// Counts of requests, reservations and links, for metrics, readiness and tests.
 ///
 /// ```
 /// use sardinewood::entry::state::EntryCounts;
@@ -145,17 +148,17 @@
 pub struct EntryCounts {
     /// Requests that wait for a grant.
     pub waiting: usize,
-    /// The same by tier.
+    /// Requests that wait for a grant, by tier.
     pub waiting_by_tier: [usize; TIER_COUNT],
-    /// Requests with an attempt that may be alive.
+    /// Requests with an attempt, their own or one that they follow, that may be alive.
     pub running: usize,
-    /// Reservations that agents hold.
+    /// Reservations at agents.
     pub reservations: usize,
-    /// Links that are open.
+    /// Open links.
     pub links: usize,
 }
 
-/// The state of an entry.
+/// The state machine of an entry. Turns events into steps for its driver to carry out.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -171,52 +174,56 @@
 pub struct EntryState {
     rules: EntryRules,
     agents: AgentTable,
+    /// The agents that the driver was told to keep a link to, with their addresses.
     dialled: IndexMap<Arc<str>, SocketAddr>,
     runs: IndexMap<RequestId, Run>,
     queue: WaitingQueue,
     names: IdempotencyTable,
-    expire_names_at_ms: u64,
+    expire_keys_at_ms: u64,
+    /// Waiting requests that have no reservation at any agent.
     unplaced: IndexSet<RequestId>,
-    /// Requests whose "not run" is being looked into.
-    vouching: IndexSet<RequestId>,
+    /// Failed requests whose "not run" is being checked against the store.
+    unconfirmed_failures: IndexSet<RequestId>,
     timers: Timers,
     budget: RetryBudget,
     limits: ProfileLimiter,
-    /// Requests that wait for room among the concurrent ones of their profile, by profile.
+    /// Requests held back by the concurrency limit of their profile, by profile.
     parked: IndexMap<Arc<str>, IndexSet<RequestId>>,
     estimates: OutputEstimator,
     appointments: StartedAppointments,
-    memory: DecisionLog,
-    /// The time of the event that is handled.
+    decision_log: DecisionLog,
+    /// The time of the event that is being handled.
     now_ms: u64,
+    /// Differs for each placement; breaks ties between agents with equal scores.
     nonce: u64,
     shutting_down: bool,
     revision: u64,
-    /// Whether other links may be wanted than before.
+    /// Whether the set of wanted links may have changed.
     links_changed: bool,
     steps: Vec<EntryStep>,
 }
 
 impl EntryState {
-    /// An entry that knows no agents yet. The seed spreads ties between candidates.
+    /// Creates the state of an entry that knows no agents yet. `seed` makes entries break ties
+    /// between candidates differently.
     #[must_use]
     pub fn new(rules: EntryRules, seed: u64) -> Self {
         Self {
             agents: AgentTable::new(rules.links.clone()),
             queue: WaitingQueue::new(rules.queue),
-            expire_names_at_ms: 0,
+            expire_keys_at_ms: 0,
             names: IdempotencyTable::new(rules.max_idempotency_keys, rules.retain_keys_ms),
             dialled: IndexMap::new(),
             runs: IndexMap::new(),
             unplaced: IndexSet::new(),
-            vouching: IndexSet::new(),
+            unconfirmed_failures: IndexSet::new(),
             timers: Timers::default(),
             budget: RetryBudget::default(),
             limits: ProfileLimiter::default(),
             parked: IndexMap::new(),
             appointments: StartedAppointments::new(MAX_APPOINTMENTS),
             estimates: OutputEstimator::default(),
-            memory: DecisionLog::new(rules.remembered_requests),
+            decision_log: DecisionLog::new(rules.remembered_requests),
             now_ms: 0,
             nonce: seed,
             shutting_down: false,
@@ -227,14 +234,20 @@
         }
     }
 
-    /// Takes an event and says what to do next, in order.
+    /// Handles an event and returns the steps to carry out, in order.
     pub fn handle(&mut self, now_ms: u64, event: EntryEvent) -> Vec<EntryStep> {
         self.now_ms = now_ms;
         match event {
             EntryEvent::Submitted(submission) => self.submit(now_ms, *submission),
-            EntryEvent::Claimed { request, decision } => self.claimed(now_ms, request, decision),
-            EntryEvent::TurnDecided { request, refused } => self.turn(now_ms, request, refused),
-            EntryEvent::Agent { agent, message } => self.agent_said(now_ms, &agent, message),
+            EntryEvent::Claimed { request, decision } => {
+                self.claim_decided(now_ms, request, decision);
+            }
+            EntryEvent::TurnDecided { request, refused } => {
+                self.turn_decided(now_ms, request, refused);
+            }
+            EntryEvent::Agent { agent, message } => {
+                self.handle_agent_message(now_ms, &agent, message);
+            }
             EntryEvent::LinkUp { agent, incarnation } => {
                 self.link_up(now_ms, &agent, incarnation);
             }
@@ -249,7 +262,7 @@
                 end,
                 passed,
             } => self.follower_ended(now_ms, request, &end, passed),
-            EntryEvent::QueryAttempt { holder } => self.inquire(&holder),
+            EntryEvent::QueryAttempt { holder } => self.query_holder(&holder),
             EntryEvent::Measured {
                 request,
                 output_tokens,
@@ -258,38 +271,38 @@
             EntryEvent::HostGone { agent } => self.host_gone(now_ms, &agent),
             EntryEvent::CatalogChanged(catalog) => self.catalog_changed(now_ms, &catalog),
             EntryEvent::ShutDown => self.shutting_down = true,
-            EntryEvent::GracePeriodEnded => self.hand_back_waiting(),
+            EntryEvent::GracePeriodEnded => self.fail_all_waiting(),
             EntryEvent::Tick => self.tick(now_ms),
         }
         if self.links_changed {
             self.links_changed = false;
-            self.follow_wanted_links(now_ms);
+            self.update_links(now_ms);
         }
         std::mem::take(&mut self.steps)
     }
 
-    /// When [`EntryEvent::Tick`] is due next.
+    /// Returns when [`EntryEvent::Tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> Option<u64> {
         self.timers.next_ms()
     }
 
-    /// Whether no request is left whose caller waits.
+    /// Returns whether no caller waits for a request any more.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.runs
             .values()
             .all(|run| matches!(run.phase, Phase::Abandoned(_)))
-            && self.vouching.is_empty()
+            && self.unconfirmed_failures.is_empty()
     }
 
-    /// Whether new requests are taken.
+    /// Returns whether new requests are accepted.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.shutting_down && self.revision > 0
     }
 
-    /// How many requests are where.
+    /// Returns the current counts.
     #[must_use]
     pub fn counts(&self) -> EntryCounts {
         EntryCounts {
@@ -309,43 +322,50 @@
         }
     }
 
-    /// All agents that are known.
+    /// Returns the table of known agents.
     #[must_use]
     pub fn agents(&self) -> &AgentTable {
         &self.agents
     }
 
-    /// What was decided about a request, if it is still remembered.
+    /// Returns the decisions about a request, if they are still kept.
     #[must_use]
     pub fn explain(&self, request: RequestId) -> Option<&RequestHistory> {
-        self.memory.get(request)
+        self.decision_log.get(request)
     }
 
     fn record(&mut self, request: RequestId, decided: LoggedDecision) {
-        self.memory.record(self.now_ms, request, decided);
+        self.decision_log.record(self.now_ms, request, decided);
     }
 
-    fn tell_failure(&mut self, request: RequestId, failure: Failure) {
+    fn report_failure(&mut self, request: RequestId, failure: Failure) {
         let name = self
             .runs
             .get(&request)
-            .and_then(|run| self.name_to_vouch_for(run, failure));
-        self.tell_vouched(request, failure, name);
+            .and_then(|run| self.key_to_confirm(run, failure));
+        self.report_or_confirm(request, failure, name);
     }
 
-    /// Tells a caller that its request is refused before anything was kept of it.
-    fn tell_refusal(&mut self, run: &Run, failure: Failure) {
-        let name = self.name_to_vouch_for(run, failure);
-        self.tell_vouched(run.submission.request, failure, name);
+    /// Reports the refusal of a request that is not in `runs`.
+    fn report_refusal(&mut self, run: &Run, failure: Failure) {
+        let name = self.key_to_confirm(run, failure);
+        self.report_or_confirm(run.submission.request, failure, name);
     }
 
-    fn tell_vouched(&mut self, request: RequestId, failure: Failure, name: Option<IdempotencyKey>) {
+    /// Reports a failure to the caller. With a key, first lets the store confirm that no other
+    /// entry ran the request.
+    fn report_or_confirm(
+        &mut self,
+        request: RequestId,
+        failure: Failure,
+        name: Option<IdempotencyKey>,
+    ) {
         let Some(name) = name else {
             self.record(request, LoggedDecision::Failed(failure));
             self.steps.push(EntryStep::Fail { request, failure });
             return;
         };
-        self.vouching.insert(request);
+        self.unconfirmed_failures.insert(request);
         self.steps.push(EntryStep::ConfirmNotRun {
             request,
             name,
@@ -364,7 +384,7 @@
         while let Some((kind, request)) = self.timers.pop_due(now_ms) {
             match kind {
                 TimerKind::Deadline => self.deadline_passed(now_ms, request),
-                TimerKind::Reserve => self.reserve_due(now_ms, request),
+                TimerKind::Reserve => self.handle_reserve_timer(now_ms, request),
                 TimerKind::Cancel => self.cancel_unwanted(request),
                 TimerKind::Ask => self.ask_again(now_ms, request),
                 TimerKind::Forget => self.forget_abandoned(request),
@@ -372,7 +392,7 @@
         }
     }
 
-    /// Ends a request without an answer.
+    /// Fails a request with the outcome that its attempts imply.
     fn fail(&mut self, request: RequestId, reason: FailureReason, retry_after_ms: Option<u64>) {
         let Some(run) = self.runs.get(&request) else {
             return;
@@ -382,18 +402,18 @@
             reason,
             retry_after_ms,
         };
-        self.tell_failure(request, failure);
+        self.report_failure(request, failure);
         self.remove(request, failure.outcome.into());
     }
 
-    /// Takes a request out of everything that refers to it.
+    /// Removes a request and all references to it.
     fn remove(&mut self, request: RequestId, outcome: RequestOutcome) {
         self.leave_queue(request);
         let Some(run) = self.runs.swap_remove(&request) else {
             return;
         };
         if let Some(attempt) = run.phase.attempt() {
-            self.leave_agent(request, &attempt.agent);
+            self.remove_from_agent(request, &attempt.agent);
         }
         let deadline_at_ms = run.submission.deadline_at_ms;
         self.timers
@@ -403,12 +423,12 @@
             TimerKind::Forget,
             request,
         );
-        self.leave_limits(&run);
+        self.release_limits(&run);
         self.finish_named(&run, outcome);
     }
 
-    /// Takes a request off the agent where its attempt was.
-    fn leave_agent(&mut self, request: RequestId, agent: &Arc<str>) {
+    /// Removes a request from the agent of its attempt.
+    fn remove_from_agent(&mut self, request: RequestId, agent: &Arc<str>) {
         let Some(known) = self.agents.get_mut(agent) else {
             return;
         };
--- a/lib/src/entry/state/attempts.rs
+++ b/lib/src/entry/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: which grant is taken, and what follows from how an attempt ended.
+//! Attempts: which grants are used, and what happens when an attempt ends.
 
 use super::AgentMessage;
 use super::AnswerEnd;
@@ -16,13 +16,18 @@
 use super::RequestOutcome;
 use super::TimerKind;
 use super::named::ASK_AGAIN_MS;
-use super::named::NameCheck;
+use super::named::KeyCheck;
 use crate::entry::run::Attempt;
 use crate::ids::GrantId;
 use crate::link::wire::Settlement;
 
 impl EntryState {
-    pub(super) fn agent_said(&mut self, now_ms: u64, agent: &Arc<str>, message: AgentMessage) {
+    pub(super) fn handle_agent_message(
+        &mut self,
+        now_ms: u64,
+        agent: &Arc<str>,
+        message: AgentMessage,
+    ) {
         match message {
             AgentMessage::Heartbeat { revision, load, .. } => {
                 if let Some(known) = self.agents.get_mut(agent) {
@@ -44,7 +49,7 @@
                 attempt,
                 settlement,
             } => self.settled(now_ms, agent, attempt, settlement),
-            AgentMessage::End { attempt, end } => self.end_came(attempt, end),
+            AgentMessage::End { attempt, end } => self.handle_answer_end(attempt, end),
             AgentMessage::Hello(_) | AgentMessage::Head { .. } | AgentMessage::Data { .. } => {}
         }
     }
@@ -54,15 +59,15 @@
             return;
         }
         if !self.may_dispatch(now_ms, request, agent, grant) {
-            self.note_declined(request, agent);
+            self.record_declined(request, agent);
             self.send(agent, EntryMessage::Decline { grant });
-            self.lose_reservation(now_ms, request, agent);
+            self.replace_reservation(now_ms, request, agent);
             return;
         }
-        match self.check_name(request, agent, grant) {
-            NameCheck::Free => self.dispatch(now_ms, request, agent, grant),
-            NameCheck::Claim(asked) => self.hold_for_claim(request, agent, grant, asked),
-            NameCheck::Follow(holder) => {
+        match self.check_key(request, agent, grant) {
+            KeyCheck::Free => self.dispatch(now_ms, request, agent, grant),
+            KeyCheck::Claim(asked) => self.hold_for_claim(request, agent, grant, asked),
+            KeyCheck::Follow(holder) => {
                 self.send(agent, EntryMessage::Decline { grant });
                 self.follow(now_ms, request, &holder);
             }
@@ -88,8 +93,14 @@
         takes_work && waits
     }
 
-    /// An agent that grants keeps the reservation no more, whatever the answer is.
-    pub(super) fn lose_reservation(&mut self, now_ms: u64, request: RequestId, agent: &Arc<str>) {
+    /// Removes a reservation that its grant has used up and asks other agents instead. An agent
+    /// drops the reservation when it grants, whether the grant is used or declined.
+    pub(super) fn replace_reservation(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        agent: &Arc<str>,
+    ) {
         if let Some(known) = self.agents.get_mut(agent) {
             known.reserved.swap_remove(&request);
         }
@@ -101,10 +112,10 @@
         }
     }
 
-    /// Remembers a declined grant of a request that is remembered; a grant for an unknown
-    /// one must not push others out of the memory.
-    fn note_declined(&mut self, request: RequestId, agent: &Arc<str>) {
-        if self.memory.get(request).is_some() {
+    /// Logs a declined grant if the log knows the request. A grant for an unknown request must
+    /// not evict others from the log.
+    fn record_declined(&mut self, request: RequestId, agent: &Arc<str>) {
+        if self.decision_log.get(request).is_some() {
             let declined = LoggedDecision::Declined {
                 agent: agent.clone(),
             };
@@ -112,9 +123,10 @@
         }
     }
 
-    /// Grants of one incarnation are numbered upwards, so a grant with a number that is not
-    /// above the newest is a repetition, or was overtaken and lapses unanswered. Answering
-    /// it could answer one grant twice, with two different requests.
+    /// Returns whether a grant is newer than all earlier ones of its incarnation. Grants of one
+    /// incarnation have ascending numbers, so a lower or equal number means a duplicate, or a
+    /// late grant that is left to expire. Using it could answer one grant twice, with two
+    /// different requests.
     fn is_new_grant(&mut self, agent: &Arc<str>, grant: GrantId) -> bool {
         let Some(known) = self.agents.get_mut(agent) else {
             return true;
@@ -191,7 +203,7 @@
         self.send(agent, message);
     }
 
-    /// The reader of an answer has come to its end.
+    /// Handles the end of an answer, as its reader reports it.
     pub(super) fn ended(&mut self, now_ms: u64, id: AttemptId, end: &AnswerEnd, passed: bool) {
         let Some(run) = self.runs.get(&id.request) else {
             return;
@@ -221,9 +233,9 @@
         }
     }
 
-    /// The end of an answer came over a link. The caller's reader comes to it in its own
-    /// time, or never when the caller leaves first; so it is kept until then.
-    fn end_came(&mut self, id: AttemptId, end: AnswerEnd) {
+    /// Handles the end of an answer that came over a link. The caller's reader reaches it later,
+    /// or never if the caller disconnects first, so the end is stored until then.
+    fn handle_answer_end(&mut self, id: AttemptId, end: AnswerEnd) {
         let Some(run) = self.runs.get_mut(&id.request) else {
             return;
         };
@@ -238,7 +250,7 @@
         }
     }
 
-    /// An attempt that nobody waits for has ended.
+    /// Removes an abandoned request whose attempt has ended.
     pub(super) fn ended_abandoned(&mut self, id: AttemptId, end: &AnswerEnd) {
         let Some(run) = self.runs.get(&id.request) else {
             return;
@@ -250,22 +262,23 @@
         self.remove(id.request, outcome);
     }
 
-    /// The attempt was not sent to the upstream and never will be, so the agent may be
-    /// asked again, after a while in which others are, and the request still counts as not
-    /// run there.
+    /// Requeues a request whose attempt was not sent to the upstream and never will be. The
+    /// request still counts as not run there, and the agent may be asked again after a pause
+    /// in which other agents are asked.
     fn never_sent(&mut self, now_ms: u64, attempt: &Attempt) {
         let until_ms = now_ms + self.rules.reserve_again_ms;
         if let Some(run) = self.runs.get_mut(&attempt.id.request) {
             run.tried.swap_remove(&attempt.agent);
             run.refused.insert(attempt.agent.clone(), until_ms);
         }
-        self.wait_again(now_ms, attempt);
+        self.requeue(now_ms, attempt);
     }
 
-    /// The attempt ran, in part or whole, and is not running any more.
+    /// Handles an attempt that may have run and does not run any more: retries it if possible,
+    /// or else fails the request.
     ///
-    /// A preemption is not charged to the budget: it was decided here, and it lowers the
-    /// load where it happens.
+    /// A preemption is not charged to the retry budget, because the scheduler decided on it
+    /// and it lowers the load of the upstream.
     fn broken(&mut self, now_ms: u64, attempt: &Attempt, passed: bool, is_charged: bool) {
         let request = attempt.id.request;
         let Some(run) = self.runs.get(&request) else {
@@ -277,21 +290,21 @@
             if is_charged {
                 self.budget.spend(tier);
             }
-            self.wait_again(now_ms, attempt);
+            self.requeue(now_ms, attempt);
         } else {
             self.fail(request, FailureReason::UpstreamFailed, None);
         }
     }
 
-    /// Nobody can tell whether the attempt is alive. An idempotent request waits until it
-    /// is settled, for two live attempts would be one too many; a request that may run at
-    /// most once is over.
+    /// Handles an attempt of which it is unknown whether it is alive. An idempotent request
+    /// waits until the attempt is settled, so that there are never two live attempts; a
+    /// non-idempotent one fails.
     fn in_doubt(&mut self, now_ms: u64, request: RequestId, attempt: Attempt, passed: bool) {
         let Some(run) = self.runs.get_mut(&request) else {
             return;
         };
         if passed || run.submission.non_idempotent {
-            self.tell_failure(request, Failure::unknown(FailureReason::InDoubt));
+            self.report_failure(request, Failure::unknown(FailureReason::InDoubt));
             self.remove(request, RequestOutcome::InDoubt);
         } else {
             run.phase = Phase::InDoubt(attempt);
@@ -300,7 +313,8 @@
         }
     }
 
-    fn wait_again(&mut self, now_ms: u64, attempt: &Attempt) {
+    /// Puts the request of an ended attempt back into the queue.
+    fn requeue(&mut self, now_ms: u64, attempt: &Attempt) {
         let request = attempt.id.request;
         if let Some(known) = self.agents.get_mut(&attempt.agent) {
             known.running.swap_remove(&request);
@@ -314,8 +328,8 @@
         self.reserve(now_ms, request);
     }
 
-    /// What an agent can vouch for goes to the reader of the answer as its end, because
-    /// only the reader knows what the caller has got.
+    /// Handles an agent's report on the state of an attempt. An end goes to the reader of the
+    /// answer first, because only the reader knows which part the caller has received.
     fn settled(&mut self, now_ms: u64, agent: &Arc<str>, id: AttemptId, settlement: Settlement) {
         self.settled_for_followers(now_ms, agent, id, settlement);
         let Some(run) = self.runs.get(&id.request) else {
@@ -363,8 +377,8 @@
         }
     }
 
-    /// What an agent says about an attempt that nobody waits for here. One that goes on
-    /// though it was cancelled has a reader at another entry, which answers for it now.
+    /// Handles an agent's report on an abandoned attempt. An attempt that still runs after it
+    /// was cancelled has a reader at another entry, which is responsible for it now.
     fn settled_abandoned(&mut self, id: AttemptId, settlement: Settlement, same_incarnation: bool) {
         let Some(run) = self.runs.get(&id.request) else {
             return;
@@ -387,7 +401,7 @@
         }
     }
 
-    /// Goes on with an attempt that turned out to be alive or finished.
+    /// Resumes reading the answer of an attempt that is alive or finished.
     fn resume(&mut self, attempt: &Attempt) {
         let Some(run) = self.runs.get_mut(&attempt.id.request) else {
             return;
--- a/lib/src/entry/state/followed.rs
+++ b/lib/src/entry/state/followed.rs
@@ -1,4 +1,4 @@
-//! Repetitions that read the answer of another request's attempt.
+//! Followers: repeated requests that read the answer of another request's attempt.
 
 use super::AnswerEnd;
 use super::Arc;
@@ -17,8 +17,8 @@
 use crate::link::wire::Settlement;
 
 impl EntryState {
-    /// Reads the answer of another request's attempt for this caller, after the agent has
-    /// said what became of it.
+    /// Makes a request follow another request's attempt. The answer is read once the agent has
+    /// reported the state of that attempt.
     pub(super) fn follow(&mut self, now_ms: u64, request: RequestId, holder: &Holder) {
         self.leave_queue(request);
         let Some(known) = self.agents.get_mut(&holder.agent) else {
@@ -37,27 +37,27 @@
         });
         self.links_changed = true;
         if is_linked {
-            self.ask_after(request);
+            self.query_attempt(request);
         }
         self.timers
             .set(now_ms + ASK_AGAIN_MS, TimerKind::Ask, request);
     }
 
-    /// An answer that has not come is asked for again: the agent may have been in doubt,
-    /// and then settled it with its own engine.
+    /// Queries an attempt in doubt again, or a followed one whose answer has not begun: the
+    /// agent may have settled it with its engine since.
     pub(super) fn ask_again(&mut self, now_ms: u64, request: RequestId) {
         let Some(run) = self.runs.get(&request) else {
             return;
         };
         let in_doubt = matches!(run.phase, Phase::InDoubt(_));
         if in_doubt || matches!(run.phase, Phase::Following(_)) && !run.reads {
-            self.ask_after(request);
+            self.query_attempt(request);
             self.timers
                 .set(now_ms + ASK_AGAIN_MS, TimerKind::Ask, request);
         }
     }
 
-    /// Whether another request here reads the answer of this attempt.
+    /// Returns whether another request in this entry follows this attempt.
     pub(super) fn is_followed(&self, attempt: &Attempt) -> bool {
         self.followers(&attempt.agent, attempt.id).next().is_some()
     }
@@ -128,7 +128,7 @@
         });
     }
 
-    /// The followed attempt does not run any more, and there is no whole answer.
+    /// Handles a followed attempt that does not run any more and has no complete answer.
     fn followed_ended(&mut self, now_ms: u64, request: RequestId, attempt: &Attempt) {
         let non_idempotent = self
             .runs
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Runs the request from here after all: the attempt that had its name is settled.
+    /// Puts a follower into the queue to run it from this entry, because the attempt that it
+    /// followed is settled.
     fn take_over(&mut self, now_ms: u64, request: RequestId, attempt: &Attempt) {
         if let Some(known) = self.agents.get_mut(&attempt.agent) {
             known.running.swap_remove(&request);
@@ -173,7 +174,7 @@
         self.reserve(now_ms, request);
     }
 
-    /// The reader of a followed answer has come to its end.
+    /// Handles the end of a followed answer, as its reader reports it.
     pub(super) fn follower_ended(
         &mut self,
         now_ms: u64,
--- a/lib/src/entry/state/limits.rs
+++ b/lib/src/entry/state/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of profiles: which requests are admitted, and which wait for room.
+//! Limits of profiles: refuses requests over the rates and holds back requests over the
+//! concurrency limit.
 
 use super::EntryState;
 use super::Failure;
@@ -8,7 +9,7 @@
 use super::Submission;
 
 impl EntryState {
-    /// Refuses a request whose profile's rates are used up, or counts it.
+    /// Returns the refusal of a request whose profile's rates are used up.
     pub(super) fn limit_refusal(
         &mut self,
         now_ms: u64,
@@ -28,9 +29,9 @@
             .admit(now_ms, &submission.profile, tokens, entries);
     }
 
-    /// Counts a request among the concurrent ones of its profile, or parks it until there
-    /// is room; says whether it may be placed.
-    pub(super) fn take_room(&mut self, now_ms: u64, request: RequestId) -> bool {
+    /// Counts a request towards the concurrency limit of its profile, or parks it until the
+    /// limit allows it. Returns whether the request may be placed.
+    pub(super) fn start_within_limit(&mut self, now_ms: u64, request: RequestId) -> bool {
         let Some(run) = self.runs.get_mut(&request) else {
             return false;
         };
@@ -52,8 +53,9 @@
         true
     }
 
-    /// Gives the room of a request that is over to the one that has waited longest.
-    pub(super) fn leave_limits(&mut self, run: &Run) {
+    /// Releases what a finished request counts towards the concurrency limit, and starts the
+    /// request that was parked first.
+    pub(super) fn release_limits(&mut self, run: &Run) {
         let profile = &run.submission.profile;
         if let Some(parked) = self.parked.get_mut(&profile.name) {
             parked.shift_remove(&run.submission.request);
@@ -72,7 +74,7 @@
     }
 }
 
-/// Tokens that a request is expected to take.
+/// Returns the tokens that a request is expected to use, of prompt and output.
 fn tokens_of(submission: &Submission) -> u64 {
     let estimate = &submission.estimate;
     u64::from(estimate.prompt_tokens) + u64::from(estimate.expected_output_tokens)
--- a/lib/src/entry/state/links.rs
+++ b/lib/src/entry/state/links.rs
@@ -1,4 +1,4 @@
-//! Links: what changes when one opens or is lost, and which ones are wanted.
+//! Links to agents: opens and closes them, and handles their loss.
 
 use super::AnswerEnd;
 use super::Arc;
@@ -21,13 +21,14 @@
         known.backoff_until_ms = 0;
         let running: Vec<_> = known.running.iter().copied().collect();
         for request in running {
-            self.ask_after(request);
+            self.query_attempt(request);
         }
         self.place_unplaced(now_ms, agent);
     }
 
-    /// Asks what became of an attempt whose link was lost.
-    pub(super) fn ask_after(&mut self, request: RequestId) {
+    /// Asks the agent for the state of the request's attempt. Repeats the cancel message if
+    /// nobody waits for the attempt.
+    pub(super) fn query_attempt(&mut self, request: RequestId) {
         let Some(run) = self.runs.get(&request) else {
             return;
         };
@@ -35,10 +36,10 @@
             return;
         };
         let cancel = matches!(run.phase, Phase::Abandoned(_)) && !run.submission.non_idempotent;
-        let asked_after = LoggedDecision::QueriedAttempt {
+        let queried = LoggedDecision::QueriedAttempt {
             agent: attempt.agent.clone(),
         };
-        self.record(request, asked_after);
+        self.record(request, queried);
         let message = EntryMessage::Settle {
             attempt: attempt.id,
             grant: attempt.grant,
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Asks for reservations for the requests without any that this agent can serve.
     fn place_unplaced(&mut self, now_ms: u64, agent: &Arc<str>) {
         let Some(upstream) = self.agents.get(agent).map(|known| known.upstream.clone()) else {
             return;
@@ -71,8 +73,8 @@
         }
     }
 
-    /// The link's reservations and unanswered grants are gone with it; its attempts are
-    /// asked after when it is back.
+    /// Handles the loss of a link. Its reservations and unanswered grants are lost with it; its
+    /// attempts are queried when it is back.
     pub(super) fn link_lost(&mut self, now_ms: u64, agent: &Arc<str>) {
         let Some(known) = self.agents.get_mut(agent) else {
             return;
@@ -81,7 +83,7 @@
         self.reserve_elsewhere(now_ms, agent);
     }
 
-    /// Drops the reservations at an agent and asks others instead.
+    /// Drops the reservations at an agent and asks other agents instead.
     fn reserve_elsewhere(&mut self, now_ms: u64, agent: &Arc<str>) {
         let Some(known) = self.agents.get_mut(agent) else {
             return;
@@ -110,7 +112,7 @@
         self.send(agent, EntryMessage::Decline { grant });
     }
 
-    /// Nothing runs on a host that is gone for good, so its attempts are settled.
+    /// Ends all attempts on a host that is permanently gone: nothing runs there any more.
     pub(super) fn host_gone(&mut self, now_ms: u64, agent: &Arc<str>) {
         self.agents.forget_prefixes(agent);
         let Some(known) = self.agents.get(agent) else {
@@ -157,7 +159,7 @@
             }
         }
         self.links_changed = false;
-        self.follow_wanted_links(now_ms);
+        self.update_links(now_ms);
         let parked = self.parked.values().flatten();
         let unplaced: Vec<_> = self.unplaced.iter().chain(parked).copied().collect();
         for request in unplaced {
@@ -165,7 +167,8 @@
         }
     }
 
-    pub(super) fn follow_wanted_links(&mut self, now_ms: u64) {
+    /// Opens and closes links so that they match the wanted ones.
+    pub(super) fn update_links(&mut self, now_ms: u64) {
         self.agents.forget_gone();
         let wanted = self.agents.wanted_links();
         let unwanted: Vec<_> = self
--- a/lib/src/entry/state/named.rs
+++ b/lib/src/entry/state/named.rs
@@ -1,4 +1,5 @@
-//! Named requests: one attempt for a name, and repetitions that read its answer.
+//! Requests with an idempotency key ("named" requests): each key has at most one live attempt,
+//! and repeated requests read its answer.
 
 use super::Arc;
 use super::AttemptId;
@@ -22,25 +23,26 @@
 use crate::entry::run::Attempt;
 use crate::ids::GrantId;
 
-/// The pause before an agent is asked again about an attempt in doubt.
+/// The pause before an agent is queried again about an attempt.
 pub(super) const ASK_AGAIN_MS: u64 = 1_000;
 
-/// Names are looked through for expired ones at most so often.
+/// The least interval between two removals of expired idempotency keys.
 const EXPIRE_EVERY_MS: u64 = 1_000;
 
-/// Whether a grant may be answered with a request, as far as its name goes.
-pub(super) enum NameCheck {
-    /// It has no name, or the name is its own.
+/// The result of the check whether the idempotency key of a request allows its dispatch.
+pub(super) enum KeyCheck {
+    /// The request has no key, or no other attempt holds the key.
     Free,
-    /// The claim on the name has to be made first.
+    /// The key must be claimed first.
     Claim(ClaimRequest),
-    /// This attempt has the name.
+    /// This attempt of another request holds the key.
     Follow(Holder),
 }
 
 impl EntryState {
-    /// Refuses a misused name, or a new one when too many are remembered.
-    pub(super) fn name_refusal(&self, run: &Run) -> Option<Failure> {
+    /// Returns the refusal of a key that was used for another request body, or of a new key when
+    /// too many are remembered.
+    pub(super) fn key_refusal(&self, run: &Run) -> Option<Failure> {
         let named = run.submission.named?;
         match self.names.lookup(named.name, named.digest) {
             KeyLookup::New | KeyLookup::Join(_) => None,
@@ -52,6 +54,7 @@
         }
     }
 
+    /// Starts to wait for the turn of a request with an order key.
     pub(super) fn await_turn(&mut self, run: &Run) {
         let (Some(order), Some(named)) = (run.submission.order, run.submission.named) else {
             return;
@@ -68,13 +71,13 @@
         self.steps.push(EntryStep::AwaitTurn { order, place });
     }
 
-    /// Notes the name of a new request, or follows the attempt that has it; says whether
-    /// it follows.
-    pub(super) fn follow_known(&mut self, now_ms: u64, request: RequestId) -> bool {
+    /// Records the idempotency key of a new request, or makes the request follow the attempt
+    /// that holds the key. Returns whether it follows one.
+    pub(super) fn register_key(&mut self, now_ms: u64, request: RequestId) -> bool {
         let Some(named) = self.runs.get(&request).and_then(|run| run.submission.named) else {
             return false;
         };
-        self.expire_names(now_ms);
+        self.expire_keys(now_ms);
         if self.names.request(named.name).is_none() {
             self.names.insert(named.name, named.digest, request);
         }
@@ -85,39 +88,39 @@
         true
     }
 
-    fn expire_names(&mut self, now_ms: u64) {
-        if now_ms >= self.expire_names_at_ms {
+    fn expire_keys(&mut self, now_ms: u64) {
+        if now_ms >= self.expire_keys_at_ms {
             self.names.expire(now_ms);
-            self.expire_names_at_ms = now_ms + EXPIRE_EVERY_MS;
+            self.expire_keys_at_ms = now_ms + EXPIRE_EVERY_MS;
         }
     }
 
-    pub(super) fn check_name(
+    pub(super) fn check_key(
         &self,
         request: RequestId,
         agent: &Arc<str>,
         grant: GrantId,
-    ) -> NameCheck {
+    ) -> KeyCheck {
         let Some(run) = self.runs.get(&request) else {
-            return NameCheck::Free;
+            return KeyCheck::Free;
         };
         let Some(named) = run.submission.named else {
-            return NameCheck::Free;
+            return KeyCheck::Free;
         };
         if let Some(holder) = self.names.holder(named.name)
             && holder.attempt.request != request
             && run.settled.as_ref() != Some(holder)
         {
-            return NameCheck::Follow(holder.clone());
+            return KeyCheck::Follow(holder.clone());
         }
         if !self.rules.claims {
-            return NameCheck::Free;
+            return KeyCheck::Free;
         }
         let attempt = AttemptId {
             request,
             number: run.attempts + 1,
         };
-        NameCheck::Claim(ClaimRequest {
+        KeyCheck::Claim(ClaimRequest {
             name: named.name,
             digest: named.digest,
             holder: Holder {
@@ -130,8 +133,8 @@
         })
     }
 
-    /// Keeps a grant until the claim is decided. Another one that comes meanwhile is
-    /// declined: the claim names the first, and nothing else may be dispatched by it.
+    /// Holds a grant until the claim is decided. Another grant that comes in the meantime is
+    /// declined, because the claim names the first one and permits no other dispatch.
     pub(super) fn hold_for_claim(
         &mut self,
         request: RequestId,
@@ -158,10 +161,11 @@
         self.steps.push(EntryStep::Claim(asked));
     }
 
-    /// The name, if "not run" must not be said of it without a look at the store.
-    pub(super) fn name_to_vouch_for(&self, run: &Run, failure: Failure) -> Option<IdempotencyKey> {
+    /// Returns the idempotency key that the store must check before the failure is reported as
+    /// "not run".
+    pub(super) fn key_to_confirm(&self, run: &Run, failure: Failure) -> Option<IdempotencyKey> {
         let is_not_run = failure.outcome == Outcome::NotRun;
-        // With another body it is another request, which has not run.
+        // A reused key with another body belongs to another request, which has not run.
         let is_same_call = failure.reason != FailureReason::KeyReused;
         let must_look =
             self.rules.claims && run.submission.non_idempotent && is_not_run && is_same_call;
@@ -169,15 +173,21 @@
         Some(named.name)
     }
 
-    fn vouched(&mut self, request: RequestId, decision: &ClaimDecision) {
+    /// Reports a failure that the store check has confirmed or corrected.
+    fn handle_confirmation(&mut self, request: RequestId, decision: &ClaimDecision) {
         if let ClaimDecision::Fail(failure) = decision {
-            self.tell_vouched(request, *failure, None);
+            self.report_or_confirm(request, *failure, None);
         }
     }
 
-    pub(super) fn claimed(&mut self, now_ms: u64, request: RequestId, decision: ClaimDecision) {
-        if self.vouching.swap_remove(&request) {
-            self.vouched(request, &decision);
+    pub(super) fn claim_decided(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        decision: ClaimDecision,
+    ) {
+        if self.unconfirmed_failures.swap_remove(&request) {
+            self.handle_confirmation(request, &decision);
             return;
         }
         let Some(run) = self.runs.get_mut(&request) else {
@@ -193,8 +203,8 @@
         }
     }
 
-    /// Dispatches by the grant that was held. When it is gone meanwhile the request goes
-    /// on waiting, and its next grant renews the claim.
+    /// Dispatches the request with the grant that was held. If the grant was lost in the
+    /// meantime the request keeps waiting, and its next grant renews the claim.
     fn claim_won(&mut self, now_ms: u64, request: RequestId) {
         let held = self
             .runs
@@ -208,12 +218,12 @@
             self.dispatch(now_ms, request, &agent, grant);
         } else {
             self.send(&agent, EntryMessage::Decline { grant });
-            self.lose_reservation(now_ms, request, &agent);
+            self.replace_reservation(now_ms, request, &agent);
         }
     }
 
-    /// Asks an agent about an attempt that another entry dispatched.
-    pub(super) fn inquire(&mut self, holder: &Holder) {
+    /// Asks an agent for the state of an attempt that another entry dispatched.
+    pub(super) fn query_holder(&mut self, holder: &Holder) {
         let message = EntryMessage::Settle {
             attempt: holder.attempt,
             grant: holder.grant,
@@ -221,13 +231,14 @@
         self.send(&holder.agent, message);
     }
 
-    /// A follower has left. The attempt goes on for nobody if its own caller has left too.
+    /// Removes a follower whose caller disconnected, and cancels the attempt if nobody waits for
+    /// it any more.
     pub(super) fn follower_gone(&mut self, request: RequestId, attempt: &Attempt) {
         self.remove(request, RequestOutcome::NotRun);
         self.cancel_unwanted(attempt.id.request);
     }
 
-    /// Cancels an attempt that nobody waits for any more, unless it may run only once.
+    /// Cancels an abandoned attempt that has no follower, unless it is non-idempotent.
     pub(super) fn cancel_unwanted(&mut self, request: RequestId) {
         let Some(run) = self.runs.get(&request) else {
             return;
@@ -244,7 +255,8 @@
         self.send(&attempt.agent, message);
     }
 
-    /// Tells those who keep names and orders that a request is over here.
+    /// Records the outcome of a request with an idempotency key and reports it to the owners of
+    /// claims and order queues.
     pub(super) fn finish_named(&mut self, run: &Run, outcome: RequestOutcome) {
         let Some(named) = run.submission.named else {
             return;
--- a/lib/src/entry/state/waiting.rs
+++ b/lib/src/entry/state/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: admission, reservations, and what takes them out again.
+//! Waiting requests: admission, reservations at agents, and the ways out of the queue.
 
 use super::Admission;
 use super::Arc;
@@ -18,7 +18,7 @@
 use crate::entry::run::Attempt;
 use crate::link::wire::RefusalReason;
 
-/// An agent that refused for this long is not asked again for the same request.
+/// The end of the exclusion of an agent that is not asked again for the same request.
 const NEVER_MS: u64 = u64::MAX;
 
 impl EntryState {
@@ -27,18 +27,18 @@
         let request = submission.request;
         let awaits_turn = self.rules.turns && submission.order.is_some();
         let run = Run::new(submission, now_ms, awaits_turn);
-        if let Some(failure) = self.refusal_at_once(now_ms, &run) {
-            self.tell_refusal(&run, failure);
+        if let Some(failure) = self.immediate_refusal(now_ms, &run) {
+            self.report_refusal(&run, failure);
             return;
         }
         if let Some(failure) = self.limit_refusal(now_ms, &run.submission) {
-            self.tell_refusal(&run, failure);
+            self.report_refusal(&run, failure);
             return;
         }
         let Admission::Admit { evicted } = self.queue.admit(run.place()) else {
             let failure = Failure::not_run(FailureReason::QueueFull);
             let failure = failure.retry_after(self.rules.retry_after_ms);
-            self.tell_refusal(&run, failure);
+            self.report_refusal(&run, failure);
             return;
         };
         for other in evicted {
@@ -56,12 +56,12 @@
         self.record(request, admitted);
         self.await_turn(&run);
         self.runs.insert(request, run);
-        if !self.follow_known(now_ms, request) {
+        if !self.register_key(now_ms, request) {
             self.reserve(now_ms, request);
         }
     }
 
-    fn refusal_at_once(&self, now_ms: u64, run: &Run) -> Option<Failure> {
+    fn immediate_refusal(&self, now_ms: u64, run: &Run) -> Option<Failure> {
         if self.shutting_down {
             let failure = Failure::not_run(FailureReason::ShuttingDown);
             return Some(failure.retry_after(0));
@@ -72,10 +72,15 @@
         if run.submission.deadline_at_ms <= now_ms {
             return Some(Failure::not_run(FailureReason::DeadlinePassed));
         }
-        self.name_refusal(run)
+        self.key_refusal(run)
     }
 
-    pub(super) fn turn(&mut self, now_ms: u64, request: RequestId, refused: Option<Failure>) {
+    pub(super) fn turn_decided(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        refused: Option<Failure>,
+    ) {
         let Some(run) = self.runs.get_mut(&request) else {
             return;
         };
@@ -89,10 +94,11 @@
         }
     }
 
-    /// Ends a request with a failure that was decided elsewhere.
+    /// Fails a request with a failure that another component decided on.
     ///
-    /// Who decided it knows nothing of the attempts before: a claim for the second attempt
-    /// that the store does not take is "not run" to the claims, but the first attempt ran.
+    /// That component knows nothing of earlier attempts: if the store refuses the claim for a
+    /// retry, the claims component reports "not run", although the first attempt ran. The
+    /// outcome is corrected here.
     pub(super) fn fail_with(&mut self, request: RequestId, failure: Failure) {
         let has_run = self
             .runs
@@ -105,17 +111,17 @@
         };
         let failure = Failure { outcome, ..failure };
         self.leave_queue(request);
-        self.tell_failure(request, failure);
+        self.report_failure(request, failure);
         self.remove(request, failure.outcome.into());
     }
 
-    /// Ends a request that waits and may be tried again by its caller.
+    /// Fails a waiting request with a hint for its caller to retry later.
     pub(super) fn fail_waiting(&mut self, request: RequestId, reason: FailureReason) {
         self.leave_queue(request);
         self.fail(request, reason, Some(self.rules.retry_after_ms));
     }
 
-    /// Expects of a request what its profile's answers took lately.
+    /// Sets the expected output length of a request from the recent answers of its profile.
     fn estimate(&self, submission: &mut Submission) {
         let profile = &submission.profile.name;
         let seen = self
@@ -128,7 +134,7 @@
         }
     }
 
-    /// Learns from a whole answer.
+    /// Records the output length of a complete answer.
     pub(super) fn measured(&mut self, request: RequestId, output_tokens: u32) {
         if let Some(run) = self.runs.get(&request) {
             let profile = &run.submission.profile.name;
@@ -136,7 +142,7 @@
         }
     }
 
-    /// Asks more candidates, up to the number that is wanted.
+    /// Asks more agents for a grant, until the configured number hold a reservation.
     pub(super) fn reserve(&mut self, now_ms: u64, request: RequestId) {
         self.nonce = self.nonce.wrapping_add(1);
         let Some(run) = self.runs.get(&request) else {
@@ -145,14 +151,14 @@
         if run.phase != Phase::Waiting || run.awaits_turn {
             return;
         }
-        if !self.take_room(now_ms, request) {
+        if !self.start_within_limit(now_ms, request) {
             return;
         }
         let Some(run) = self.runs.get(&request) else {
             return;
         };
         let missing = self.rules.candidates.saturating_sub(run.reserved.len());
-        let wanted = PlacementRequest {
+        let placement = PlacementRequest {
             target: &run.submission.target,
             prompt_tokens: run.submission.estimate.prompt_tokens,
             output_tokens: run.submission.estimate.expected_output_tokens,
@@ -162,12 +168,12 @@
         };
         let chosen = self
             .agents
-            .choose(wanted, now_ms, |agent| run.excludes(agent, now_ms));
+            .choose(placement, now_ms, |agent| run.excludes(agent, now_ms));
         let short = chosen.len() < missing;
         for agent in chosen {
             self.reserve_at(now_ms, request, &agent);
         }
-        self.note_shortage(now_ms, request, short);
+        self.handle_shortage(now_ms, request, short);
     }
 
     fn reserve_at(&mut self, now_ms: u64, request: RequestId, agent: &Arc<str>) {
@@ -194,8 +200,8 @@
         self.send(agent, EntryMessage::Reserve(reservation));
     }
 
-    /// Sees to it that a request with too few candidates looks for more later.
-    fn note_shortage(&mut self, now_ms: u64, request: RequestId, short: bool) {
+    /// Sets a timer for a request with too few reservations, or fails it if no agent is left.
+    fn handle_shortage(&mut self, now_ms: u64, request: RequestId, short: bool) {
         let Some(run) = self.runs.get_mut(&request) else {
             return;
         };
@@ -207,11 +213,13 @@
         if !short || run.reserve_at_ms.is_some() {
             return;
         }
-        let is_out = |agent: &str| run.tried.contains(agent);
-        let nowhere_left = run.reserved.is_empty()
+        let is_unusable = |agent: &str| run.tried.contains(agent);
+        let no_agents_left = run.reserved.is_empty()
             && !run.tried.is_empty()
-            && self.agents.all_agents_match(&run.submission.target, is_out);
-        if nowhere_left {
+            && self
+                .agents
+                .all_agents_match(&run.submission.target, is_unusable);
+        if no_agents_left {
             self.fail_waiting(request, FailureReason::UpstreamFailed);
             return;
         }
@@ -220,7 +228,7 @@
         self.timers.set(at_ms, TimerKind::Reserve, request);
     }
 
-    pub(super) fn reserve_due(&mut self, now_ms: u64, request: RequestId) {
+    pub(super) fn handle_reserve_timer(&mut self, now_ms: u64, request: RequestId) {
         let Some(run) = self.runs.get_mut(&request) else {
             return;
         };
@@ -269,7 +277,7 @@
         }
     }
 
-    /// Whether as many agents as are asked at one time, or all there are, said that the
+    /// Returns whether as many agents as are asked at a time, or all agents, reported that the
     /// deadline can't be met.
     fn is_too_late(&self, request: RequestId) -> bool {
         let Some(run) = self.runs.get(&request) else {
@@ -278,12 +286,14 @@
         if !run.reserved.is_empty() || run.too_late == 0 {
             return false;
         }
-        let is_out = |agent: &str| run.refused.get(agent) == Some(&NEVER_MS);
+        let is_unusable = |agent: &str| run.refused.get(agent) == Some(&NEVER_MS);
         run.too_late >= self.rules.candidates
-            || self.agents.all_agents_match(&run.submission.target, is_out)
+            || self
+                .agents
+                .all_agents_match(&run.submission.target, is_unusable)
     }
 
-    /// Takes a request out of the queue and its reservations back.
+    /// Removes a request from the queue, withdraws its reservations and declines its held grant.
     pub(super) fn leave_queue(&mut self, request: RequestId) {
         self.unplaced.swap_remove(&request);
         let Some(run) = self.runs.get_mut(&request) else {
@@ -334,7 +344,7 @@
             Phase::Waiting => self.fail_waiting(request, FailureReason::DeadlinePassed),
             Phase::Running(attempt) | Phase::InDoubt(attempt) => {
                 let failure = Failure::unknown(FailureReason::DeadlinePassed);
-                self.tell_failure(request, failure);
+                self.report_failure(request, failure);
                 self.abandon(now_ms, request, &attempt, false);
             }
             Phase::Following(_) => self.fail(request, FailureReason::DeadlinePassed, None),
@@ -342,11 +352,11 @@
         }
     }
 
-    /// Lets an attempt go on, or not, that nobody waits for. One that may run at most once
-    /// is not cancelled: half of a letter or a refund is worse than the whole.
+    /// Abandons an attempt that nobody waits for any more. A non-idempotent one is not
+    /// cancelled: half a letter or half a refund is worse than a complete one.
     ///
-    /// The caller of a named request may come back for its answer, so that one is cancelled
-    /// only after a while.
+    /// The caller of a request with an idempotency key may repeat it for its answer, so its
+    /// attempt is cancelled only after a grace period.
     fn abandon(&mut self, now_ms: u64, request: RequestId, attempt: &Attempt, may_come_back: bool) {
         let Some(run) = self.runs.get_mut(&request) else {
             return;
@@ -355,12 +365,12 @@
             self.ended_abandoned(attempt.id, &end);
             return;
         }
-        let is_patient = may_come_back && run.submission.named.is_some();
+        let keeps_running = may_come_back && run.submission.named.is_some();
         let forget_at_ms = run.submission.deadline_at_ms + self.rules.forget_after_ms;
         run.phase = Phase::Abandoned(attempt.clone());
         self.timers
             .set(forget_at_ms.max(now_ms), TimerKind::Forget, request);
-        if is_patient {
+        if keeps_running {
             let cancel_at_ms = now_ms + self.rules.orphan_grace_ms;
             self.timers.set(cancel_at_ms, TimerKind::Cancel, request);
         } else {
@@ -378,7 +388,7 @@
         }
     }
 
-    pub(super) fn hand_back_waiting(&mut self) {
+    pub(super) fn fail_all_waiting(&mut self) {
         let waiting: Vec<_> = self
             .runs
             .iter()
--- a/lib/src/entry/timers.rs
+++ b/lib/src/entry/timers.rs
@@ -1,25 +1,25 @@
-//! Times at which a request needs attention, kept in order.
+//! The timers of all requests in an entry, ordered by time.
 
 use std::collections::BTreeSet;
 
 use crate::ids::RequestId;
 
-/// What is due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// The caller has no use for the answer any more.
+    /// The deadline of the request has passed.
     Deadline,
-    /// Candidates that refused may be asked again.
+    /// More agents may be asked for a grant, also those that refused.
     Reserve,
-    /// The agent is asked again what became of an attempt.
+    /// The agent is queried again for the state of an attempt.
     Ask,
-    /// A caller that left has not come back for its answer.
+    /// The grace period for a disconnected caller to repeat its request has passed.
     Cancel,
-    /// An attempt that nobody waits for is forgotten.
+    /// An abandoned attempt is forgotten.
     Forget,
 }
 
-/// The timers of all requests; each kind is set at most once for a request by its owner.
+/// The timers of all requests. The owner of a request sets each kind at most once at a time.
 ///
 /// ```
 /// use sardinewood::ids::RequestId;
@@ -51,7 +51,7 @@
         self.due.insert((at_ms, kind, request));
     }
 
-    /// Takes a timer back.
+    /// Removes a timer.
     ///
     /// ```
     /// use sardinewood::ids::RequestId;
@@ -66,7 +66,7 @@
         self.due.remove(&(at_ms, kind, request));
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     ///
     /// ```
     /// use sardinewood::entry::timers::Timers;
@@ -78,7 +78,7 @@
         self.due.first().map(|(at_ms, ..)| *at_ms)
     }
 
-    /// Takes out the earliest timer that is due.
+    /// Removes and returns the earliest timer that is due.
     ///
     /// ```
     /// use sardinewood::entry::timers::Timers;
--- a/lib/tests/fleet_fixture.rs
+++ b/lib/tests/fleet_fixture.rs
@@ -1,4 +1,4 @@
-//! Entries, agents and their callers on real sockets, for tests of the whole path.
+//! Entries and agents on real sockets, for end-to-end tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 
 const KEY: &str = "key-of-rundu";
 
-/// Generous, so that it is reached only when what is waited for never comes.
+/// The limit for waits; generous, so that it is reached only if the awaited event never happens.
 pub const CAP: Duration = Duration::from_secs(30);
 
-/// Entries, agents, and the configuration that they share.
+/// Entries and agents that share a configuration.
 pub struct Fleet {
     pub entries: Vec<EntryHandle>,
     pub agents: IndexMap<String, AgentHandle>,
@@ -39,13 +39,13 @@
 }
 
 impl Fleet {
-    /// One entry without a store, and an agent for each upstream: its name, URL and what
-    /// it serves.
+    /// Starts one entry without a store, and an agent for each upstream. An upstream is given by
+    /// its name, its URL and what it serves.
     pub async fn start(upstreams: &[(&str, String, Value)]) -> Self {
         Self::with_entries(upstreams, 1, "http://127.0.0.1:1").await
     }
 
-    /// Several entries before a store.
+    /// Starts several entries that use a store, and an agent for each upstream.
     pub async fn with_entries(
         upstreams: &[(&str, String, Value)],
         entries: usize,
@@ -113,7 +113,7 @@
         assert!(timeout(CAP, empty).await.is_ok(), "something is left");
     }
 
-    /// A request through the first entry.
+    /// Builds a request through the first entry.
     pub fn request(&self, method: Method, path: &str) -> reqwest::RequestBuilder {
         self.request_through(0, method, path)
     }
@@ -128,7 +128,7 @@
         self.client.request(method, url).bearer_auth(KEY)
     }
 
-    /// A chat through the first entry.
+    /// Builds a chat completion request through the first entry.
     pub fn chat(&self, max_tokens: u32, stream: bool) -> reqwest::RequestBuilder {
         self.chat_through(0, max_tokens, stream)
     }
--- a/lib/tests/test_entry_state.rs
+++ b/lib/tests/test_entry_state.rs
@@ -1,4 +1,5 @@
-//! The rules of an entry: one live attempt, exact words about "not run", tiers in order.
+//! Tests of the state machine of an entry: at most one live attempt for each request, "not run"
+//! only where it is proven, and tiers in order.
 
 use std::sync::Arc;
 
@@ -41,7 +42,7 @@
 
 const DEADLINE_MS: u64 = 8_000;
 
-/// An entry with two or more linked agents, and short ways to make things happen to it.
+/// An entry with linked agents, and helpers that send it events.
 struct Scene {
     entry: EntryState,
     catalog: Catalog,
@@ -59,45 +60,45 @@
             grants: 0,
             now_ms: 0,
         };
-        scene.take(EntryEvent::CatalogChanged(Arc::new(scene.catalog.clone())));
+        scene.handle(EntryEvent::CatalogChanged(Arc::new(scene.catalog.clone())));
         for upstream in upstreams {
             scene.link_up(upstream, 1);
         }
         scene
     }
 
-    fn take(&mut self, event: EntryEvent) -> Vec<EntryStep> {
+    fn handle(&mut self, event: EntryEvent) -> Vec<EntryStep> {
         self.entry.handle(self.now_ms, event)
     }
 
     fn link_up(&mut self, agent: &str, incarnation: u64) -> Vec<EntryStep> {
-        self.take(EntryEvent::LinkUp {
+        self.handle(EntryEvent::LinkUp {
             agent: agent.into(),
             incarnation: Incarnation(incarnation),
         })
     }
 
     fn link_lost(&mut self, agent: &str) -> Vec<EntryStep> {
-        self.take(EntryEvent::LinkLost {
+        self.handle(EntryEvent::LinkLost {
             agent: agent.into(),
         })
     }
 
-    fn say(&mut self, agent: &str, message: AgentMessage) -> Vec<EntryStep> {
-        self.take(EntryEvent::Agent {
+    fn deliver(&mut self, agent: &str, message: AgentMessage) -> Vec<EntryStep> {
+        self.handle(EntryEvent::Agent {
             agent: agent.into(),
             message,
         })
     }
 
     fn submit(&mut self, submission: Submission) -> Vec<EntryStep> {
-        self.take(EntryEvent::Submitted(Box::new(submission)))
+        self.handle(EntryEvent::Submitted(Box::new(submission)))
     }
 
     fn grant(&mut self, agent: &str, request: u128) -> Vec<EntryStep> {
         self.grants += 1;
         let grant = self.last_grant();
-        self.say(agent, grant_message(request, grant))
+        self.deliver(agent, grant_message(request, grant))
     }
 
     fn last_grant(&self) -> GrantId {
@@ -108,7 +109,7 @@
     }
 
     fn end(&mut self, request: u128, number: u32, end: AnswerEnd, passed: bool) -> Vec<EntryStep> {
-        self.take(EntryEvent::Ended {
+        self.handle(EntryEvent::Ended {
             attempt: attempt(request, number),
             end,
             passed,
@@ -117,7 +118,7 @@
 
     fn settled(&mut self, agent: &str, request: u128, settlement: Settlement) -> Vec<EntryStep> {
         let attempt = attempt(request, 1);
-        self.say(
+        self.deliver(
             agent,
             AgentMessage::Settled {
                 attempt,
@@ -128,7 +129,7 @@
 
     fn tick(&mut self, now_ms: u64) -> Vec<EntryStep> {
         self.now_ms = now_ms;
-        self.take(EntryEvent::Tick)
+        self.handle(EntryEvent::Tick)
     }
 
     fn assert_nothing_left(&self) {
@@ -328,13 +329,13 @@
 
 #[test]
 fn grant_repeated_answered_once() {
-    // The link repeats a grant after the request ended and another one waits. Answered
-    // again it would start a second request in one slot, or the first one twice.
+    // The link delivers a grant again after its request ended, while another request waits.
+    // Using it twice would start a second request in one slot, or the first one twice.
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
     let again = scene.last_grant();
-    let steps = scene.say("a", grant_message(1, again));
+    let steps = scene.deliver("a", grant_message(1, again));
     assert!(steps.is_empty(), "{steps:?}");
 }
 
@@ -347,8 +348,8 @@
 
 #[test]
 fn grant_of_draining_upstream_declined() {
-    // The entry has heard that the upstream leaves, the agent has not. The upstream gets
-    // no new work even though its agent grants it.
+    // The entry's configuration already has the upstream as draining, the agent's does not.
+    // The upstream must get no new requests although its agent grants them.
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(submission(1, 0));
     let mut catalog = scene.catalog.clone();
@@ -357,7 +358,7 @@
         ..upstream("a")
     };
     catalog.upstreams.insert("a".into(), Arc::new(draining));
-    scene.take(EntryEvent::CatalogChanged(Arc::new(catalog)));
+    scene.handle(EntryEvent::CatalogChanged(Arc::new(catalog)));
     let steps = scene.grant("a", 1);
     assert!(dispatches(&steps).is_empty());
     assert_eq!(declines(&steps), [scene.last_grant()]);
@@ -388,8 +389,8 @@
 
 #[test]
 fn ended_broken_after_bytes_fails() {
-    // The caller has a part of the first answer. A second answer in its place would be
-    // neither the one nor the other, so it hears of the failure.
+    // The caller has received a part of the first answer. A second answer appended to it would
+    // mix the two, so the request fails.
     let mut scene = Scene::new(&["a", "b"], |_| {});
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
@@ -432,8 +433,8 @@
 #[test]
 fn ended_in_doubt_waits_for_settlement() {
     // The agent was restarted and can't tell whether the engine still runs the attempt.
-    // A second attempt now could be a second live one, so the request waits; when the
-    // engine has confirmed the end it moves.
+    // A retry now could be a second live attempt, so the request waits and is retried elsewhere
+    // only when the engine has confirmed the end.
     let mut scene = Scene::new(&["a", "b"], |_| {});
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
@@ -475,8 +476,8 @@
 
 #[test]
 fn link_lost_running_is_settled_not_repeated() {
-    // The link goes silent after the dispatch. Nobody knows whether it arrived, so no
-    // other agent is asked; the same agent is asked after it on the next link.
+    // The link is lost after the dispatch. It is unknown whether the dispatch arrived, so no
+    // other agent is asked; the same agent is queried over the next link.
     let mut scene = Scene::new(&["a", "b"], |_| {});
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
@@ -500,7 +501,7 @@
 }
 
 #[test]
-fn submit_expects_what_the_profile_took() {
+fn submit_expects_the_output_length_of_the_profile() {
     let mut scene = Scene::new(&["lang-1"], |_| {});
     let sized = |request| Submission {
         estimate: WorkEstimate {
@@ -518,7 +519,7 @@
         });
         assert_eq!(expected, [if request <= 8 { 128 } else { 40 }]);
         scene.grant("lang-1", request);
-        scene.take(EntryEvent::Measured {
+        scene.handle(EntryEvent::Measured {
             request: RequestId(request),
             output_tokens: 40,
         });
@@ -553,9 +554,9 @@
 }
 
 #[test]
-fn settled_never_sent_by_new_incarnation_is_doubt() {
-    // The agent was restarted. The new process has not sent the attempt, but its
-    // predecessor may have; taking its word would start a second live attempt.
+fn settled_never_sent_by_new_incarnation_is_in_doubt() {
+    // The agent was restarted. The new process has not sent the attempt, but the old one may
+    // have. Trusting the report "never sent" could start a second live attempt.
     let mut scene = Scene::new(&["a", "b"], |_| {});
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
@@ -580,7 +581,7 @@
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
     scene.link_lost("a");
-    let steps = scene.take(EntryEvent::HostGone { agent: "a".into() });
+    let steps = scene.handle(EntryEvent::HostGone { agent: "a".into() });
     assert!(matches!(steps.as_slice(), [EntryStep::End { .. }]));
     let steps = scene.end(1, 1, broken(), false);
     assert_eq!(reserves(&steps), ["b"]);
@@ -610,7 +611,7 @@
             attempt: attempt(1, 1),
             end: AnswerEnd::Cancelled,
         };
-        scene.say("a", end);
+        scene.deliver("a", end);
         scene.assert_nothing_left();
     }
 }
@@ -619,7 +620,7 @@
 fn caller_gone_waiting_withdraws() {
     let mut scene = Scene::new(&["a", "b"], |_| {});
     scene.submit(submission(1, 0));
-    scene.take(EntryEvent::CallerGone {
+    scene.handle(EntryEvent::CallerGone {
         request: RequestId(1),
     });
     scene.assert_nothing_left();
@@ -630,7 +631,7 @@
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(submission(1, 0));
     scene.grant("a", 1);
-    let steps = scene.take(EntryEvent::CallerGone {
+    let steps = scene.handle(EntryEvent::CallerGone {
         request: RequestId(1),
     });
     assert_eq!(cancels(&steps), [attempt(1, 1)]);
@@ -652,8 +653,8 @@
         attempt: attempt(1, 1),
         end: complete(),
     };
-    scene.say("a", end);
-    let steps = scene.take(EntryEvent::CallerGone {
+    scene.deliver("a", end);
+    let steps = scene.handle(EntryEvent::CallerGone {
         request: RequestId(1),
     });
     assert!(cancels(&steps).is_empty());
@@ -661,9 +662,9 @@
 }
 
 #[test]
-fn submit_full_queue_lowest_tier_gives_way() {
-    // A burst of lookups fills the queue before dispute summaries come. The summaries are
-    // kept, the youngest lookups are told "not run" at once, and a lookup that comes later
+fn submit_full_queue_evicts_lowest_tier() {
+    // A burst of lookups fills the queue before dispute summaries arrive. The summaries are
+    // queued, the youngest lookups fail at once as "not run", and a lookup that arrives later
     // is refused while summaries wait.
     let limits = QueueLimits {
         max_requests: 2,
@@ -696,10 +697,10 @@
         reason: RefusalReason::Crowded,
         retry_after_ms: 300,
     };
-    let steps = scene.say(&first, refuse.clone());
+    let steps = scene.deliver(&first, refuse.clone());
     let second = reserves(&steps)[0].to_owned();
     assert_ne!(first, second);
-    assert!(failures(&scene.say(&second, refuse)).is_empty());
+    assert!(failures(&scene.deliver(&second, refuse)).is_empty());
     let steps = scene.tick(scene.entry.next_tick_ms().expect("a timer to ask again"));
     assert!(reserves(&steps).is_empty(), "not before the time it named");
     let steps = scene.tick(300);
@@ -715,30 +716,30 @@
         reason: RefusalReason::TooLate,
         retry_after_ms: 0,
     };
-    assert!(failures(&scene.say("a", refuse.clone())).is_empty());
-    let steps = scene.say("b", refuse);
+    assert!(failures(&scene.deliver("a", refuse.clone())).is_empty());
+    let steps = scene.deliver("b", refuse);
     assert_failed(&steps, Outcome::NotRun, FailureReason::TooLate);
     scene.assert_nothing_left();
 }
 
 #[test]
-fn shut_down_keeps_waiting_until_grace_is_over() {
+fn shut_down_keeps_requests_queued_until_grace_period_ends() {
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(submission(1, 0));
     scene.submit(submission(2, 0));
-    scene.take(EntryEvent::ShutDown);
+    scene.handle(EntryEvent::ShutDown);
     assert!(!scene.entry.is_ready());
     let steps = scene.submit(submission(3, 0));
     assert_failed(&steps, Outcome::NotRun, FailureReason::ShuttingDown);
     assert_eq!(dispatches(&scene.grant("a", 1)).len(), 1);
-    let steps = scene.take(EntryEvent::GracePeriodEnded);
+    let steps = scene.handle(EntryEvent::GracePeriodEnded);
     assert_failed(&steps, Outcome::NotRun, FailureReason::ShuttingDown);
     assert!(!scene.entry.is_drained(), "the first one still runs");
     scene.end(1, 1, complete(), true);
     assert!(scene.entry.is_drained());
 }
 
-/// The attempt that agent `a` granted last, as a claim names it.
+/// Returns the claim holder for an attempt with the last grant of agent `a`.
 fn holder(scene: &Scene, request: u128, number: u32) -> Holder {
     Holder {
         attempt: attempt(request, number),
@@ -783,13 +784,13 @@
     }
 }
 
-/// A request whose claim turned out to be another request's.
+/// Sets up a request that follows the attempt of another request, which won the claim.
 fn following(submission: Submission) -> (Scene, Holder, Vec<EntryStep>) {
     let mut scene = Scene::new(&["a"], |rules| rules.claims = true);
     scene.submit(submission);
     scene.grant("a", 1);
     let other = holder(&scene, 7, 1);
-    let steps = scene.take(decided(1, ClaimDecision::Follow(other.clone())));
+    let steps = scene.handle(decided(1, ClaimDecision::Follow(other.clone())));
     (scene, other, steps)
 }
 
@@ -800,7 +801,7 @@
     let steps = scene.grant("a", 1);
     assert!(dispatches(&steps).is_empty());
     assert_eq!(claims(&steps), [&holder(&scene, 1, 1)]);
-    let steps = scene.take(decided(1, ClaimDecision::Dispatch));
+    let steps = scene.handle(decided(1, ClaimDecision::Dispatch));
     assert_eq!(dispatches(&steps), [("a", attempt(1, 1))]);
     let steps = scene.end(1, 1, complete(), true);
     let finished = EntryStep::Finished {
@@ -812,28 +813,29 @@
 }
 
 #[test]
-fn claim_failed_after_an_attempt_is_not_called_not_run() {
-    // The first attempt runs and breaks. The store does not take the claim of the second,
-    // which to the claims is "not run". The caller must hear that its request may have run.
+fn claim_failed_after_an_attempt_is_unknown() {
+    // The first attempt runs and breaks. The store refuses the claim of the retry, which the
+    // claims component reports as "not run". The caller must be told that its request may have
+    // run.
     let mut scene = Scene::new(&["a", "b"], |rules| rules.claims = true);
     scene.submit(named(1));
     scene.grant("a", 1);
-    scene.take(decided(1, ClaimDecision::Dispatch));
+    scene.handle(decided(1, ClaimDecision::Dispatch));
     let broken = AnswerEnd::Broken { reason: "".into() };
     scene.end(1, 1, broken, false);
     scene.grant("b", 1);
     let failure = Failure::not_run(FailureReason::StoreDown);
-    let steps = scene.take(decided(1, ClaimDecision::Fail(failure)));
+    let steps = scene.handle(decided(1, ClaimDecision::Fail(failure)));
     assert_failed(&steps, Outcome::Unknown, FailureReason::StoreDown);
 }
 
 #[test]
-fn refusal_of_a_named_refund_is_vouched_for_first() {
-    // A refund has run through another entry whose answer was lost. Its caller repeats it
-    // here while this entry shuts down. "Not run" would be true of this entry only; so the
-    // store is asked before the caller hears anything.
+fn refusal_of_a_named_refund_is_confirmed_first() {
+    // A refund has run through another entry, whose answer was lost. Its caller repeats it
+    // here while this entry shuts down. "Not run" would be true of this entry only, so the
+    // store is checked before the caller is told anything.
     let mut scene = Scene::new(&["a"], |rules| rules.claims = true);
-    scene.take(EntryEvent::ShutDown);
+    scene.handle(EntryEvent::ShutDown);
     let refund = Submission {
         non_idempotent: true,
         ..named(1)
@@ -846,21 +848,20 @@
     );
     assert!(!scene.entry.is_drained(), "its caller still waits");
     let failure = Failure::unknown(FailureReason::ShuttingDown);
-    let steps = scene.take(decided(1, ClaimDecision::Fail(failure)));
+    let steps = scene.handle(decided(1, ClaimDecision::Fail(failure)));
     assert_failed(&steps, Outcome::Unknown, FailureReason::ShuttingDown);
     assert!(scene.entry.is_drained());
 }
 
 #[test]
 fn claimed_link_lost_meanwhile_not_dispatched() {
-    // The store answers the claim after the link to the granting agent was lost. The
-    // grant is gone with the link, so nothing is dispatched by it; the next grant claims
-    // again.
+    // The claim is decided after the link to the granting agent was lost. The grant is lost
+    // with the link, so it must not be used; the next grant claims again.
     let mut scene = Scene::new(&["a"], |rules| rules.claims = true);
     scene.submit(named(1));
     scene.grant("a", 1);
     scene.link_lost("a");
-    let steps = scene.take(decided(1, ClaimDecision::Dispatch));
+    let steps = scene.handle(decided(1, ClaimDecision::Dispatch));
     assert!(dispatches(&steps).is_empty());
     scene.link_up("a", 1);
     let steps = scene.grant("a", 1);
@@ -869,8 +870,9 @@
 
 #[test]
 fn claimed_elsewhere_follows_and_settles_first() {
-    // The caller's first try runs through another entry. This entry must not dispatch: it
-    // declines the grant, asks the agent what became of the attempt, and reads its answer.
+    // The caller's first request runs through another entry. This entry must not dispatch the
+    // repeated one: it declines the grant, queries the agent for the state of the attempt, and
+    // reads its answer.
     let (mut scene, _, steps) = following(named(1));
     assert!(dispatches(&steps).is_empty());
     assert_eq!(declines(&steps), [scene.last_grant()]);
@@ -882,7 +884,7 @@
         end: complete(),
         passed: true,
     };
-    scene.take(ended);
+    scene.handle(ended);
     assert_eq!(scene.entry.counts().running, 0);
 }
 
@@ -911,8 +913,8 @@
 
 #[test]
 fn followed_past_deadline_is_unknown() {
-    // Nothing was dispatched for this repetition, but the request that it repeats runs.
-    // "Not run" would be untrue of the request that the caller means.
+    // Nothing was dispatched for the repeated request, but the original one runs. "Not run"
+    // would be wrong for the request that the caller means.
     let (mut scene, ..) = following(named(1));
     let steps = scene.tick(DEADLINE_MS);
     assert_failed(&steps, Outcome::Unknown, FailureReason::DeadlinePassed);
@@ -920,8 +922,8 @@
 
 #[test]
 fn submit_repeated_name_follows_the_run() {
-    // The caller repeats its request through the same entry while the first runs, and
-    // again when it is finished. Each time it gets the one answer; nothing is dispatched.
+    // The caller repeats its request through the same entry while the first one runs, and
+    // again when it has finished. Each time it gets the same answer; nothing more is dispatched.
     let mut scene = Scene::new(&["a", "b"], |_| {});
     scene.submit(named(1));
     scene.grant("a", 1);
@@ -966,7 +968,7 @@
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(named(1));
     scene.grant("a", 1);
-    let steps = scene.take(EntryEvent::CallerGone {
+    let steps = scene.handle(EntryEvent::CallerGone {
         request: RequestId(1),
     });
     assert!(cancels(&steps).is_empty(), "it may come back");
@@ -976,19 +978,19 @@
 
 #[test]
 fn caller_gone_named_goes_on_for_follower() {
-    // The caller's connection breaks; it sends the request again with the same key before
-    // the grace is over. The run that the first connection began must go on for it.
+    // The caller's connection breaks, and it repeats the request with the same key within the
+    // grace period. The run that the first connection started must go on.
     let mut scene = Scene::new(&["a"], |_| {});
     scene.submit(named(1));
     scene.grant("a", 1);
-    scene.take(EntryEvent::CallerGone {
+    scene.handle(EntryEvent::CallerGone {
         request: RequestId(1),
     });
     scene.submit(named(2));
     scene.settled("a", 1, Settlement::Running);
     let steps = scene.tick(4_000);
     assert!(cancels(&steps).is_empty());
-    let steps = scene.take(EntryEvent::CallerGone {
+    let steps = scene.handle(EntryEvent::CallerGone {
         request: RequestId(2),
     });
     assert_eq!(cancels(&steps), [attempt(1, 1)], "now nobody waits");
@@ -1005,7 +1007,7 @@
     let steps = scene.submit(ordered);
     assert!(reserves(&steps).is_empty());
     assert!(matches!(steps.as_slice(), [EntryStep::AwaitTurn { .. }]));
-    let steps = scene.take(EntryEvent::TurnDecided {
+    let steps = scene.handle(EntryEvent::TurnDecided {
         request: RequestId(1),
         refused: None,
     });
@@ -1019,7 +1021,7 @@
     let asked = reserves(&steps)[0].to_owned();
     let mut catalog = scene.catalog.clone();
     catalog.upstreams.shift_remove(asked.as_str());
-    let steps = scene.take(EntryEvent::CatalogChanged(Arc::new(catalog)));
+    let steps = scene.handle(EntryEvent::CatalogChanged(Arc::new(catalog)));
     assert_eq!(reserves(&steps).len(), 1);
     assert_ne!(reserves(&steps)[0], asked);
     assert_eq!(scene.entry.counts().reservations, 1);
@@ -1078,7 +1080,7 @@
 }
 
 #[test]
-fn submit_over_concurrent_waits_for_room() {
+fn submit_over_concurrency_limit_is_parked() {
     let mut scene = Scene::new(&["a"], |_| {});
     let limits = serde_json::json!({"concurrent": 1});
     scene.submit(limited(1, &limits));
@@ -1094,7 +1096,7 @@
 
 #[test]
 fn limits_are_shared_by_entries() {
-    // The agent sees four entries, so each of them keeps a quarter of the limit.
+    // The agent reports four entries, so each of them enforces a quarter of the limit.
     let mut scene = Scene::new(&["a"], |_| {});
     let load = Load {
         entries: 4,
@@ -1105,7 +1107,7 @@
         revision: 1,
         load,
     };
-    scene.say("a", heartbeat);
+    scene.deliver("a", heartbeat);
     let limits = serde_json::json!({"concurrent": 8});
     for request in 1..=2 {
         assert_eq!(reserves(&scene.submit(limited(request, &limits))).len(), 1);
@@ -1114,7 +1116,7 @@
 }
 
 #[test]
-fn reserve_names_started_appointment() {
+fn reserve_marks_started_appointment() {
     let mut scene = Scene::new(&["a"], |_| {});
     let of_appointment = |request| Submission {
         appointment: Some("household-9".into()),
@@ -1134,8 +1136,8 @@
 
 #[test]
 fn links_go_to_other_data_centres_too() {
-    // All near agents are lost with their data centre. An entry that had linked only to
-    // them would have nowhere to go until the configuration changes.
+    // All agents of the own data centre are lost with it. An entry with links to only these
+    // could not place requests until the configuration changes.
     let mut scene = Scene::new(&[], |rules| rules.links.max_links = 8);
     let mut catalog = Catalog::default();
     for number in 0..16 {
@@ -1147,7 +1149,7 @@
         };
         catalog.upstreams.insert(name, Arc::new(upstream));
     }
-    let steps = scene.take(EntryEvent::CatalogChanged(Arc::new(catalog.clone())));
+    let steps = scene.handle(EntryEvent::CatalogChanged(Arc::new(catalog.clone())));
     let dialled: Vec<_> = steps
         .iter()
         .filter_map(|step| match step {
--- a/lib/tests/test_output_estimator.rs
+++ b/lib/tests/test_output_estimator.rs
@@ -1,11 +1,11 @@
-//! Expected output lengths.
+//! Tests of the estimates of output lengths.
 
 use std::sync::Arc;
 
 use sardinewood::entry::output_estimator::OutputEstimator;
 
 #[test]
-fn output_tokens_a_long_answer_does_not_move_the_quantile() {
+fn output_tokens_a_long_answer_does_not_move_the_percentile() {
     let mut estimates = OutputEstimator::default();
     let lookup: Arc<str> = "lookup".into();
     for _ in 0..50 {
--- a/lib/tests/test_prefix_hints.rs
+++ b/lib/tests/test_prefix_hints.rs
@@ -1,9 +1,9 @@
-//! Hints of where the beginning of a prompt is cached.
+//! Tests of the hints which agents have a prefix cached.
 
 use sardinewood::entry::prefix_hints::PrefixHints;
 
 #[test]
-fn cached_blocks_counts_the_longest_beginning_of_each_agent() {
+fn cached_blocks_counts_the_longest_prefix_of_each_agent() {
     let mut hints = PrefixHints::default();
     hints.record(&[1, 2, 3], &"lang-1".into(), 0);
     hints.record(&[1], &"lang-2".into(), 0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn note_beyond_the_bound_drops_the_oldest() {
+fn record_beyond_the_bound_drops_the_oldest() {
     let mut hints = PrefixHints::default();
     for block in 0..20_000 {
         hints.record(&[block], &"lang-1".into(), 0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn note_many_agents_keeps_the_latest() {
+fn record_many_agents_keeps_the_latest() {
     let mut hints = PrefixHints::default();
     for number in 0..20 {
         hints.record(&[1], &format!("lang-{number}").into(), number);
