--- a/bench/src/faults/fleet_agent.rs
+++ b/bench/src/faults/fleet_agent.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use indexmap::IndexMap;
-use sardinewood::agent::answer_log::AnswerLog;
+use sardinewood::agent::answer_buffer::AnswerBuffer;
 use sardinewood::agent::events::CallProgress;
 use sardinewood::agent::events::CancelCause;
 use sardinewood::agent::events::LinkId;
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Pump {
     /// The bytes.
-    pub log: AnswerLog,
+    pub log: AnswerBuffer,
     /// The link that they go to.
     pub link: Option<u64>,
     /// How many parts were read.
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn new(link: Option<u64>, keep_whole: bool) -> Self {
         Self {
-            log: AnswerLog::new(WINDOW_BYTES, keep_whole),
+            log: AnswerBuffer::new(WINDOW_BYTES, keep_whole),
             link,
             read: 0,
             is_head_sent: false,
--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -4,7 +4,7 @@
 //! by [`server`]; entries reach it over [`crate::link`]. It knows no callers, no routes and
 //! nothing of the store.
 
-pub mod answer_log;
+pub mod answer_buffer;
 pub mod attempts;
 pub(crate) mod call_recovery;
 pub(crate) mod control;
--- a/lib/src/agent/answer_log.rs
+++ b/lib/src/agent/answer_buffer.rs
@@ -32,9 +32,9 @@
 ///
 /// ```
 /// use bytes::Bytes;
-/// use sardinewood::agent::answer_log::AnswerLog;
+/// use sardinewood::agent::answer_buffer::AnswerBuffer;
 ///
-/// let mut log = AnswerLog::new(1_000, false);
+/// let mut log = AnswerBuffer::new(1_000, false);
 /// log.append(Bytes::from_static(b"hello"));
 /// assert_eq!(log.next_unsent(), Some((0, Bytes::from_static(b"hello"))));
 /// log.mark_sent();
@@ -43,7 +43,7 @@
 /// assert_eq!(log.next_unsent(), Some((2, Bytes::from_static(b"llo"))));
 /// ```
 #[derive(Debug)]
-pub struct AnswerLog {
+pub struct AnswerBuffer {
     chunks: VecDeque<Bytes>,
     /// The offset of the first chunk.
     start_bytes: u64,
@@ -55,12 +55,12 @@
     hash: XxHash64,
 }
 
-impl AnswerLog {
+impl AnswerBuffer {
     /// An empty log. If `keep_whole`, the answer is read and kept to its end even if no
     /// entry takes it, up to a bound.
     #[must_use]
     pub fn new(window_bytes: u64, keep_whole: bool) -> Self {
-        AnswerLog {
+        AnswerBuffer {
             chunks: VecDeque::new(),
             start_bytes: 0,
             end_bytes: 0,
--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/pump.rs
@@ -14,7 +14,7 @@
 
 use self::delivery::Delivery;
 use self::token_report::TokenReport;
-use crate::agent::answer_log::AnswerLog;
+use crate::agent::answer_buffer::AnswerBuffer;
 use crate::agent::call_recovery;
 use crate::agent::call_recovery::Recovery;
 use crate::agent::call_recovery::Trouble;
@@ -110,7 +110,7 @@
 pub struct AnswerPump {
     parts: PumpParts,
     source: Source,
-    log: AnswerLog,
+    log: AnswerBuffer,
     scan: EventScan,
     /// The begin of an event whose end has not come. Only whole events go on, so that a
     /// stream that breaks inside one can be resumed after the last whole one.
@@ -149,7 +149,7 @@
         let attempt = parts.attempt;
         let silent_at = now + parts.silent;
         AnswerPump {
-            log: AnswerLog::new(parts.window_bytes, parts.keep_whole),
+            log: AnswerBuffer::new(parts.window_bytes, parts.keep_whole),
             parts,
             source,
             scan: EventScan::default(),
--- a/lib/src/agent/pump/delivery.rs
+++ b/lib/src/agent/pump/delivery.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::Outlet;
-use crate::agent::answer_log::AnswerLog;
+use crate::agent::answer_buffer::AnswerBuffer;
 use crate::ids::AttemptId;
 use crate::link::wire::AgentMessage;
 use crate::link::wire::AnswerEnd;
@@ -69,7 +69,7 @@
     }
 
     /// Whether there is a frame to send and a link to send it on.
-    pub(super) fn can_send(&self, log: &AnswerLog) -> bool {
+    pub(super) fn can_send(&self, log: &AnswerBuffer) -> bool {
         let has_head = self.head.is_some() && !self.is_head_sent;
         let has_end = self.end.is_some() && !self.is_end_sent;
         self.outlet.is_some() && (has_head || log.has_unsent() || has_end)
@@ -104,7 +104,7 @@
 
     /// Sends the next frame. Where another pump took the place that was free a moment ago,
     /// nothing changes and the pump waits again.
-    pub(super) fn send_next(&mut self, log: &mut AnswerLog) {
+    pub(super) fn send_next(&mut self, log: &mut AnswerBuffer) {
         let (Some(outlet), Some(message)) = (&self.outlet, self.next_frame(log)) else {
             return;
         };
@@ -121,7 +121,7 @@
         }
     }
 
-    fn next_frame(&self, log: &AnswerLog) -> Option<AgentMessage> {
+    fn next_frame(&self, log: &AnswerBuffer) -> Option<AgentMessage> {
         let attempt = self.attempt;
         if let Some(head) = self.head.as_ref().filter(|_| !self.is_head_sent) {
             return Some(AgentMessage::Head {
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -10,7 +10,7 @@
 mod test_agent_reservations;
 mod test_agent_server;
 mod test_answer_length;
-mod test_answer_log;
+mod test_answer_buffer;
 mod test_answer_reader;
 mod test_caller_api;
 mod test_claim_sweep;
--- a/lib/tests/test_answer_log.rs
+++ b/lib/tests/test_answer_buffer.rs
@@ -1,15 +1,15 @@
 //! The bytes of an answer on their way, and what is read along in them.
 
 use bytes::Bytes;
-use sardinewood::agent::answer_log::AnswerLog;
+use sardinewood::agent::answer_buffer::AnswerBuffer;
 use sardinewood::answer::event_scan::EventScan;
 use sardinewood::answer::reader::checksum;
 use sardinewood::link::wire::AnswerEnd;
 
 const CHUNK: &[u8] = b"0123456789";
 
-fn log_of(chunks: usize, window_bytes: u64, keep_whole: bool) -> AnswerLog {
-    let mut log = AnswerLog::new(window_bytes, keep_whole);
+fn log_of(chunks: usize, window_bytes: u64, keep_whole: bool) -> AnswerBuffer {
+    let mut log = AnswerBuffer::new(window_bytes, keep_whole);
     for _ in 0..chunks {
         log.append(Bytes::from_static(CHUNK));
     }
@@ -17,7 +17,7 @@
 }
 
 /// Everything that the log sends from where it stands.
-fn drain(log: &mut AnswerLog) -> Vec<u8> {
+fn drain(log: &mut AnswerBuffer) -> Vec<u8> {
     let mut sent = Vec::new();
     while let Some((_, bytes)) = log.next_unsent() {
         sent.extend_from_slice(&bytes);
@@ -62,7 +62,7 @@
 
 #[test]
 fn append_beyond_the_bound_keeps_only_what_is_not_acknowledged() {
-    let mut log = AnswerLog::new(100, true);
+    let mut log = AnswerBuffer::new(100, true);
     let chunk = Bytes::from(vec![0; 1024 * 1024]);
     for _ in 0..17 {
         log.append(chunk.clone());
@@ -110,7 +110,7 @@
     // The caller sees its tokens late and in bursts. The thread of the pump was busy, so many
     // tokens came from the engine before it could send one. Sent one by one they would keep
     // it behind; together they cost one frame.
-    let mut log = AnswerLog::new(1 << 20, false);
+    let mut log = AnswerBuffer::new(1 << 20, false);
     for token in 0..1_000_u32 {
         log.append(Bytes::from(format!("data: {token:026}\n\n")));
     }
