--- a/lib/src/agent/answer_buffer.rs
+++ b/lib/src/agent/answer_buffer.rs
@@ -22,10 +22,10 @@
 
 /// The log no longer holds the bytes from the offset asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer is kept from {kept_from_bytes} on only")]
-pub struct NotKeptError {
+#[error("the answer is kept from {buffered_from_bytes} on only")]
+pub struct NotBufferedError {
     /// Where the kept part begins.
-    pub kept_from_bytes: u64,
+    pub buffered_from_bytes: u64,
 }
 
 /// The bytes of one answer with their offsets.
@@ -167,10 +167,10 @@
     /// # Errors
     ///
     /// The bytes from there are not held any more; nothing changes.
-    pub fn rewind(&mut self, from_bytes: u64) -> Result<(), NotKeptError> {
+    pub fn rewind(&mut self, from_bytes: u64) -> Result<(), NotBufferedError> {
         if from_bytes < self.start_bytes || from_bytes > self.end_bytes {
-            return Err(NotKeptError {
-                kept_from_bytes: self.start_bytes,
+            return Err(NotBufferedError {
+                buffered_from_bytes: self.start_bytes,
             });
         }
         self.sent_bytes = from_bytes;
--- a/lib/tests/test_answer_buffer.rs
+++ b/lib/tests/test_answer_buffer.rs
@@ -47,7 +47,7 @@
     assert!(log.rewind(31).is_err());
     let mut log = log_of(3, 100, false);
     log.acknowledge(25);
-    assert_eq!(log.rewind(0).unwrap_err().kept_from_bytes, 20);
+    assert_eq!(log.rewind(0).unwrap_err().buffered_from_bytes, 20);
     log.rewind(20).unwrap();
 }
 
