--- a/bench/src/faults/fleet_agent.rs
+++ b/bench/src/faults/fleet_agent.rs
@@ -83,9 +83,9 @@
 impl Pump {
     /// A pump that has read nothing.
     #[must_use]
-    pub fn new(link: Option<u64>, keep_whole: bool) -> Self {
+    pub fn new(link: Option<u64>, buffer_whole: bool) -> Self {
         Self {
-            log: AnswerBuffer::new(WINDOW_BYTES, keep_whole),
+            log: AnswerBuffer::new(WINDOW_BYTES, buffer_whole),
             link,
             read: 0,
             is_head_sent: false,
--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -107,10 +107,10 @@
                 attempt,
                 link,
                 call,
-                keep_whole,
+                buffer_whole,
                 is_movable: _,
             } => {
-                let pump = Pump::new(Some(link.0), keep_whole);
+                let pump = Pump::new(Some(link.0), buffer_whole);
                 self.agents[agent].pumps.insert(attempt, pump);
                 let work = work_of(&call).unwrap_or(WorkId(u64::MAX));
                 let event = Event::Open {
--- a/lib/src/agent/answer_buffer.rs
+++ b/lib/src/agent/answer_buffer.rs
@@ -51,15 +51,15 @@
     sent_bytes: u64,
     acknowledged_bytes: u64,
     window_bytes: u64,
-    keep_whole: bool,
+    buffer_whole: bool,
     hash: XxHash64,
 }
 
 impl AnswerBuffer {
-    /// An empty log. If `keep_whole`, the answer is read and kept to its end even if no
+    /// An empty log. If `buffer_whole`, the answer is read and kept to its end even if no
     /// entry takes it, up to a bound.
     #[must_use]
-    pub fn new(window_bytes: u64, keep_whole: bool) -> Self {
+    pub fn new(window_bytes: u64, buffer_whole: bool) -> Self {
         AnswerBuffer {
             chunks: VecDeque::new(),
             start_bytes: 0,
@@ -67,7 +67,7 @@
             sent_bytes: 0,
             acknowledged_bytes: 0,
             window_bytes,
-            keep_whole,
+            buffer_whole,
             hash: XxHash64::with_seed(CHECKSUM_SEED),
         }
     }
@@ -81,7 +81,7 @@
     /// Whether more may be read from the upstream.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.keep_whole || self.end_bytes - self.acknowledged_bytes < self.window_bytes
+        self.buffer_whole || self.end_bytes - self.acknowledged_bytes < self.window_bytes
     }
 
     /// Whether an entry has acknowledged all that came.
@@ -133,7 +133,7 @@
         self.end_bytes += bytes.len() as u64;
         self.chunks.push_back(bytes);
         if self.end_bytes - self.start_bytes > KEEP_LIMIT_BYTES {
-            self.keep_whole = false;
+            self.buffer_whole = false;
             self.drop_acknowledged();
         }
     }
@@ -156,7 +156,7 @@
     pub fn acknowledge(&mut self, through_bytes: u64) {
         let through_bytes = through_bytes.min(self.end_bytes);
         self.acknowledged_bytes = self.acknowledged_bytes.max(through_bytes);
-        if !self.keep_whole {
+        if !self.buffer_whole {
             self.drop_acknowledged();
         }
     }
--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -309,10 +309,10 @@
                 attempt,
                 link,
                 call,
-                keep_whole,
+                buffer_whole,
                 is_movable,
             } => {
-                if let Some(parts) = self.pump_parts(attempt, keep_whole, is_movable) {
+                if let Some(parts) = self.pump_parts(attempt, buffer_whole, is_movable) {
                     self.open_call(parts, link, call);
                 }
             }
@@ -383,7 +383,7 @@
     fn pump_parts(
         &self,
         attempt: AttemptId,
-        keep_whole: bool,
+        buffer_whole: bool,
         is_movable: bool,
     ) -> Option<PumpParts> {
         Some(PumpParts {
@@ -391,7 +391,7 @@
             upstream: self.client.clone()?,
             window_bytes: self.parts.window_bytes,
             silent: self.parts.http.timings.silent(),
-            keep_whole,
+            buffer_whole,
             is_movable,
             events: self.call_events.clone(),
             orders: self.parts.pumps.add(attempt),
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -95,7 +95,7 @@
         link: LinkId,
         call: Call,
         /// Whether the answer is read and kept to its end even if nobody takes it.
-        keep_whole: bool,
+        buffer_whole: bool,
         /// Whether the request may run elsewhere when the upstream turns it down.
         is_movable: bool,
     },
--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/pump.rs
@@ -66,7 +66,7 @@
     /// How long an engine may send nothing before it is asked about the request.
     pub silent: Duration,
     /// Whether the answer is read and kept to its end even if nobody takes it.
-    pub keep_whole: bool,
+    pub buffer_whole: bool,
     /// Whether the request may run elsewhere when the upstream turns it down.
     pub is_movable: bool,
     /// Where it reports to.
@@ -149,7 +149,7 @@
         let attempt = parts.attempt;
         let silent_at = now + parts.silent;
         AnswerPump {
-            log: AnswerBuffer::new(parts.window_bytes, parts.keep_whole),
+            log: AnswerBuffer::new(parts.window_bytes, parts.buffer_whole),
             parts,
             source,
             scan: EventScan::default(),
@@ -319,7 +319,7 @@
             }
             // A plain service can't be told to stop. What it must not do twice is read to its
             // end, so that the outcome is known.
-            UpstreamClient::Service(_) if self.parts.keep_whole => Next::Continue,
+            UpstreamClient::Service(_) if self.parts.buffer_whole => Next::Continue,
             UpstreamClient::Service(_) => {
                 self.source = Source::Gone;
                 Next::End(in_doubt("a plain service does not confirm a cancellation"))
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -83,7 +83,7 @@
             attempt: id,
             link,
             call: (**call).clone(),
-            keep_whole: attempt.facts.non_idempotent || attempt.facts.retain,
+            buffer_whole: attempt.facts.non_idempotent || attempt.facts.retain,
             is_movable: !attempt.facts.non_idempotent,
         };
         self.attempts.set_phase(id, Phase::running(now_ms), now_ms);
--- a/lib/tests/test_answer_buffer.rs
+++ b/lib/tests/test_answer_buffer.rs
@@ -8,8 +8,8 @@
 
 const CHUNK: &[u8] = b"0123456789";
 
-fn log_of(chunks: usize, window_bytes: u64, keep_whole: bool) -> AnswerBuffer {
-    let mut log = AnswerBuffer::new(window_bytes, keep_whole);
+fn log_of(chunks: usize, window_bytes: u64, buffer_whole: bool) -> AnswerBuffer {
+    let mut log = AnswerBuffer::new(window_bytes, buffer_whole);
     for _ in 0..chunks {
         log.append(Bytes::from_static(CHUNK));
     }
