--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -10,7 +10,7 @@
 pub(crate) mod control;
 pub mod events;
 pub mod grants;
-pub mod kept_answers;
+pub mod retained_answers;
 pub(crate) mod link;
 pub(crate) mod pump;
 pub(crate) mod pump_registry;
--- a/lib/src/agent/attempts.rs
+++ b/lib/src/agent/attempts.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexSet;
 
 use crate::agent::events::LinkId;
-use crate::agent::kept_answers::KeptAnswers;
+use crate::agent::retained_answers::RetainedAnswers;
 use crate::config::objects::Target;
 use crate::config::objects::Tier;
 use crate::ids::AttemptId;
@@ -199,7 +199,7 @@
     /// Attempts that are not over.
     live: IndexSet<AttemptId>,
     /// Answers of finished attempts that can be read again.
-    pub answers: KeptAnswers,
+    pub answers: RetainedAnswers,
     /// Attempts that were sent, by request.
     sent: IndexMap<RequestId, AttemptId>,
     /// Attempts that are over, the oldest first, with when they were.
@@ -217,7 +217,7 @@
             limit,
             records: IndexMap::new(),
             live: IndexSet::new(),
-            answers: KeptAnswers::default(),
+            answers: RetainedAnswers::default(),
             sent: IndexMap::new(),
             over: VecDeque::new(),
             dropped_through: None,
@@ -274,7 +274,7 @@
         let settlement = match self.records.get(&id)?.phase {
             Phase::Ready(_) | Phase::Running(_) => Settlement::Running,
             Phase::InDoubt { .. } => Settlement::InDoubt,
-            Phase::Finished if self.answers.is_kept(id) => Settlement::Finished,
+            Phase::Finished if self.answers.is_retained(id) => Settlement::Finished,
             Phase::Finished | Phase::Ended => Settlement::Ended,
             Phase::NotSent => Settlement::NeverSent,
         };
@@ -332,7 +332,7 @@
     pub fn drop_old(&mut self, before_ms: u64) {
         while let Some((over_ms, id)) = self.over.front().copied() {
             let is_due = over_ms <= before_ms || self.over.len() > self.limit;
-            if !is_due || self.answers.is_kept(id) {
+            if !is_due || self.answers.is_retained(id) {
                 break;
             }
             self.over.pop_front();
--- a/lib/src/agent/kept_answers.rs
+++ b/lib/src/agent/retained_answers.rs
@@ -15,28 +15,28 @@
 ///
 /// ```
 /// use sardinewood::ids::{AttemptId, RequestId};
-/// use sardinewood::agent::kept_answers::KeptAnswers;
+/// use sardinewood::agent::retained_answers::RetainedAnswers;
 ///
 /// let attempt = AttemptId { request: RequestId(1), number: 1 };
-/// let mut answers = KeptAnswers::default();
+/// let mut answers = RetainedAnswers::default();
 /// answers.keep(attempt, 100, 0);
-/// assert!(answers.is_kept(attempt));
+/// assert!(answers.is_retained(attempt));
 /// assert_eq!(answers.unread().count(), 1);
 /// assert_eq!(answers.surplus(50), None, "nobody has read it yet");
 /// answers.acknowledge(attempt);
 /// assert_eq!(answers.surplus(50), Some(attempt));
 /// ```
 #[derive(Debug, Default)]
-pub struct KeptAnswers {
+pub struct RetainedAnswers {
     /// In the order in which they ended.
     answers: IndexMap<AttemptId, Kept>,
     bytes: u64,
 }
 
-impl KeptAnswers {
+impl RetainedAnswers {
     /// Whether the answer of `attempt` can be read.
     #[must_use]
-    pub fn is_kept(&self, attempt: AttemptId) -> bool {
+    pub fn is_retained(&self, attempt: AttemptId) -> bool {
         self.answers.contains_key(&attempt)
     }
 
