--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -173,7 +173,7 @@
             let is_kept = self.agents[agent]
                 .state
                 .attempt(attempt)
-                .is_some_and(|one| one.facts.non_idempotent || one.facts.retain);
+                .is_some_and(|one| one.info.non_idempotent || one.info.retain);
             if !is_kept {
                 let end = in_doubt("a plain service does not confirm a cancellation");
                 self.call_news(agent, attempt, CallNews::Over(end));
--- a/lib/src/agent/attempts.rs
+++ b/lib/src/agent/attempts.rs
@@ -21,7 +21,7 @@
 
 /// What the agent has to know of a request while it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AttemptFacts {
+pub struct AttemptInfo {
     /// What it asks for; unknown for an attempt of an earlier incarnation.
     pub target: Option<Target>,
     /// Its importance.
@@ -38,11 +38,11 @@
     pub retain: bool,
 }
 
-impl AttemptFacts {
+impl AttemptInfo {
     /// The facts of a reservation that was granted.
     #[must_use]
     pub fn of(reservation: &Reservation, retain: bool) -> Self {
-        AttemptFacts {
+        AttemptInfo {
             target: Some(reservation.target.clone()),
             tier: reservation.tier,
             prompt_tokens: reservation.prompt_tokens,
@@ -57,7 +57,7 @@
     /// highest tier, since nothing may be done to it that would be wrong for such a one.
     #[must_use]
     pub fn unknown() -> Self {
-        AttemptFacts {
+        AttemptInfo {
             target: None,
             tier: Tier(0),
             prompt_tokens: 0,
@@ -158,7 +158,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// What is known of the request.
-    pub facts: AttemptFacts,
+    pub info: AttemptInfo,
     /// The sequence of its grant, if this incarnation made it.
     pub granted: Option<u64>,
     /// The link of the entry that waits for it.
--- a/lib/src/agent/state/calls.rs
+++ b/lib/src/agent/state/calls.rs
@@ -46,9 +46,9 @@
             run.last_progress_ms = now_ms;
         }
         if let Some(attempt) = self.attempts.get(id)
-            && let Some(target) = &attempt.facts.target
+            && let Some(target) = &attempt.info.target
         {
-            let prompt_tokens = attempt.facts.prompt_tokens;
+            let prompt_tokens = attempt.info.prompt_tokens;
             self.speeds.observe_first(target, prompt_tokens, after_us);
         }
     }
@@ -60,7 +60,7 @@
             run.last_progress_ms = now_ms;
         }
         if let Some(attempt) = self.attempts.get(id)
-            && let Some(target) = &attempt.facts.target
+            && let Some(target) = &attempt.info.target
         {
             self.speeds.observe_tokens(target, count, elapsed_us);
         }
@@ -95,7 +95,7 @@
 
     fn acknowledge(&mut self, id: AttemptId) {
         self.attempts.answers.acknowledge(id);
-        let is_retained = self.attempts.get(id).is_some_and(|one| one.facts.retain);
+        let is_retained = self.attempts.get(id).is_some_and(|one| one.info.retain);
         if !is_retained {
             self.forget_answer(id);
         }
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::AgentState;
 use crate::agent::attempts::Attempt;
-use crate::agent::attempts::AttemptFacts;
+use crate::agent::attempts::AttemptInfo;
 use crate::agent::attempts::Phase;
 use crate::agent::attempts::RunProgress;
 use crate::agent::events::AgentStep;
@@ -53,7 +53,7 @@
             return self.end_not_sent(link, attempt);
         }
         let record = Attempt {
-            facts: AttemptFacts::of(reservation, retain),
+            info: AttemptInfo::of(reservation, retain),
             granted: Some(grant.sequence),
             link: Some(link),
             detached_ms: now_ms,
@@ -83,8 +83,8 @@
             attempt: id,
             link,
             call: (**call).clone(),
-            buffer_whole: attempt.facts.non_idempotent || attempt.facts.retain,
-            is_movable: !attempt.facts.non_idempotent,
+            buffer_whole: attempt.info.non_idempotent || attempt.info.retain,
+            is_movable: !attempt.info.non_idempotent,
         };
         self.attempts.set_phase(id, Phase::running(now_ms), now_ms);
         self.steps.push(step);
@@ -106,7 +106,7 @@
             return self.send(link, settled(id, Settlement::NeverSent));
         }
         let record = Attempt {
-            facts: AttemptFacts::unknown(),
+            info: AttemptInfo::unknown(),
             granted: None,
             link: Some(link),
             detached_ms: now_ms,
--- a/lib/src/agent/state/room.rs
+++ b/lib/src/agent/state/room.rs
@@ -56,7 +56,7 @@
             .running()
             .filter(|(_, attempt, progress)| {
                 let left = attempt
-                    .facts
+                    .info
                     .max_output_tokens
                     .saturating_sub(progress.tokens);
                 u64::from(left) * step_us <= ABOUT_TO_END_US
@@ -86,7 +86,7 @@
         let live = self
             .attempts
             .live()
-            .map(|(_, attempt)| attempt.facts.kv_tokens());
+            .map(|(_, attempt)| attempt.info.kv_tokens());
         let granted = self
             .grants
             .iter()
@@ -196,13 +196,13 @@
                 .attempts
                 .running()
                 .filter(|(_, attempt, progress)| {
-                    let facts = &attempt.facts;
-                    facts.tier > tier
-                        && !facts.non_idempotent
+                    let info = &attempt.info;
+                    info.tier > tier
+                        && !info.non_idempotent
                         && !progress.delivered
                         && !progress.cancelling
                 })
-                .max_by_key(|(_, attempt, progress)| (attempt.facts.tier, progress.opened_ms))
+                .max_by_key(|(_, attempt, progress)| (attempt.info.tier, progress.opened_ms))
                 .map(|(id, _, _)| id);
             let Some(victim) = victim else { return };
             self.cancel(victim, CancelCause::MakeRoom);
--- a/lib/src/agent/state/upkeep.rs
+++ b/lib/src/agent/state/upkeep.rs
@@ -53,7 +53,7 @@
             .running()
             .filter(|(_, attempt, _)| {
                 attempt.link.is_none()
-                    && !attempt.facts.non_idempotent
+                    && !attempt.info.non_idempotent
                     && now_ms >= attempt.detached_ms + grace_ms
             })
             .map(|(id, _, _)| id)
--- a/lib/src/agent/state/upstream.rs
+++ b/lib/src/agent/state/upstream.rs
@@ -42,7 +42,7 @@
         let movable: Vec<_> = self
             .attempts
             .running()
-            .filter(|(_, attempt, run)| !attempt.facts.non_idempotent && !run.delivered)
+            .filter(|(_, attempt, run)| !attempt.info.non_idempotent && !run.delivered)
             .map(|(id, _, _)| id)
             .collect();
         for id in movable {
