--- a/lib/src/agent/grants.rs
+++ b/lib/src/agent/grants.rs
@@ -3,18 +3,18 @@
 use indexmap::IndexMap;
 
 use crate::agent::events::LinkId;
-use crate::agent::reservation_queue::Waiting;
+use crate::agent::reservation_queue::QueuedReservation;
 use crate::ids::GrantId;
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
 
 /// A grant that waits for its answer and holds a slot meanwhile.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Granted {
+pub struct PendingGrant {
     /// The reservation that it was made for.
-    pub waiting: Waiting,
+    pub waiting: QueuedReservation,
     /// When the slot is given to another.
-    pub lapses_ms: u64,
+    pub expires_ms: u64,
 }
 
 /// Unanswered grants; there are never more of them than slots and grants ahead.
@@ -30,7 +30,7 @@
 pub struct Grants {
     agent: Incarnation,
     next_sequence: u64,
-    unanswered: IndexMap<u64, Granted>,
+    unanswered: IndexMap<u64, PendingGrant>,
 }
 
 impl Grants {
@@ -63,12 +63,12 @@
     }
 
     /// The grants that wait for their answer.
-    pub fn iter(&self) -> impl Iterator<Item = &Granted> {
+    pub fn iter(&self) -> impl Iterator<Item = &PendingGrant> {
         self.unanswered.values()
     }
 
     /// Makes a grant.
-    pub fn issue(&mut self, granted: Granted) -> GrantId {
+    pub fn issue(&mut self, granted: PendingGrant) -> GrantId {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.unanswered.insert(sequence, granted);
@@ -80,7 +80,7 @@
 
     /// Takes the grant out that `link` answers. `None` if it has lapsed, was answered, or
     /// was never made for that link.
-    pub fn answer(&mut self, grant: GrantId, link: LinkId) -> Option<Granted> {
+    pub fn answer(&mut self, grant: GrantId, link: LinkId) -> Option<PendingGrant> {
         let granted = self.unanswered.get(&grant.sequence)?;
         if !self.is_own(grant) || granted.waiting.link != link {
             return None;
@@ -89,7 +89,7 @@
     }
 
     /// Takes all grants out for which `revoke` says so.
-    pub fn revoke(&mut self, revoke: impl Fn(&Granted) -> bool) -> Vec<Granted> {
+    pub fn revoke(&mut self, revoke: impl Fn(&PendingGrant) -> bool) -> Vec<PendingGrant> {
         let (revoked, kept) = self
             .unanswered
             .drain(..)
@@ -99,7 +99,7 @@
     }
 
     /// Takes the grants of a request out.
-    pub fn revoke_request(&mut self, request: RequestId) -> Vec<Granted> {
+    pub fn revoke_request(&mut self, request: RequestId) -> Vec<PendingGrant> {
         self.revoke(|granted| granted.waiting.reservation.request == request)
     }
 }
--- a/lib/src/agent/reservation_queue.rs
+++ b/lib/src/agent/reservation_queue.rs
@@ -23,13 +23,13 @@
 
 /// A reservation as the agent keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedReservation {
     /// The link that it came on.
     pub link: LinkId,
     /// What the entry sent.
     pub reservation: Reservation,
     /// When it came.
-    pub came_ms: u64,
+    pub arrived_ms: u64,
     /// When the answer is of no use any more.
     pub deadline_ms: u64,
     /// When it has to start to be done by then, at the speed learned when it came.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 struct Place {
     sequence: u64,
-    waiting: Waiting,
+    waiting: QueuedReservation,
 }
 
 /// Reservations in the order in which they are granted.
@@ -92,10 +92,10 @@
 /// use sardinewood::agent::events::LinkId;
 /// use sardinewood::ids::RequestId;
 /// use sardinewood::config::objects::{Target, Tier};
-/// use sardinewood::agent::reservation_queue::{ReservationQueue, Waiting};
+/// use sardinewood::agent::reservation_queue::{ReservationQueue, QueuedReservation};
 /// use sardinewood::link::wire::Reservation;
 ///
-/// let waiting = |id, tier| Waiting {
+/// let waiting = |id, tier| QueuedReservation {
 ///     link: LinkId(1),
 ///     reservation: Reservation {
 ///         request: RequestId(id),
@@ -112,7 +112,7 @@
 ///         non_idempotent: false,
 ///         started_appointment: false,
 ///     },
-///     came_ms: 0,
+///     arrived_ms: 0,
 ///     deadline_ms: 1_000,
 ///     latest_start_ms: 900,
 ///     cost_us: 100,
@@ -153,13 +153,13 @@
 
     /// The reservation of a request.
     #[must_use]
-    pub fn get(&self, request: RequestId) -> Option<&Waiting> {
+    pub fn get(&self, request: RequestId) -> Option<&QueuedReservation> {
         self.places.get(&request).map(|place| &place.waiting)
     }
 
     /// The reservation that is granted next.
     #[must_use]
-    pub fn first(&self) -> Option<&Waiting> {
+    pub fn first(&self) -> Option<&QueuedReservation> {
         self.tiers
             .iter()
             .find_map(|tier| tier.started.first().or_else(|| tier.new.first()))
@@ -168,7 +168,7 @@
 
     /// The reservation that gives way first.
     #[must_use]
-    pub fn last(&self) -> Option<&Waiting> {
+    pub fn last(&self) -> Option<&QueuedReservation> {
         self.tiers
             .iter()
             .rev()
@@ -177,7 +177,7 @@
     }
 
     /// Requests that had to start by `now_ms`, the most pressing first.
-    pub fn due(&self, now_ms: u64) -> impl Iterator<Item = &Waiting> {
+    pub fn due(&self, now_ms: u64) -> impl Iterator<Item = &QueuedReservation> {
         self.by_latest_start
             .iter()
             .take_while(move |(latest_start_ms, _)| *latest_start_ms <= now_ms)
@@ -200,7 +200,7 @@
     }
 
     /// Adds a reservation; one for the same request is replaced.
-    pub fn insert(&mut self, waiting: Waiting) {
+    pub fn insert(&mut self, waiting: QueuedReservation) {
         let request = waiting.reservation.request;
         self.remove(request);
         let sequence = self.next_sequence;
@@ -214,7 +214,7 @@
     }
 
     /// Takes a reservation out without charging its customer.
-    pub fn remove(&mut self, request: RequestId) -> Option<Waiting> {
+    pub fn remove(&mut self, request: RequestId) -> Option<QueuedReservation> {
         let Place { sequence, waiting } = self.places.swap_remove(&request)?;
         self.cost_us -= waiting.cost_us;
         self.by_latest_start
@@ -225,7 +225,7 @@
     }
 
     /// Takes out the reservation that is granted next and charges its customer.
-    pub fn take_first(&mut self) -> Option<Waiting> {
+    pub fn take_first(&mut self) -> Option<QueuedReservation> {
         let request = self.first()?.reservation.request;
         let waiting = self.get(request)?.clone();
         self.tier_mut(&waiting).charge(&waiting);
@@ -233,28 +233,28 @@
     }
 
     /// Gives a customer back what was charged for a grant that was not used.
-    pub fn refund(&mut self, waiting: &Waiting) {
+    pub fn refund(&mut self, waiting: &QueuedReservation) {
         self.tier_mut(waiting).refund(waiting);
     }
 
-    fn tier_mut(&mut self, waiting: &Waiting) -> &mut TierQueue {
+    fn tier_mut(&mut self, waiting: &QueuedReservation) -> &mut TierQueue {
         let tier = usize::from(waiting.reservation.tier.0).min(TIER_COUNT - 1);
         &mut self.tiers[tier]
     }
 }
 
-fn turn(sequence: u64, waiting: &Waiting) -> Turn {
+fn turn(sequence: u64, waiting: &QueuedReservation) -> Turn {
     (waiting.deadline_ms, sequence, waiting.reservation.request)
 }
 
 /// What `waiting` adds to the service of its customer.
-fn share(waiting: &Waiting) -> u64 {
+fn share(waiting: &QueuedReservation) -> u64 {
     let weight = u64::from(waiting.reservation.weight.max(1));
     waiting.cost_us.saturating_mul(SHARE_SCALE) / weight
 }
 
 impl TierQueue {
-    fn lane_mut(&mut self, waiting: &Waiting) -> &mut Lane {
+    fn lane_mut(&mut self, waiting: &QueuedReservation) -> &mut Lane {
         if waiting.reservation.started_appointment {
             &mut self.started
         } else {
@@ -262,7 +262,7 @@
         }
     }
 
-    fn insert(&mut self, waiting: &Waiting, turn: Turn) {
+    fn insert(&mut self, waiting: &QueuedReservation, turn: Turn) {
         self.drop_idle_accounts();
         let customer = &waiting.reservation.customer;
         let level = self.level;
@@ -276,7 +276,7 @@
         self.lane_mut(waiting).insert(customer, account, turn);
     }
 
-    fn remove(&mut self, waiting: &Waiting, turn: Turn) {
+    fn remove(&mut self, waiting: &QueuedReservation, turn: Turn) {
         let customer = &waiting.reservation.customer;
         let Some(account) = self.accounts.get_mut(customer) else {
             return;
@@ -286,7 +286,7 @@
         self.lane_mut(waiting).remove(customer, account, turn);
     }
 
-    fn charge(&mut self, waiting: &Waiting) {
+    fn charge(&mut self, waiting: &QueuedReservation) {
         let customer = &waiting.reservation.customer;
         let Some(account) = self.accounts.get(customer) else {
             return;
@@ -295,7 +295,7 @@
         self.set_service(customer, account.service.saturating_add(share(waiting)));
     }
 
-    fn refund(&mut self, waiting: &Waiting) {
+    fn refund(&mut self, waiting: &QueuedReservation) {
         let customer = &waiting.reservation.customer;
         let Some(account) = self.accounts.get(customer) else {
             return;
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -47,7 +47,7 @@
             && !self.attempts.was_sent(attempt.request)
             && !self.attempts.is_live(attempt.request);
         // An agent that was paused reads what came meanwhile before it notices the time.
-        let has_lapsed = granted.lapses_ms <= now_ms;
+        let has_lapsed = granted.expires_ms <= now_ms;
         if has_lapsed || !is_first || self.usable_slots() == 0 {
             self.queue.refund(&granted.waiting);
             return self.end_not_sent(link, attempt);
--- a/lib/src/agent/state/reservations.rs
+++ b/lib/src/agent/state/reservations.rs
@@ -5,7 +5,7 @@
 use super::kv_tokens;
 use crate::agent::events::AgentStep;
 use crate::agent::events::LinkId;
-use crate::agent::reservation_queue::Waiting;
+use crate::agent::reservation_queue::QueuedReservation;
 use crate::ids::RequestId;
 use crate::link::wire::AgentMessage;
 use crate::link::wire::EntryMessage;
@@ -71,9 +71,9 @@
             reservation.expected_output_tokens,
         );
         let deadline_ms = now_ms + reservation.deadline_in_ms;
-        let waiting = Waiting {
+        let waiting = QueuedReservation {
             link,
-            came_ms: now_ms,
+            arrived_ms: now_ms,
             deadline_ms,
             latest_start_ms: deadline_ms.saturating_sub(work_us / 1_000),
             // Shares are kept by tokens until a speed is known.
@@ -117,7 +117,7 @@
     /// Whether the deadline can't be met at the speed learned. While nothing runs there
     /// are no samples, and a speed learned in a bad moment would refuse everything for
     /// ever; so one request at a time is tried unless its deadline has passed.
-    pub(super) fn is_too_late(&self, now_ms: u64, waiting: &Waiting) -> bool {
+    pub(super) fn is_too_late(&self, now_ms: u64, waiting: &QueuedReservation) -> bool {
         let reservation = &waiting.reservation;
         let work_us = if self.in_upstream() == 0 {
             0
--- a/lib/src/agent/state/room.rs
+++ b/lib/src/agent/state/room.rs
@@ -5,8 +5,8 @@
 use super::kv_tokens;
 use crate::agent::attempts::Phase;
 use crate::agent::events::CancelCause;
-use crate::agent::grants::Granted;
-use crate::agent::reservation_queue::Waiting;
+use crate::agent::grants::PendingGrant;
+use crate::agent::reservation_queue::QueuedReservation;
 use crate::link::wire::AgentMessage;
 use crate::link::wire::RefusalReason;
 
@@ -75,7 +75,7 @@
 
     /// Whether the KV cache holds `waiting` beside what runs and is promised. Where
     /// nothing else runs it is tried in any case.
-    fn has_kv_for(&self, waiting: &Waiting) -> bool {
+    fn has_kv_for(&self, waiting: &QueuedReservation) -> bool {
         let Some(capacity) = self
             .upstream
             .as_ref()
@@ -137,9 +137,9 @@
         };
         let link = waiting.link;
         let request = waiting.reservation.request;
-        let grant = self.grants.issue(Granted {
+        let grant = self.grants.issue(PendingGrant {
             waiting,
-            lapses_ms: now_ms + self.limits.grant_valid_ms,
+            expires_ms: now_ms + self.limits.grant_valid_ms,
         });
         let valid_ms = self.limits.grant_valid_ms;
         self.send(
@@ -155,15 +155,15 @@
     /// How long before its latest start a request makes others give way here. The agents
     /// that hold reservations of one request take turns: the first one's grant withdraws
     /// it from the others, where nothing then has to give way.
-    fn own_margin_ms(&self, waiting: &Waiting) -> u64 {
+    fn own_margin_ms(&self, waiting: &QueuedReservation) -> u64 {
         let mixed = waiting.reservation.request.0 ^ u128::from(self.incarnation.0);
         let turn = mixed.to_le_bytes()[0] % PREEMPT_TURNS;
         self.limits.preempt_margin_ms * u64::from(turn + 1) / u64::from(PREEMPT_TURNS)
     }
 
     /// Whether a request has waited so long that running work may give way to it.
-    fn has_waited(&self, now_ms: u64, waiting: &Waiting) -> bool {
-        let here_ms = now_ms.saturating_sub(waiting.came_ms);
+    fn has_waited(&self, now_ms: u64, waiting: &QueuedReservation) -> bool {
+        let here_ms = now_ms.saturating_sub(waiting.arrived_ms);
         let waited_ms = waiting.reservation.waited_ms + here_ms;
         let patience_ms = waited_ms + waiting.deadline_ms.saturating_sub(now_ms);
         waited_ms * 100 >= patience_ms * self.limits.preempt_after_percent
--- a/lib/src/agent/state/upkeep.rs
+++ b/lib/src/agent/state/upkeep.rs
@@ -27,7 +27,7 @@
     }
 
     fn lapse_grants(&mut self, now_ms: u64) {
-        for granted in self.grants.revoke(|granted| granted.lapses_ms <= now_ms) {
+        for granted in self.grants.revoke(|granted| granted.expires_ms <= now_ms) {
             self.queue.refund(&granted.waiting);
         }
     }
