--- a/bench/src/faults/fleet_agent.rs
+++ b/bench/src/faults/fleet_agent.rs
@@ -195,5 +195,5 @@
 /// The report about the first of the parts that were read.
 #[must_use]
 pub fn first_part() -> CallProgress {
-    CallProgress::First { after_us: 20_000 }
+    CallProgress::FirstToken { after_us: 20_000 }
 }
--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -166,7 +166,7 @@
             return;
         }
         if cause == CancelCause::MakeRoom && pump.has_begun {
-            self.progress(agent, attempt, CallProgress::KeptRunning);
+            self.progress(agent, attempt, CallProgress::CancelTooLate);
             return;
         }
         if self.upstreams[agent].is_service {
@@ -218,7 +218,7 @@
             self.agent_sends(agent, link, frame);
         }
         if begins {
-            self.progress(agent, attempt, CallProgress::Delivered);
+            self.progress(agent, attempt, CallProgress::DeliveryStarted);
         }
     }
 
--- a/bench/src/own_policy/agents.rs
+++ b/bench/src/own_policy/agents.rs
@@ -128,7 +128,7 @@
             return;
         };
         if cause == CancelCause::MakeRoom && call.is_delivered {
-            let progress = CallProgress::KeptRunning;
+            let progress = CallProgress::CancelTooLate;
             self.agent_event(world, upstream, AgentEvent::Call { attempt, progress });
             return;
         }
@@ -174,7 +174,7 @@
                     return;
                 };
                 let after_us = at_us - call.opened_us;
-                (id, CallProgress::First { after_us })
+                (id, CallProgress::FirstToken { after_us })
             }
             EngineEvent::Tokens {
                 id, count, gap_us, ..
@@ -227,7 +227,7 @@
         let attempt = call.attempt;
         let link = call.link;
         debug_assert_eq!(call.upstream, upstream);
-        let is_first = matches!(progress, CallProgress::First { .. });
+        let is_first = matches!(progress, CallProgress::FirstToken { .. });
         let is_streamed = world.requests[request_index(attempt.request)].streamed;
         let is_delivered = is_first && is_streamed && call.cause.is_none();
         call.is_delivered |= is_delivered;
@@ -238,7 +238,7 @@
         call.end.clone_from(&end);
         self.agent_event(world, upstream, AgentEvent::Call { attempt, progress });
         if is_delivered {
-            let progress = CallProgress::Delivered;
+            let progress = CallProgress::DeliveryStarted;
             self.agent_event(world, upstream, AgentEvent::Call { attempt, progress });
         }
         let Some(link) = link else {
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -55,15 +55,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallProgress {
     /// The first token, or for a plain answer the head, came so long after the call was opened.
-    First { after_us: u64 },
+    FirstToken { after_us: u64 },
     /// So many tokens came since the last report, the last of them so long after it; 0 if
     /// reading was held up, so that the time says nothing about the upstream.
     Tokens { count: u32, elapsed_us: u64 },
     /// The first part of the answer is on its way to the entry: the call can't be moved
     /// any more.
-    Delivered,
+    DeliveryStarted,
     /// A cancellation to make room came too late, since the answer is already passed on.
-    KeptRunning,
+    CancelTooLate,
     /// The upstream took no connection; [`Self::Ended`] follows.
     NoConnection,
     /// The call is over.
--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/pump.rs
@@ -305,7 +305,7 @@
             return Next::Continue;
         }
         if cause == CancelCause::MakeRoom && self.delivery.has_begun() {
-            self.report(CallProgress::KeptRunning).await;
+            self.report(CallProgress::CancelTooLate).await;
             return Next::Continue;
         }
         match &self.parts.upstream {
@@ -338,7 +338,7 @@
         let has_begun = self.delivery.has_begun();
         self.delivery.send_next(&mut self.log);
         if !has_begun && self.delivery.has_begun() {
-            self.report(CallProgress::Delivered).await;
+            self.report(CallProgress::DeliveryStarted).await;
         }
     }
 }
--- a/lib/src/agent/pump/intake.rs
+++ b/lib/src/agent/pump/intake.rs
@@ -118,7 +118,7 @@
 
     async fn report_first(&mut self) {
         let after_us = micros(self.opened.elapsed());
-        self.report(CallProgress::First { after_us }).await;
+        self.report(CallProgress::FirstToken { after_us }).await;
     }
 
     /// The body is over. A stream of events that ends without `[DONE]` was cut short,
--- a/lib/src/agent/state/calls.rs
+++ b/lib/src/agent/state/calls.rs
@@ -10,16 +10,16 @@
 impl AgentState {
     pub(super) fn advance(&mut self, now_ms: u64, id: AttemptId, progress: CallProgress) {
         match progress {
-            CallProgress::First { after_us } => self.see_first(now_ms, id, after_us),
+            CallProgress::FirstToken { after_us } => self.see_first(now_ms, id, after_us),
             CallProgress::Tokens { count, elapsed_us } => {
                 self.see_tokens(now_ms, id, count, elapsed_us);
             }
-            CallProgress::Delivered => {
+            CallProgress::DeliveryStarted => {
                 if let Some(run) = self.progress_mut(id) {
                     run.delivered = true;
                 }
             }
-            CallProgress::KeptRunning => {
+            CallProgress::CancelTooLate => {
                 if let Some(run) = self.progress_mut(id) {
                     run.cancelling = false;
                     run.delivered = true;
--- a/lib/tests/test_agent_attempts.rs
+++ b/lib/tests/test_agent_attempts.rs
@@ -350,7 +350,7 @@
         "a slot may free up"
     );
     assert_eq!(cancelled(&fixture.tick(40)), [1]);
-    let steps = fixture.progress(attempt(1), CallProgress::KeptRunning);
+    let steps = fixture.progress(attempt(1), CallProgress::CancelTooLate);
     assert_eq!(cancelled(&steps), [], "it is not tried again");
     assert_eq!(granted(&fixture.end(attempt(1), complete(1))), [2]);
 }
--- a/lib/tests/test_agent_reservations.rs
+++ b/lib/tests/test_agent_reservations.rs
@@ -229,7 +229,7 @@
 fn reserve_hopeless_deadline_is_refused_before_prefill() {
     let mut fixture = Fixture::new(4);
     fixture.run(reservation(1, 1));
-    fixture.progress(attempt(1), CallProgress::First { after_us: 100_000 });
+    fixture.progress(attempt(1), CallProgress::FirstToken { after_us: 100_000 });
     let steps = fixture.reserve(Reservation {
         prompt_tokens: 10_000,
         deadline_in_ms: 9_000,
@@ -357,7 +357,7 @@
     let mut fixture = Fixture::new(3);
     fixture.run(reservation(1, 0));
     fixture.run(reservation(2, 0));
-    fixture.progress(attempt(2), CallProgress::Delivered);
+    fixture.progress(attempt(2), CallProgress::DeliveryStarted);
     fixture.run(Reservation {
         non_idempotent: true,
         ..reservation(3, 0)
@@ -419,7 +419,7 @@
     let mut fixture = Fixture::new(2);
     fixture.run(reservation(1, 0));
     fixture.run(reservation(2, 4));
-    fixture.progress(attempt(2), CallProgress::Delivered);
+    fixture.progress(attempt(2), CallProgress::DeliveryStarted);
     let steps = fixture.reserve(Reservation {
         deadline_in_ms: 200,
         ..reservation(3, 0)
@@ -460,7 +460,7 @@
 fn tick_engine_without_progress_is_granted_nothing() {
     let mut fixture = Fixture::new(2);
     fixture.run(reservation(1, 0));
-    fixture.progress(attempt(1), CallProgress::First { after_us: 10_000 });
+    fixture.progress(attempt(1), CallProgress::FirstToken { after_us: 10_000 });
     fixture.progress(
         attempt(1),
         CallProgress::Tokens {
