--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -134,7 +134,7 @@
                 link,
                 from_bytes,
             } => self.attach(agent, attempt, link.0, from_bytes),
-            AgentStep::ForgetCall { attempt } => {
+            AgentStep::DropAnswer { attempt } => {
                 self.agents[agent].pumps.swap_remove(&attempt);
             }
             AgentStep::Probe => self.probe(agent),
--- a/bench/src/own_policy/agents.rs
+++ b/bench/src/own_policy/agents.rs
@@ -76,7 +76,7 @@
             }
             AgentStep::CloseLink { .. }
             | AgentStep::AdoptCall { .. }
-            | AgentStep::ForgetCall { .. } => {}
+            | AgentStep::DropAnswer { .. } => {}
         }
     }
 
--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -332,7 +332,7 @@
             } => {
                 self.attach(attempt, link, from_bytes);
             }
-            AgentStep::ForgetCall { attempt } => {
+            AgentStep::DropAnswer { attempt } => {
                 // What has ended is forgotten already.
                 let _ended = self.parts.pumps.order(attempt, PumpOrder::Forget);
             }
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -114,7 +114,7 @@
         from_bytes: u64,
     },
     /// Drop the answer of an ended call.
-    ForgetCall { attempt: AttemptId },
+    DropAnswer { attempt: AttemptId },
     /// Ask the upstream what it runs.
     Probe,
     /// Ask the upstream what became of a request, and unless it runs or is finished there,
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -216,7 +216,7 @@
     pub(super) fn forget_answer(&mut self, id: AttemptId) {
         if self.attempts.answers.is_retained(id) {
             self.attempts.answers.forget(id);
-            self.steps.push(AgentStep::ForgetCall { attempt: id });
+            self.steps.push(AgentStep::DropAnswer { attempt: id });
         }
     }
 }
--- a/lib/tests/test_agent_attempts.rs
+++ b/lib/tests/test_agent_attempts.rs
@@ -315,7 +315,7 @@
     let steps = fixture.say(resume());
     assert!(matches!(steps[..], [AgentStep::AttachCall { .. }]));
     let steps = fixture.tick(120_000);
-    let forget = AgentStep::ForgetCall {
+    let forget = AgentStep::DropAnswer {
         attempt: attempt(1),
     };
     assert_eq!(steps, [forget]);
