--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -165,7 +165,7 @@
         if pump.end.is_some() {
             return;
         }
-        if cause == CancelCause::MakeRoom && pump.has_begun {
+        if cause == CancelCause::Preempt && pump.has_begun {
             self.progress(agent, attempt, CallProgress::CancelTooLate);
             return;
         }
@@ -243,7 +243,7 @@
             CallNews::Cancelled(CancelCause::Unwanted) => {
                 self.end_call(agent, attempt, AnswerEnd::Cancelled);
             }
-            CallNews::Cancelled(CancelCause::MakeRoom) => {
+            CallNews::Cancelled(CancelCause::Preempt) => {
                 self.end_call(agent, attempt, AnswerEnd::Preempted);
             }
         }
--- a/bench/src/own_policy/agents.rs
+++ b/bench/src/own_policy/agents.rs
@@ -127,7 +127,7 @@
         let Some(call) = self.calls.get_mut(&job) else {
             return;
         };
-        if cause == CancelCause::MakeRoom && call.is_delivered {
+        if cause == CancelCause::Preempt && call.is_delivered {
             let progress = CallProgress::CancelTooLate;
             self.agent_event(world, upstream, AgentEvent::Call { attempt, progress });
             return;
@@ -201,7 +201,7 @@
                 let is_preempted = self
                     .calls
                     .get(&id)
-                    .is_some_and(|call| call.cause == Some(CancelCause::MakeRoom));
+                    .is_some_and(|call| call.cause == Some(CancelCause::Preempt));
                 let end = if is_preempted {
                     AnswerEnd::Preempted
                 } else {
--- a/lib/src/agent/call_recovery.rs
+++ b/lib/src/agent/call_recovery.rs
@@ -107,7 +107,7 @@
         if engine.cancel(request).await.is_ok() {
             return match cause {
                 CancelCause::Unwanted => AnswerEnd::Cancelled,
-                CancelCause::MakeRoom => AnswerEnd::Preempted,
+                CancelCause::Preempt => AnswerEnd::Preempted,
             };
         }
         tokio::time::sleep(PAUSE).await;
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -79,7 +79,7 @@
     Unwanted,
     /// More important work needs the room, or the upstream is stopped. Only an answer of
     /// which nothing was passed on is given up.
-    MakeRoom,
+    Preempt,
 }
 
 /// Something that an agent's decisions ask to be done.
--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/pump.rs
@@ -304,7 +304,7 @@
         if self.delivery.has_ended() || self.cancellation.is_some() {
             return Next::Continue;
         }
-        if cause == CancelCause::MakeRoom && self.delivery.has_begun() {
+        if cause == CancelCause::Preempt && self.delivery.has_begun() {
             self.report(CallProgress::CancelTooLate).await;
             return Next::Continue;
         }
--- a/lib/src/agent/state/room.rs
+++ b/lib/src/agent/state/room.rs
@@ -205,7 +205,7 @@
                 .max_by_key(|(_, attempt, progress)| (attempt.info.tier, progress.opened_ms))
                 .map(|(id, _, _)| id);
             let Some(victim) = victim else { return };
-            self.cancel(victim, CancelCause::MakeRoom);
+            self.cancel(victim, CancelCause::Preempt);
         }
     }
 }
--- a/lib/src/agent/state/upstream.rs
+++ b/lib/src/agent/state/upstream.rs
@@ -46,7 +46,7 @@
             .map(|(id, _, _)| id)
             .collect();
         for id in movable {
-            self.cancel(id, CancelCause::MakeRoom);
+            self.cancel(id, CancelCause::Preempt);
         }
     }
 
