--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -108,7 +108,7 @@
                 link,
                 call,
                 buffer_whole,
-                is_movable: _,
+                is_retryable: _,
             } => {
                 let pump = Pump::new(Some(link.0), buffer_whole);
                 self.agents[agent].pumps.insert(attempt, pump);
--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -310,9 +310,9 @@
                 link,
                 call,
                 buffer_whole,
-                is_movable,
+                is_retryable,
             } => {
-                if let Some(parts) = self.pump_parts(attempt, buffer_whole, is_movable) {
+                if let Some(parts) = self.pump_parts(attempt, buffer_whole, is_retryable) {
                     self.open_call(parts, link, call);
                 }
             }
@@ -384,7 +384,7 @@
         &self,
         attempt: AttemptId,
         buffer_whole: bool,
-        is_movable: bool,
+        is_retryable: bool,
     ) -> Option<PumpParts> {
         Some(PumpParts {
             attempt,
@@ -392,7 +392,7 @@
             window_bytes: self.parts.window_bytes,
             silent: self.parts.http.timings.silent(),
             buffer_whole,
-            is_movable,
+            is_retryable,
             events: self.call_events.clone(),
             orders: self.parts.pumps.add(attempt),
         })
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -97,7 +97,7 @@
         /// Whether the answer is read and kept to its end even if nobody takes it.
         buffer_whole: bool,
         /// Whether the request may run elsewhere when the upstream turns it down.
-        is_movable: bool,
+        is_retryable: bool,
     },
     /// Read the answer of an attempt that runs or is finished at the upstream, from its
     /// start, and keep it until an entry asks for it.
--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/pump.rs
@@ -68,7 +68,7 @@
     /// Whether the answer is read and kept to its end even if nobody takes it.
     pub buffer_whole: bool,
     /// Whether the request may run elsewhere when the upstream turns it down.
-    pub is_movable: bool,
+    pub is_retryable: bool,
     /// Where it reports to.
     pub events: mpsc::Sender<AgentEvent>,
     /// Where its orders come from. The sender being dropped means [`PumpOrder::Forget`].
--- a/lib/src/agent/pump/intake.rs
+++ b/lib/src/agent/pump/intake.rs
@@ -45,7 +45,7 @@
     fn is_turned_down(&self, answer: &UpstreamAnswer) -> bool {
         let is_engine = matches!(self.parts.upstream, UpstreamClient::Engine(_));
         let is_failure = answer.status == TOO_MANY_REQUESTS || answer.status >= SERVER_ERROR;
-        is_engine && self.parts.is_movable && is_failure && !self.delivery.has_head()
+        is_engine && self.parts.is_retryable && is_failure && !self.delivery.has_head()
     }
 
     /// Cancels the request by its id, so that it does not run here after it was moved.
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -84,7 +84,7 @@
             link,
             call: (**call).clone(),
             buffer_whole: attempt.info.non_idempotent || attempt.info.retain,
-            is_movable: !attempt.info.non_idempotent,
+            is_retryable: !attempt.info.non_idempotent,
         };
         self.attempts.set_phase(id, Phase::running(now_ms), now_ms);
         self.steps.push(step);
