--- a/bench/src/faults/world_agents.rs
+++ b/bench/src/faults/world_agents.rs
@@ -6,7 +6,7 @@
 use sardinewood::agent::events::AgentStep;
 use sardinewood::agent::events::CallProgress;
 use sardinewood::agent::events::CancelCause;
-use sardinewood::agent::events::settled;
+use sardinewood::agent::events::settled_message;
 use sardinewood::ids::AttemptId;
 use sardinewood::link::wire::AgentMessage;
 use sardinewood::link::wire::AnswerEnd;
@@ -198,7 +198,7 @@
         if pump.attach(link, from_bytes) {
             self.flush(agent, attempt);
         } else {
-            let message = settled(attempt, Settlement::Ended);
+            let message = settled_message(attempt, Settlement::Ended);
             self.agent_sends(agent, link, message);
         }
     }
--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -16,7 +16,7 @@
 use crate::agent::events::AgentEvent;
 use crate::agent::events::AgentStep;
 use crate::agent::events::LinkId;
-use crate::agent::events::settled;
+use crate::agent::events::settled_message;
 use crate::agent::link::LinkEvent;
 use crate::agent::link::LinkHandle;
 use crate::agent::pump::AnswerPump;
@@ -367,7 +367,7 @@
         };
         let order = PumpOrder::Attach { outlet, from_bytes };
         if self.parts.pumps.order(attempt, order).is_err() {
-            self.send(link, settled(attempt, Settlement::InDoubt));
+            self.send(link, settled_message(attempt, Settlement::InDoubt));
         }
     }
 
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -125,16 +125,16 @@
 /// A message that tells the outcome of an attempt.
 ///
 /// ```
-/// use sardinewood::agent::events::settled;
+/// use sardinewood::agent::events::settled_message;
 /// use sardinewood::ids::{AttemptId, RequestId};
 /// use sardinewood::link::wire::{AgentMessage, Settlement};
 ///
 /// let attempt = AttemptId { request: RequestId(1), number: 1 };
-/// let message = settled(attempt, Settlement::Ended);
+/// let message = settled_message(attempt, Settlement::Ended);
 /// assert!(matches!(message, AgentMessage::Settled { .. }));
 /// ```
 #[must_use]
-pub fn settled(attempt: AttemptId, settlement: Settlement) -> AgentMessage {
+pub fn settled_message(attempt: AttemptId, settlement: Settlement) -> AgentMessage {
     AgentMessage::Settled {
         attempt,
         settlement,
--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/pump.rs
@@ -22,7 +22,7 @@
 use crate::agent::events::AgentEvent;
 use crate::agent::events::CallProgress;
 use crate::agent::events::CancelCause;
-use crate::agent::events::settled;
+use crate::agent::events::settled_message;
 use crate::answer::event_scan::EventScan;
 use crate::ids::AttemptId;
 use crate::link::wire::AgentMessage;
@@ -285,7 +285,7 @@
         // An adopted call has not read as far yet as its entry has.
         let from_bytes = from_bytes.min(self.log.len_bytes());
         if self.log.rewind(from_bytes).is_err() {
-            let message = settled(self.parts.attempt, Settlement::Ended);
+            let message = settled_message(self.parts.attempt, Settlement::Ended);
             // A link that is lost needs no answer.
             let _lost = outlet.send(message).await;
             return;
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::agent::events::AgentStep;
 use crate::agent::events::CancelCause;
 use crate::agent::events::LinkId;
-use crate::agent::events::settled;
+use crate::agent::events::settled_message;
 use crate::ids::AttemptId;
 use crate::ids::GrantId;
 use crate::link::wire::AgentMessage;
@@ -37,7 +37,7 @@
         // A repeated dispatch is told what became of the first one. `NotSent` would say of
         // a running attempt that it does not run.
         if let Some(settlement) = self.attempts.settlement(attempt) {
-            return self.send(link, settled(attempt, settlement));
+            return self.send(link, settled_message(attempt, settlement));
         }
         let Some(granted) = granted else {
             return self.end_not_sent(link, attempt);
@@ -103,7 +103,7 @@
             for granted in self.grants.revoke_request(id.request) {
                 self.queue.refund(&granted.waiting);
             }
-            return self.send(link, settled(id, Settlement::NeverSent));
+            return self.send(link, settled_message(id, Settlement::NeverSent));
         }
         let record = Attempt {
             info: AttemptInfo::unknown(),
@@ -133,7 +133,7 @@
             _ => {}
         }
         if let Some(settlement) = self.attempts.settlement(id) {
-            self.send(link, settled(id, settlement));
+            self.send(link, settled_message(id, settlement));
         }
     }
 
@@ -141,7 +141,7 @@
         let settlement = self.attempts.settlement(id).unwrap_or(Settlement::InDoubt);
         let is_readable = matches!(settlement, Settlement::Running | Settlement::Finished);
         if !is_readable {
-            return self.send(link, settled(id, settlement));
+            return self.send(link, settled_message(id, settlement));
         }
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -165,7 +165,7 @@
         // wants it no more is told that it goes on.
         if attempt.link.is_some_and(|current| current != link) {
             if let Some(settlement) = self.attempts.settlement(id) {
-                self.send(link, settled(id, settlement));
+                self.send(link, settled_message(id, settlement));
             }
             return;
         }
--- a/lib/src/agent/state/upstream.rs
+++ b/lib/src/agent/state/upstream.rs
@@ -6,7 +6,7 @@
 use crate::agent::attempts::Phase;
 use crate::agent::events::AgentStep;
 use crate::agent::events::CancelCause;
-use crate::agent::events::settled;
+use crate::agent::events::settled_message;
 use crate::config::objects::Activity;
 use crate::config::objects::Serves;
 use crate::config::objects::Upstream;
@@ -128,7 +128,7 @@
             && let Phase::InDoubt { reply_to, .. } = &mut attempt.phase
             && let Some(link) = reply_to.take()
         {
-            self.send(link, settled(id, Settlement::InDoubt));
+            self.send(link, settled_message(id, Settlement::InDoubt));
         }
     }
 
@@ -151,7 +151,7 @@
         }
         self.attempts.set_phase(id, phase, now_ms);
         if let Some(link) = reply_to {
-            self.send(link, settled(id, settlement));
+            self.send(link, settled_message(id, settlement));
         }
     }
 }
