--- a/lib/src/agent/speeds.rs
+++ b/lib/src/agent/speeds.rs
@@ -22,9 +22,9 @@
 /// that is seen too late only costs a moment of less work.
 ///
 /// ```
-/// use sardinewood::agent::speeds::Average;
+/// use sardinewood::agent::speeds::SlowdownAverage;
 ///
-/// let mut step_us = Average::default();
+/// let mut step_us = SlowdownAverage::default();
 /// for _ in 0..20 {
 ///     step_us.observe(4_000.0, 1.0);
 /// }
@@ -33,13 +33,13 @@
 /// assert!(step_us.value().unwrap() > 12_000.0, "a slowdown shows at once");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Average {
+pub struct SlowdownAverage {
     quick: f64,
     steady: f64,
     weight: f64,
 }
 
-impl Average {
+impl SlowdownAverage {
     /// Takes a sample of a weight up to 1 in. The first samples are averaged evenly, so
     /// that none of them counts for long.
     pub fn observe(&mut self, sample: f64, weight: f64) {
@@ -60,10 +60,10 @@
 /// What was learned of one model or service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Speed {
-    prefill_us_per_token: Average,
-    step_us: Average,
+    prefill_us_per_token: SlowdownAverage,
+    step_us: SlowdownAverage,
     /// Time to the first byte of a plain service's answer.
-    first_us: Average,
+    first_us: SlowdownAverage,
 }
 
 /// What was learned of an upstream, by what it serves.
