--- a/lib/src/agent/pump.rs
+++ b/lib/src/agent/call_task.rs
@@ -34,18 +34,18 @@
 use crate::upstream::http::UpstreamAnswer;
 
 mod delivery;
-mod intake;
-mod reopening;
+mod upstream_reader;
+mod resumption;
 mod token_report;
 
 /// Where the frames of answers go: the bulk channel of a link.
-pub type Outlet = mpsc::Sender<AgentMessage>;
+pub type AnswerSender = mpsc::Sender<AgentMessage>;
 
 /// An order to a pump.
 #[derive(Debug)]
-pub enum PumpOrder {
+pub enum CallCommand {
     /// Send the answer to this outlet from here on.
-    Attach { outlet: Outlet, from_bytes: u64 },
+    Attach { outlet: AnswerSender, from_bytes: u64 },
     /// The entry has everything below this offset.
     Acknowledge { through_bytes: u64 },
     /// Stop the call.
@@ -56,7 +56,7 @@
 
 /// What a pump works with.
 #[derive(Debug)]
-pub struct PumpParts {
+pub struct CallTaskParts {
     /// The attempt that it carries.
     pub attempt: AttemptId,
     /// The upstream.
@@ -71,8 +71,8 @@
     pub is_retryable: bool,
     /// Where it reports to.
     pub events: mpsc::Sender<AgentEvent>,
-    /// Where its orders come from. The sender being dropped means [`PumpOrder::Forget`].
-    pub orders: mpsc::UnboundedReceiver<PumpOrder>,
+    /// Where its orders come from. The sender being dropped means [`CallCommand::Forget`].
+    pub orders: mpsc::UnboundedReceiver<CallCommand>,
 }
 
 type Work<T> = Pin<Box<dyn Future<Output = T> + Send>>;
@@ -89,14 +89,14 @@
 
 /// Something that the pump waits for.
 enum Input {
-    Order(Option<PumpOrder>),
+    Order(Option<CallCommand>),
     Opened(Result<UpstreamAnswer, OpenError>),
     Chunk(Result<Option<Bytes>, OpenError>),
     Recovered(Recovery),
     Cancelled(AnswerEnd),
     Silence,
     /// The link can take a frame, or is closed.
-    Outlet(bool),
+    AnswerSender(bool),
 }
 
 /// What follows on an input.
@@ -107,8 +107,8 @@
 }
 
 /// The task of one attempt.
-pub struct AnswerPump {
-    parts: PumpParts,
+pub struct CallTask {
+    parts: CallTaskParts,
     source: Source,
     log: AnswerBuffer,
     scan: EventScan,
@@ -126,10 +126,10 @@
     tokens: TokenReport,
 }
 
-impl AnswerPump {
+impl CallTask {
     /// A pump that sends `call` to the upstream, once.
     #[must_use]
-    pub fn open(parts: PumpParts, outlet: Option<Outlet>, call: Call) -> Self {
+    pub fn open(parts: CallTaskParts, outlet: Option<AnswerSender>, call: Call) -> Self {
         let upstream = parts.upstream.clone();
         let request = parts.attempt.request;
         let opening = async move { upstream.open(request, call).await };
@@ -138,17 +138,17 @@
 
     /// A pump that reads the answer of a request which the engine has already.
     #[must_use]
-    pub fn adopt(parts: PumpParts) -> Self {
+    pub fn adopt(parts: CallTaskParts) -> Self {
         let mut pump = Self::new(parts, None, Source::Gone);
         pump.start_recovery(Trouble::Broken);
         pump
     }
 
-    fn new(parts: PumpParts, outlet: Option<Outlet>, source: Source) -> Self {
+    fn new(parts: CallTaskParts, outlet: Option<AnswerSender>, source: Source) -> Self {
         let now = Instant::now();
         let attempt = parts.attempt;
         let silent_at = now + parts.silent;
-        AnswerPump {
+        CallTask {
             log: AnswerBuffer::new(parts.window_bytes, parts.buffer_whole),
             parts,
             source,
@@ -186,7 +186,7 @@
     async fn leave(mut self) {
         self.parts.orders.close();
         while let Ok(order) = self.parts.orders.try_recv() {
-            if let PumpOrder::Attach { outlet, from_bytes } = order {
+            if let CallCommand::Attach { outlet, from_bytes } = order {
                 self.attach(outlet, from_bytes).await;
             }
         }
@@ -212,7 +212,7 @@
             biased;
             order = self.parts.orders.recv() => Input::Order(order),
             is_open = self.delivery.ready(), if can_send => {
-                Input::Outlet(is_open)
+                Input::AnswerSender(is_open)
             }
             end = optional(self.cancellation.as_mut()), if is_cancelling => Input::Cancelled(end),
             recovery = optional(self.recovery.as_mut()), if can_read && self.recovery.is_some() => {
@@ -225,7 +225,7 @@
 
     async fn take(&mut self, input: Input) -> Next {
         match input {
-            Input::Order(None | Some(PumpOrder::Forget)) => Next::Quit,
+            Input::Order(None | Some(CallCommand::Forget)) => Next::Quit,
             Input::Order(Some(order)) => self.obey(order).await,
             Input::Opened(result) => self.take_opened(result).await,
             Input::Chunk(Ok(Some(bytes))) => {
@@ -241,7 +241,7 @@
                 self.start_recovery(Trouble::Silent);
                 Next::Continue
             }
-            Input::Outlet(is_open) => {
+            Input::AnswerSender(is_open) => {
                 self.send_frame(is_open).await;
                 Next::Continue
             }
@@ -270,18 +270,18 @@
 }
 
 /// Orders.
-impl AnswerPump {
-    async fn obey(&mut self, order: PumpOrder) -> Next {
+impl CallTask {
+    async fn obey(&mut self, order: CallCommand) -> Next {
         match order {
-            PumpOrder::Attach { outlet, from_bytes } => self.attach(outlet, from_bytes).await,
-            PumpOrder::Acknowledge { through_bytes } => self.acknowledge(through_bytes).await,
-            PumpOrder::Cancel(cause) => return self.cancel(cause).await,
-            PumpOrder::Forget => return Next::Quit,
+            CallCommand::Attach { outlet, from_bytes } => self.attach(outlet, from_bytes).await,
+            CallCommand::Acknowledge { through_bytes } => self.acknowledge(through_bytes).await,
+            CallCommand::Cancel(cause) => return self.cancel(cause).await,
+            CallCommand::Forget => return Next::Quit,
         }
         Next::Continue
     }
 
-    async fn attach(&mut self, outlet: Outlet, from_bytes: u64) {
+    async fn attach(&mut self, outlet: AnswerSender, from_bytes: u64) {
         // An adopted call has not read as far yet as its entry has.
         let from_bytes = from_bytes.min(self.log.len_bytes());
         if self.log.rewind(from_bytes).is_err() {
@@ -329,7 +329,7 @@
 }
 
 /// The answer goes out.
-impl AnswerPump {
+impl CallTask {
     async fn send_frame(&mut self, is_open: bool) {
         if !is_open {
             self.delivery.detach();
--- a/lib/src/agent/pump/delivery.rs
+++ b/lib/src/agent/call_task/delivery.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::Outlet;
+use super::AnswerSender;
 use crate::agent::answer_buffer::AnswerBuffer;
 use crate::ids::AttemptId;
 use crate::link::wire::AgentMessage;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct Delivery {
     attempt: AttemptId,
-    outlet: Option<Outlet>,
+    outlet: Option<AnswerSender>,
     head: Option<Head>,
     is_head_sent: bool,
     has_begun: bool,
@@ -30,7 +30,7 @@
 }
 
 impl Delivery {
-    pub(super) fn new(attempt: AttemptId, outlet: Option<Outlet>) -> Self {
+    pub(super) fn new(attempt: AttemptId, outlet: Option<AnswerSender>) -> Self {
         Delivery {
             attempt,
             outlet,
@@ -92,7 +92,7 @@
     }
 
     /// Sends on this link from now on, beginning with the head.
-    pub(super) fn attach(&mut self, outlet: Outlet) {
+    pub(super) fn attach(&mut self, outlet: AnswerSender) {
         self.outlet = Some(outlet);
         self.is_head_sent = false;
         self.is_end_sent = false;
--- a/lib/src/agent/pump/reopening.rs
+++ b/lib/src/agent/call_task/resumption.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use super::AnswerPump;
+use super::CallTask;
 use super::Next;
 use super::Source;
 use crate::agent::call_recovery;
@@ -17,7 +17,7 @@
 /// its outcome is given up as unknown.
 const MAX_REOPENS: u32 = 10;
 
-impl AnswerPump {
+impl CallTask {
     /// The connection is of no use any more.
     pub(super) fn look_after(&mut self, reason: &str) -> Next {
         match self.parts.upstream {
--- a/lib/src/agent/pump/intake.rs
+++ b/lib/src/agent/call_task/upstream_reader.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::AnswerPump;
+use super::CallTask;
 use super::Next;
 use super::Source;
 use super::micros;
@@ -20,7 +20,7 @@
 const TOO_MANY_REQUESTS: u16 = 429;
 const SERVER_ERROR: u16 = 500;
 
-impl AnswerPump {
+impl CallTask {
     pub(super) async fn take_opened(&mut self, result: Result<UpstreamAnswer, OpenError>) -> Next {
         match result {
             Ok(answer) if self.is_turned_down(&answer) => self.give_up(answer.status),
--- a/lib/src/agent/pump_registry.rs
+++ b/lib/src/agent/call_task_registry.rs
@@ -9,30 +9,30 @@
 use indexmap::IndexMap;
 use tokio::sync::mpsc;
 
-use crate::agent::pump::PumpOrder;
+use crate::agent::call_task::CallCommand;
 use crate::ids::AttemptId;
 
-type Orders = mpsc::UnboundedSender<PumpOrder>;
+type Orders = mpsc::UnboundedSender<CallCommand>;
 
 /// The pump has ended and takes no order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the attempt has no pump any more")]
-pub struct PumpEndedError;
+pub struct CallTaskEndedError;
 
 /// The pumps of an agent; clones share it.
 ///
 /// Orders need no bound: the control thread sends a few for each attempt, and an entry's
 /// acknowledgements are no more than the frames that it got.
 #[derive(Clone, Debug, Default)]
-pub struct PumpRegistry {
+pub struct CallTaskRegistry {
     pumps: Arc<Mutex<IndexMap<AttemptId, Orders>>>,
 }
 
-impl PumpRegistry {
+impl CallTaskRegistry {
     /// Makes the channel of a new pump. The pump of an earlier call of the same attempt
     /// is told to end by the loss of its sender.
     #[must_use]
-    pub fn add(&self, attempt: AttemptId) -> mpsc::UnboundedReceiver<PumpOrder> {
+    pub fn add(&self, attempt: AttemptId) -> mpsc::UnboundedReceiver<CallCommand> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.lock().insert(attempt, sender);
         receiver
@@ -43,11 +43,11 @@
     /// # Errors
     ///
     /// The pump has ended.
-    pub fn order(&self, attempt: AttemptId, order: PumpOrder) -> Result<(), PumpEndedError> {
-        let is_last = matches!(order, PumpOrder::Forget);
+    pub fn order(&self, attempt: AttemptId, order: CallCommand) -> Result<(), CallTaskEndedError> {
+        let is_last = matches!(order, CallCommand::Forget);
         let mut pumps = self.lock();
-        let orders = pumps.get(&attempt).ok_or(PumpEndedError)?;
-        let sent = orders.send(order).map_err(|_| PumpEndedError);
+        let orders = pumps.get(&attempt).ok_or(CallTaskEndedError)?;
+        let sent = orders.send(order).map_err(|_| CallTaskEndedError);
         if is_last {
             pumps.swap_remove(&attempt);
         }
--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -19,11 +19,11 @@
 use crate::agent::events::settled_message;
 use crate::agent::link::LinkEvent;
 use crate::agent::link::LinkHandle;
-use crate::agent::pump::AnswerPump;
-use crate::agent::pump::Outlet;
-use crate::agent::pump::PumpOrder;
-use crate::agent::pump::PumpParts;
-use crate::agent::pump_registry::PumpRegistry;
+use crate::agent::call_task::CallTask;
+use crate::agent::call_task::AnswerSender;
+use crate::agent::call_task::CallCommand;
+use crate::agent::call_task::CallTaskParts;
+use crate::agent::call_task_registry::CallTaskRegistry;
 use crate::agent::state::AgentState;
 use crate::config::catalog::Catalog;
 use crate::config::objects::Upstream;
@@ -72,7 +72,7 @@
     /// Where traffic runs.
     pub traffic: Handle,
     /// The pumps of attempts.
-    pub pumps: PumpRegistry,
+    pub pumps: CallTaskRegistry,
     /// What links tell.
     pub link_events: mpsc::Receiver<LinkEvent>,
     /// Asks for a graceful end.
@@ -318,12 +318,12 @@
             }
             AgentStep::AdoptCall { attempt } => {
                 if let Some(parts) = self.pump_parts(attempt, true, false) {
-                    self.spawn(AnswerPump::adopt(parts).run());
+                    self.spawn(CallTask::adopt(parts).run());
                 }
             }
             AgentStep::CancelCall { attempt, cause } => {
                 // What has ended needs no cancellation.
-                let _ended = self.parts.pumps.order(attempt, PumpOrder::Cancel(cause));
+                let _ended = self.parts.pumps.order(attempt, CallCommand::Cancel(cause));
             }
             AgentStep::AttachCall {
                 attempt,
@@ -334,7 +334,7 @@
             }
             AgentStep::DropAnswer { attempt } => {
                 // What has ended is forgotten already.
-                let _ended = self.parts.pumps.order(attempt, PumpOrder::Forget);
+                let _ended = self.parts.pumps.order(attempt, CallCommand::Forget);
             }
             AgentStep::Probe => self.probe(),
             AgentStep::Investigate { attempt } => self.investigate(attempt),
@@ -355,7 +355,7 @@
         }
     }
 
-    fn outlet(&self, link: LinkId) -> Option<Outlet> {
+    fn outlet(&self, link: LinkId) -> Option<AnswerSender> {
         self.links.get(&link).map(|handle| handle.bulk.clone())
     }
 
@@ -365,19 +365,19 @@
         let Some(outlet) = self.outlet(link) else {
             return;
         };
-        let order = PumpOrder::Attach { outlet, from_bytes };
+        let order = CallCommand::Attach { outlet, from_bytes };
         if self.parts.pumps.order(attempt, order).is_err() {
             self.send(link, settled_message(attempt, Settlement::InDoubt));
         }
     }
 
-    fn open_call(&self, parts: PumpParts, link: LinkId, call: Call) {
+    fn open_call(&self, parts: CallTaskParts, link: LinkId, call: Call) {
         self.parts.metrics.count("agent.dispatched", 1);
         Line::new(Level::Debug, "call opened")
             .attempt(parts.attempt)
             .send();
         let outlet = self.outlet(link);
-        self.spawn(AnswerPump::open(parts, outlet, call).run());
+        self.spawn(CallTask::open(parts, outlet, call).run());
     }
 
     fn pump_parts(
@@ -385,8 +385,8 @@
         attempt: AttemptId,
         buffer_whole: bool,
         is_retryable: bool,
-    ) -> Option<PumpParts> {
-        Some(PumpParts {
+    ) -> Option<CallTaskParts> {
+        Some(CallTaskParts {
             attempt,
             upstream: self.client.clone()?,
             window_bytes: self.parts.window_bytes,
--- a/lib/src/agent/link.rs
+++ b/lib/src/agent/link.rs
@@ -12,9 +12,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::agent::events::LinkId;
-use crate::agent::pump::Outlet;
-use crate::agent::pump::PumpOrder;
-use crate::agent::pump_registry::PumpRegistry;
+use crate::agent::call_task::AnswerSender;
+use crate::agent::call_task::CallCommand;
+use crate::agent::call_task_registry::CallTaskRegistry;
 use crate::config::spread_message::PeerKeys;
 use crate::link::frames::AgentEnd;
 use crate::link::frames::FrameError;
@@ -57,7 +57,7 @@
     /// Where control messages go.
     pub control: mpsc::Sender<AgentMessage>,
     /// Where the frames of answers go.
-    pub bulk: Outlet,
+    pub bulk: AnswerSender,
     /// When the entry was last heard.
     pub heard: Heard,
     /// Ends the link.
@@ -78,7 +78,7 @@
     /// Where events go.
     pub events: mpsc::Sender<LinkEvent>,
     /// The pumps that acknowledgements go to.
-    pub pumps: PumpRegistry,
+    pub pumps: CallTaskRegistry,
     /// Ends all links.
     pub stop: CancellationToken,
 }
@@ -187,7 +187,7 @@
                 attempt,
                 through_bytes,
             } => {
-                let order = PumpOrder::Acknowledge { through_bytes };
+                let order = CallCommand::Acknowledge { through_bytes };
                 // What has ended needs no acknowledgement.
                 let _ended = parts.pumps.order(attempt, order);
             }
--- a/lib/src/agent/server.rs
+++ b/lib/src/agent/server.rs
@@ -23,7 +23,7 @@
 use crate::agent::events::LinkId;
 use crate::agent::link;
 use crate::agent::link::LinkParts;
-use crate::agent::pump_registry::PumpRegistry;
+use crate::agent::call_task_registry::CallTaskRegistry;
 use crate::agent::settings::AgentSettings;
 use crate::agent::state::AgentLimits;
 use crate::agent::state::AgentState;
@@ -108,7 +108,7 @@
     let started = Instant::now();
     let shut_down = CancellationToken::new();
     let stop = CancellationToken::new();
-    let pumps = PumpRegistry::default();
+    let pumps = CallTaskRegistry::default();
     let (events, link_events) = mpsc::channel(LINK_EVENTS);
     let parts = ControlParts {
         upstream: Arc::clone(&settings.upstream),
