--- a/lib/src/agent/state.rs
+++ b/lib/src/agent/state.rs
@@ -34,8 +34,8 @@
 mod calls;
 mod dispatch;
 mod reservations;
-mod room;
-mod upkeep;
+mod scheduling;
+mod timers;
 mod upstream;
 
 /// The bounds and times that an agent works with.
