--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -7,14 +7,14 @@
 pub mod answer_buffer;
 pub mod attempts;
 pub(crate) mod call_recovery;
+pub(crate) mod call_task;
+pub(crate) mod call_task_registry;
 pub(crate) mod control;
 pub mod events;
 pub mod grants;
-pub mod retained_answers;
 pub(crate) mod link;
-pub(crate) mod call_task;
-pub(crate) mod call_task_registry;
 pub mod reservation_queue;
+pub mod retained_answers;
 pub mod server;
 pub mod settings;
 pub mod speeds;
--- a/lib/src/agent/call_task.rs
+++ b/lib/src/agent/call_task.rs
@@ -34,9 +34,9 @@
 use crate::upstream::http::UpstreamAnswer;
 
 mod delivery;
-mod upstream_reader;
 mod resumption;
 mod token_report;
+mod upstream_reader;
 
 /// Where the frames of answers go: the bulk channel of a link.
 pub type AnswerSender = mpsc::Sender<AgentMessage>;
@@ -45,7 +45,10 @@
 #[derive(Debug)]
 pub enum CallCommand {
     /// Send the answer to this outlet from here on.
-    Attach { outlet: AnswerSender, from_bytes: u64 },
+    Attach {
+        outlet: AnswerSender,
+        from_bytes: u64,
+    },
     /// The entry has everything below this offset.
     Acknowledge { through_bytes: u64 },
     /// Stop the call.
--- a/lib/src/agent/link.rs
+++ b/lib/src/agent/link.rs
@@ -11,10 +11,10 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-use crate::agent::events::LinkId;
 use crate::agent::call_task::AnswerSender;
 use crate::agent::call_task::CallCommand;
 use crate::agent::call_task_registry::CallTaskRegistry;
+use crate::agent::events::LinkId;
 use crate::config::spread_message::PeerKeys;
 use crate::link::frames::AgentEnd;
 use crate::link::frames::FrameError;
--- a/lib/src/agent/server.rs
+++ b/lib/src/agent/server.rs
@@ -18,12 +18,12 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use crate::agent::call_task_registry::CallTaskRegistry;
 use crate::agent::control::AgentControl;
 use crate::agent::control::ControlParts;
 use crate::agent::events::LinkId;
 use crate::agent::link;
 use crate::agent::link::LinkParts;
-use crate::agent::call_task_registry::CallTaskRegistry;
 use crate::agent::settings::AgentSettings;
 use crate::agent::state::AgentLimits;
 use crate::agent::state::AgentState;
