--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -1,8 +1,9 @@
-//! One agent beside one upstream: the only way to it, and the exact count of its room.
+//! The agent: a process that runs next to one upstream and sends it all of its requests.
 //!
-//! It decides which reservation is granted and what becomes of each attempt. Programs start it
-//! by [`server`]; entries reach it over [`crate::link`]. It knows no callers, no routes and
-//! nothing of the store.
+//! Because every request to the upstream goes through its agent, the agent's count of free
+//! slots is exact. The agent grants reservations and records the outcome of each attempt.
+//! Programs start it with [`server`]; entries connect to it over [`crate::link`]. It has no
+//! access to callers, routes or the store.
 
 pub mod answer_buffer;
 pub mod attempts;
--- a/lib/src/agent/answer_buffer.rs
+++ b/lib/src/agent/answer_buffer.rs
@@ -1,7 +1,7 @@
-//! The bytes of one answer while they are on their way to an entry.
+//! Buffer of the bytes of one answer between the upstream and an entry.
 //!
-//! Sans-IO: the log says what to send next, whether there is room to read more, and what
-//! the answer's length and checksum are.
+//! Sans-IO: the buffer returns what to send next, whether more may be read, and the
+//! answer's length and checksum.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -13,39 +13,39 @@
 use crate::answer::reader::CHECKSUM_SEED;
 use crate::link::wire::AnswerEnd;
 
-/// The most bytes of piled-up chunks that leave in one frame.
-const FRAME_BYTES: usize = 16 << 10;
+/// Maximum size of a frame that joins several chunks. A single larger chunk is sent whole.
+const MAX_FRAME_BYTES: usize = 16 << 10;
 
-/// The most that is kept of one answer for later replays. A longer answer is passed on
-/// all the same, but what its entry has acknowledged can't be had again.
-const KEEP_LIMIT_BYTES: u64 = 16 * 1024 * 1024;
+/// Maximum number of bytes of one answer that are buffered for replay. A longer answer is
+/// still delivered, but its acknowledged bytes are dropped and can't be replayed.
+const REPLAY_LIMIT_BYTES: u64 = 16 * 1024 * 1024;
 
-/// The log no longer holds the bytes from the offset asked for.
+/// The buffer no longer holds the bytes from the requested offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer is kept from {buffered_from_bytes} on only")]
+#[error("the answer is buffered only from offset {buffered_from_bytes}")]
 pub struct NotBufferedError {
-    /// Where the kept part begins.
+    /// Offset of the first buffered byte.
     pub buffered_from_bytes: u64,
 }
 
-/// The bytes of one answer with their offsets.
+/// Send and replay buffer of one answer.
 ///
 /// ```
 /// use bytes::Bytes;
 /// use sardinewood::agent::answer_buffer::AnswerBuffer;
 ///
-/// let mut log = AnswerBuffer::new(1_000, false);
-/// log.append(Bytes::from_static(b"hello"));
-/// assert_eq!(log.next_unsent(), Some((0, Bytes::from_static(b"hello"))));
-/// log.mark_sent();
-/// assert_eq!(log.next_unsent(), None);
-/// log.rewind(2).unwrap();
-/// assert_eq!(log.next_unsent(), Some((2, Bytes::from_static(b"llo"))));
+/// let mut buffer = AnswerBuffer::new(1_000, false);
+/// buffer.append(Bytes::from_static(b"hello"));
+/// assert_eq!(buffer.next_unsent(), Some((0, Bytes::from_static(b"hello"))));
+/// buffer.mark_sent();
+/// assert_eq!(buffer.next_unsent(), None);
+/// buffer.rewind(2).unwrap();
+/// assert_eq!(buffer.next_unsent(), Some((2, Bytes::from_static(b"llo"))));
 /// ```
 #[derive(Debug)]
 pub struct AnswerBuffer {
     chunks: VecDeque<Bytes>,
-    /// The offset of the first chunk.
+    /// Offset of the first chunk.
     start_bytes: u64,
     end_bytes: u64,
     sent_bytes: u64,
@@ -56,8 +56,10 @@
 }
 
 impl AnswerBuffer {
-    /// An empty log. If `buffer_whole`, the answer is read and kept to its end even if no
-    /// entry takes it, up to a bound.
+    /// Creates an empty buffer.
+    ///
+    /// With `buffer_whole`, the answer is read and buffered to its end even if no entry
+    /// reads it, up to a limit.
     #[must_use]
     pub fn new(window_bytes: u64, buffer_whole: bool) -> Self {
         AnswerBuffer {
@@ -72,31 +74,31 @@
         }
     }
 
-    /// How many bytes came so far.
+    /// Returns the number of bytes received so far.
     #[must_use]
     pub fn len_bytes(&self) -> u64 {
         self.end_bytes
     }
 
-    /// Whether more may be read from the upstream.
+    /// Returns whether more may be read from the upstream.
     #[must_use]
     pub fn has_room(&self) -> bool {
         self.buffer_whole || self.end_bytes - self.acknowledged_bytes < self.window_bytes
     }
 
-    /// Whether an entry has acknowledged all that came.
+    /// Returns whether an entry has acknowledged all received bytes.
     #[must_use]
     pub fn is_acknowledged(&self) -> bool {
         self.acknowledged_bytes == self.end_bytes
     }
 
-    /// Whether some bytes are not sent on the present link.
+    /// Returns whether some bytes were not sent on the current link yet.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
         self.sent_bytes < self.end_bytes
     }
 
-    /// How the whole answer ends.
+    /// Returns the end of a complete answer, with its length and checksum.
     #[must_use]
     pub fn complete(&self) -> AnswerEnd {
         AnswerEnd::Complete {
@@ -105,14 +107,15 @@
         }
     }
 
-    /// What to send next, with its offset.
+    /// Returns the bytes to send next and their offset.
     ///
-    /// What has piled up leaves together. A pump whose thread is late would otherwise send
-    /// each token by itself, fall behind further, and search a longer log for the next one.
+    /// Chunks that have accumulated are joined into one frame. Otherwise a call task whose
+    /// thread is late would send each token by itself, fall further behind, and search an
+    /// ever longer buffer for the next chunk.
     #[must_use]
     pub fn next_unsent(&self) -> Option<(u64, Bytes)> {
-        let (index, skip) = self.position(self.sent_bytes)?;
-        let count = self.frame_chunks(index);
+        let (index, skip) = self.locate(self.sent_bytes)?;
+        let count = self.chunks_in_frame(index);
         let first = self.chunks[index].slice(skip..);
         if count == 1 {
             return Some((self.sent_bytes, first));
@@ -124,7 +127,7 @@
         Some((self.sent_bytes, frame.freeze()))
     }
 
-    /// Adds bytes of the answer.
+    /// Appends bytes of the answer.
     pub fn append(&mut self, bytes: Bytes) {
         if bytes.is_empty() {
             return;
@@ -132,18 +135,18 @@
         self.hash.write(&bytes);
         self.end_bytes += bytes.len() as u64;
         self.chunks.push_back(bytes);
-        if self.end_bytes - self.start_bytes > KEEP_LIMIT_BYTES {
+        if self.end_bytes - self.start_bytes > REPLAY_LIMIT_BYTES {
             self.buffer_whole = false;
             self.drop_acknowledged();
         }
     }
 
-    /// Notes that what [`Self::next_unsent`] returned was sent.
+    /// Marks the bytes returned by [`Self::next_unsent`] as sent.
     pub fn mark_sent(&mut self) {
-        let Some((index, skip)) = self.position(self.sent_bytes) else {
+        let Some((index, skip)) = self.locate(self.sent_bytes) else {
             return;
         };
-        let count = self.frame_chunks(index);
+        let count = self.chunks_in_frame(index);
         let whole: usize = self
             .chunks
             .range(index..index + count)
@@ -152,7 +155,7 @@
         self.sent_bytes += (whole - skip) as u64;
     }
 
-    /// Notes that an entry has everything below `through_bytes`.
+    /// Records that an entry has received all bytes below `through_bytes`.
     pub fn acknowledge(&mut self, through_bytes: u64) {
         let through_bytes = through_bytes.min(self.end_bytes);
         self.acknowledged_bytes = self.acknowledged_bytes.max(through_bytes);
@@ -161,12 +164,13 @@
         }
     }
 
-    /// Sends again from an offset. What an earlier entry acknowledged counts for nothing
-    /// with the one that reads now.
+    /// Restarts sending at an offset. Acknowledgements of an earlier entry don't apply to
+    /// the one that reads now.
     ///
     /// # Errors
     ///
-    /// The bytes from there are not held any more; nothing changes.
+    /// Returns [`NotBufferedError`] if `from_bytes` is outside of the buffered range; the
+    /// buffer is unchanged then.
     pub fn rewind(&mut self, from_bytes: u64) -> Result<(), NotBufferedError> {
         if from_bytes < self.start_bytes || from_bytes > self.end_bytes {
             return Err(NotBufferedError {
@@ -178,12 +182,13 @@
         Ok(())
     }
 
-    /// The chunk that holds the byte at `offset`, and how many of its bytes come before it.
-    fn position(&self, offset: u64) -> Option<(usize, usize)> {
+    /// Returns the index of the chunk that holds the byte at `offset`, and the byte's
+    /// position in that chunk.
+    fn locate(&self, offset: u64) -> Option<(usize, usize)> {
         if offset >= self.end_bytes {
             return None;
         }
-        // The last chunk is the usual one, so the search begins at the back.
+        // Mostly the last chunk is the one, so the search starts at the back.
         let mut start = self.end_bytes;
         for (index, chunk) in self.chunks.iter().enumerate().rev() {
             start -= chunk.len() as u64;
@@ -195,13 +200,13 @@
         None
     }
 
-    /// How many chunks from `index` on make one frame: at least one, and further ones while
-    /// they fit.
-    fn frame_chunks(&self, index: usize) -> usize {
+    /// Returns how many chunks from `index` on are joined into one frame: at least one, and
+    /// more while they fit.
+    fn chunks_in_frame(&self, index: usize) -> usize {
         let mut frame_bytes = self.chunks[index].len();
         let further = self.chunks.range(index + 1..).take_while(|chunk| {
             frame_bytes += chunk.len();
-            frame_bytes <= FRAME_BYTES
+            frame_bytes <= MAX_FRAME_BYTES
         });
         1 + further.count()
     }
--- a/lib/src/agent/attempts.rs
+++ b/lib/src/agent/attempts.rs
@@ -1,8 +1,8 @@
-//! What an agent knows of the attempts that were dispatched to it.
+//! Records of the attempts that were dispatched to an agent.
 //!
-//! An attempt is recorded before its call is opened, so that nothing can be sent twice
-//! by this incarnation. Records outlive their attempts, within a bound; what an agent
-//! answers about one whose record is gone is never a guess.
+//! An attempt is recorded before its call is opened, so that this incarnation can't send it
+//! twice. Records are kept after their attempts have ended, up to a limit. Once a record is
+//! dropped, the agent asks the upstream about the attempt instead of guessing.
 
 use std::collections::VecDeque;
 
@@ -19,27 +19,28 @@
 use crate::link::wire::Reservation;
 use crate::link::wire::Settlement;
 
-/// What the agent has to know of a request while it runs.
+/// Properties of a request that the agent needs while the request runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptInfo {
-    /// What it asks for; unknown for an attempt of an earlier incarnation.
+    /// Requested model or service; `None` for an attempt of an earlier incarnation.
     pub target: Option<Target>,
-    /// Its importance.
+    /// Priority of the request.
     pub tier: Tier,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Output tokens that it is expected to take.
+    /// Expected number of output tokens.
     pub expected_output_tokens: u32,
-    /// Output tokens at which it is cut off.
+    /// Number of output tokens at which the upstream cuts the answer off.
     pub max_output_tokens: u32,
-    /// Whether it may run at most once; if so it is never cancelled by the agent.
+    /// Whether the request may run at most once; the agent never cancels such a request
+    /// by itself.
     pub non_idempotent: bool,
-    /// Whether its answer is kept for a repeated key.
+    /// Whether the answer is retained for a repeated idempotency key.
     pub retain: bool,
 }
 
 impl AttemptInfo {
-    /// The facts of a reservation that was granted.
+    /// Returns the properties of a granted reservation.
     #[must_use]
     pub fn of(reservation: &Reservation, retain: bool) -> Self {
         AttemptInfo {
@@ -53,8 +54,10 @@
         }
     }
 
-    /// An attempt of an earlier incarnation. It is taken for a non-idempotent one of the
-    /// highest tier, since nothing may be done to it that would be wrong for such a one.
+    /// Returns the properties assumed for an attempt of an earlier incarnation.
+    ///
+    /// They are those of a non-idempotent request of the highest tier, so that the agent
+    /// does nothing to the attempt that would be wrong for any request.
     #[must_use]
     pub fn unknown() -> Self {
         AttemptInfo {
@@ -68,57 +71,58 @@
         }
     }
 
-    /// Tokens of the KV cache that it is expected to fill.
+    /// Returns the expected use of the KV cache in tokens.
     #[must_use]
     pub fn kv_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.expected_output_tokens)
     }
 }
 
-/// How far a running attempt is.
+/// Progress of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunProgress {
-    /// When its call was opened.
+    /// Time at which the call was opened.
     pub opened_ms: u64,
-    /// When its last token came.
+    /// Time at which the last token was received.
     pub last_progress_ms: u64,
-    /// Output tokens so far.
+    /// Number of output tokens so far.
     pub tokens: u32,
-    /// Whether its first token has come.
+    /// Whether the first token was received.
     pub first_seen: bool,
-    /// Whether a part of the answer went to the entry.
+    /// Whether a part of the answer was sent to the entry.
     pub delivered: bool,
-    /// Whether a cancellation is under way.
+    /// Whether a cancellation is in progress.
     pub cancelling: bool,
 }
 
-/// Where an attempt stands.
+/// Phase of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits for the slot that its grant was made ahead of.
+    /// The attempt was granted ahead and waits for a free slot.
     Ready(Box<Call>),
-    /// Its call is open.
+    /// The call is open.
     Running(RunProgress),
-    /// The upstream does not tell what became of it.
+    /// The outcome is unknown to the agent.
     InDoubt {
-        /// Whether it may occupy a slot of the upstream. That of a plain service is not
-        /// held, since nothing would ever free it.
+        /// Whether the attempt counts as occupying a slot of the upstream. It doesn't at a
+        /// plain service, since nothing would ever free the slot.
         holds_slot: bool,
-        /// When the upstream is asked again; a plain service can't be asked.
-        ask_ms: Option<u64>,
-        /// Who waits for the outcome.
+        /// Time of the next query to the upstream; `None` at a plain service, which can't
+        /// be queried.
+        query_at_ms: Option<u64>,
+        /// Link on which an entry waits for the outcome.
         reply_to: Option<LinkId>,
     },
-    /// The whole answer came; it can be read again while it is kept.
+    /// The whole answer was received; it can be replayed while it is retained.
     Finished,
-    /// It does not run any more, and there is no whole answer.
+    /// The attempt has ended without a whole answer.
     Ended,
-    /// It was not sent and never will be.
+    /// The request was not sent and never will be by this attempt.
     NotSent,
 }
 
 impl Phase {
-    /// A call that was just opened.
+    /// Returns the phase of a call that was just opened.
     #[must_use]
     pub fn running(now_ms: u64) -> Self {
         Self::Running(RunProgress {
@@ -131,7 +135,7 @@
         })
     }
 
-    /// Whether it may be using a slot of the upstream now.
+    /// Returns whether the attempt may be using a slot of the upstream.
     #[must_use]
     pub fn is_in_upstream(&self) -> bool {
         matches!(
@@ -144,12 +148,18 @@
         )
     }
 
-    /// Whether nothing more happens to it, so that its record may age.
+    /// Returns whether the phase is final, so that the record may expire.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_terminal(&self) -> bool {
         matches!(
             self,
-            Self::Finished | Self::Ended | Self::NotSent | Self::InDoubt { ask_ms: None, .. }
+            Self::Finished
+                | Self::Ended
+                | Self::NotSent
+                | Self::InDoubt {
+                    query_at_ms: None,
+                    ..
+                }
         )
     }
 }
@@ -157,22 +167,23 @@
 /// The record of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// What is known of the request.
+    /// Properties of the request.
     pub info: AttemptInfo,
-    /// The sequence of its grant, if this incarnation made it.
-    pub granted: Option<u64>,
-    /// The link of the entry that waits for it.
+    /// Sequence number of the grant, if this incarnation issued it.
+    pub grant_sequence: Option<u64>,
+    /// Link of the entry that waits for the answer.
     pub link: Option<LinkId>,
-    /// Since when no entry waits for it.
+    /// Time since which no entry waits for the answer.
     pub detached_ms: u64,
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
 }
 
 impl Attempt {
-    /// Whether its answer is on its way to the entry, and went on within `quiet_ms`.
+    /// Returns whether the answer is being delivered and has made progress within the last
+    /// `quiet_ms`.
     #[must_use]
-    pub fn is_talking(&self, now_ms: u64, quiet_ms: u64) -> bool {
+    pub fn is_delivering(&self, now_ms: u64, quiet_ms: u64) -> bool {
         match &self.phase {
             Phase::Running(progress) => {
                 progress.delivered && now_ms < progress.last_progress_ms + quiet_ms
@@ -182,7 +193,7 @@
     }
 }
 
-/// The records of attempts, those that are over within a bound.
+/// Records of attempts. The number of records in a final phase is limited.
 ///
 /// ```
 /// use sardinewood::agent::attempts::Attempts;
@@ -196,21 +207,21 @@
 pub struct Attempts {
     limit: usize,
     records: IndexMap<AttemptId, Attempt>,
-    /// Attempts that are not over.
+    /// Attempts that are not in a final phase.
     live: IndexSet<AttemptId>,
-    /// Answers of finished attempts that can be read again.
+    /// Answers of finished attempts that can be replayed.
     pub answers: RetainedAnswers,
-    /// Attempts that were sent, by request.
+    /// Attempts that were sent to the upstream, by request.
     sent: IndexMap<RequestId, AttemptId>,
-    /// Attempts that are over, the oldest first, with when they were.
-    over: VecDeque<(u64, AttemptId)>,
-    /// The highest grant whose record was dropped: what is asked about a grant up to this
-    /// one can't be answered from memory.
+    /// Attempts in a final phase with the time at which they reached it, oldest first.
+    terminal: VecDeque<(u64, AttemptId)>,
+    /// Highest grant sequence whose record was dropped. Queries about grants up to this
+    /// one can't be answered from the records.
     dropped_through: Option<u64>,
 }
 
 impl Attempts {
-    /// No records, and at most `limit` of attempts that are over.
+    /// Creates an empty table that holds at most `limit` records in a final phase.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Attempts {
@@ -219,31 +230,31 @@
             live: IndexSet::new(),
             answers: RetainedAnswers::default(),
             sent: IndexMap::new(),
-            over: VecDeque::new(),
+            terminal: VecDeque::new(),
             dropped_through: None,
         }
     }
 
-    /// The record of an attempt.
+    /// Returns the record of an attempt.
     #[must_use]
     pub fn get(&self, attempt: AttemptId) -> Option<&Attempt> {
         self.records.get(&attempt)
     }
 
-    /// The record of an attempt, to be changed. Phases are changed by
+    /// Returns the record of an attempt for modification. Phases must be changed with
     /// [`Attempts::set_phase`].
     pub fn get_mut(&mut self, attempt: AttemptId) -> Option<&mut Attempt> {
         self.records.get_mut(&attempt)
     }
 
-    /// The attempts that are not over.
+    /// Returns the attempts that are not in a final phase.
     pub fn live(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         self.live
             .iter()
             .filter_map(|id| self.records.get(id).map(|attempt| (*id, attempt)))
     }
 
-    /// The attempts that are running.
+    /// Returns the running attempts.
     pub fn running(&self) -> impl Iterator<Item = (AttemptId, &Attempt, &RunProgress)> {
         self.live()
             .filter_map(|(id, attempt)| match &attempt.phase {
@@ -252,23 +263,28 @@
             })
     }
 
-    /// The attempts that the entry on `link` waits for.
-    pub fn ids_on(&self, link: LinkId) -> impl Iterator<Item = AttemptId> {
-        let unread = self.answers.unread();
-        self.live.iter().copied().chain(unread).filter(move |id| {
-            self.records
-                .get(id)
-                .is_some_and(|one| one.link == Some(link))
-        })
+    /// Returns the attempts whose answers the entry on `link` waits for.
+    pub fn ids_on_link(&self, link: LinkId) -> impl Iterator<Item = AttemptId> {
+        let unacknowledged = self.answers.unacknowledged();
+        self.live
+            .iter()
+            .copied()
+            .chain(unacknowledged)
+            .filter(move |id| {
+                self.records
+                    .get(id)
+                    .is_some_and(|attempt| attempt.link == Some(link))
+            })
     }
 
-    /// Whether an attempt of `request` that is not over is recorded.
+    /// Returns whether `request` has an attempt that is not in a final phase.
     #[must_use]
     pub fn is_live(&self, request: RequestId) -> bool {
         self.live.iter().any(|id| id.request == request)
     }
 
-    /// What an entry is told that asks.
+    /// Returns the settlement to send to an entry that asks about the attempt; `None`
+    /// without a record.
     #[must_use]
     pub fn settlement(&self, id: AttemptId) -> Option<Settlement> {
         let settlement = match self.records.get(&id)?.phase {
@@ -281,13 +297,13 @@
         Some(settlement)
     }
 
-    /// Whether some attempt of the request was sent to the upstream.
+    /// Returns whether an attempt of the request was sent to the upstream.
     #[must_use]
     pub fn was_sent(&self, request: RequestId) -> bool {
         self.sent.contains_key(&request)
     }
 
-    /// Whether a record of a grant up to `sequence` may have been dropped.
+    /// Returns whether the record of the grant `sequence` may have been dropped.
     #[must_use]
     pub fn may_have_dropped(&self, sequence: u64) -> bool {
         self.dropped_through
@@ -301,14 +317,14 @@
         self.set_phase(id, phase, now_ms);
     }
 
-    /// Moves an attempt on.
+    /// Changes the phase of an attempt.
     pub fn set_phase(&mut self, id: AttemptId, phase: Phase, now_ms: u64) {
         let Some(attempt) = self.records.get_mut(&id) else {
             return;
         };
         match phase {
             Phase::Ready(_) => {}
-            // No connection was made: the request may come here again.
+            // No connection was made, so the request may be dispatched here again.
             Phase::NotSent => {
                 if self.sent.get(&id.request) == Some(&id) {
                     self.sent.swap_remove(&id.request);
@@ -318,24 +334,24 @@
                 self.sent.insert(id.request, id);
             }
         }
-        if phase.is_over() {
+        if phase.is_terminal() {
             self.live.swap_remove(&id);
-            self.over.push_back((now_ms, id));
+            self.terminal.push_back((now_ms, id));
         } else {
             self.live.insert(id);
         }
         attempt.phase = phase;
     }
 
-    /// Drops the records of attempts that were over by `before_ms`, and the oldest beyond
-    /// the bound. An attempt whose answer is kept stays.
-    pub fn drop_old(&mut self, before_ms: u64) {
-        while let Some((over_ms, id)) = self.over.front().copied() {
-            let is_due = over_ms <= before_ms || self.over.len() > self.limit;
+    /// Drops the records that reached a final phase by `before_ms`, and the oldest records
+    /// above the limit. Stops at a record whose answer is retained.
+    pub fn drop_expired(&mut self, before_ms: u64) {
+        while let Some((terminal_ms, id)) = self.terminal.front().copied() {
+            let is_due = terminal_ms <= before_ms || self.terminal.len() > self.limit;
             if !is_due || self.answers.is_retained(id) {
                 break;
             }
-            self.over.pop_front();
+            self.terminal.pop_front();
             self.drop_record(id);
         }
     }
@@ -344,11 +360,11 @@
         let Some(attempt) = self.records.get(&id) else {
             return;
         };
-        if !attempt.phase.is_over() {
+        if !attempt.phase.is_terminal() {
             return;
         }
         if attempt.phase != Phase::NotSent {
-            self.dropped_through = self.dropped_through.max(attempt.granted);
+            self.dropped_through = self.dropped_through.max(attempt.grant_sequence);
             if self.sent.get(&id.request) == Some(&id) {
                 self.sent.swap_remove(&id.request);
             }
--- a/lib/src/agent/call_recovery.rs
+++ b/lib/src/agent/call_recovery.rs
@@ -1,4 +1,4 @@
-//! What to do when the connection of a call to an engine breaks or falls silent.
+//! Recovery of a call to an engine whose connection broke or fell silent.
 
 use std::time::Duration;
 
@@ -10,72 +10,73 @@
 use crate::upstream::engine::EngineState;
 use crate::upstream::engine::EngineStatus;
 
-/// How often the engine is asked before its silence is taken for an answer.
-const TRIES: u32 = 5;
+/// Number of queries to the engine before the outcome counts as unknown.
+const MAX_TRIES: u32 = 5;
 
-/// The pause before the next try.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two queries.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a call needs to be looked after.
+/// Reason for the recovery of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// Its connection broke, or its stream ended too early.
+pub enum CallFault {
+    /// The connection broke, or the stream ended too early.
     Broken,
-    /// Nothing came for a while; the connection may have been lost track of.
+    /// Nothing was received for a while; the connection may be dead without a notice.
     Silent,
 }
 
-/// How far this process has read the answer.
+/// How much of the answer this process has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadSoFar {
-    /// Tokens counted.
+pub struct ReadPosition {
+    /// Number of tokens read.
     pub tokens: u64,
-    /// Whether the answer is known to be a stream. A plain answer comes when it is whole,
-    /// and nothing is missed before.
+    /// Whether the answer is known to be a stream. A plain answer is sent only when it is
+    /// whole, so nothing can be missing before.
     pub is_stream: bool,
 }
 
-/// What came of looking after it.
+/// Result of a recovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recovery {
-    /// The engine has nothing that this process has not read; the connection is good.
-    Wait,
-    /// The rest of the answer is to be read on a new connection.
+    /// The engine has nothing that this process has not read; the current connection
+    /// stays.
+    KeepReading,
+    /// The rest of the answer must be read on a new connection.
     Reopen,
-    /// There is no whole answer.
-    Over(AnswerEnd),
+    /// The call has ended without a whole answer.
+    Ended(AnswerEnd),
 }
 
-/// Asks the engine and reads on where that is possible. The request itself is never sent
-/// again.
+/// Queries the engine and returns how to go on with the call. The request itself is never
+/// sent again.
 pub async fn recover(
     engine: Engine,
     request: RequestId,
-    trouble: Trouble,
-    read: ReadSoFar,
+    fault: CallFault,
+    read: ReadPosition,
 ) -> Recovery {
     let mut last_error = None;
-    for _ in 0..TRIES {
-        match recover_once(&engine, request, trouble, read).await {
+    for _ in 0..MAX_TRIES {
+        match recover_once(&engine, request, fault, read).await {
             Ok(recovery) => return recovery,
-            // The call's own connection was closed and a new one is refused on the same
-            // host: the engine's process is gone, and its work with it.
-            Err(EngineError::Refused) if trouble == Trouble::Broken => {
-                return Recovery::Over(broken("the engine's process is gone"));
+            // The call's own connection was closed and the same host refuses a new one: the
+            // engine's process is gone, and its work with it.
+            Err(EngineError::Refused) if fault == CallFault::Broken => {
+                return Recovery::Ended(broken("the engine's process is gone"));
             }
             Err(error) => last_error = Some(error),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     let reason = last_error.map_or_else(String::new, |error| error.to_string());
-    Recovery::Over(in_doubt(&reason))
+    Recovery::Ended(in_doubt(&reason))
 }
 
 async fn recover_once(
     engine: &Engine,
     request: RequestId,
-    trouble: Trouble,
-    read: ReadSoFar,
+    fault: CallFault,
+    read: ReadPosition,
 ) -> Result<Recovery, EngineError> {
     let status = engine.status(request).await?;
     let EngineStatus::Known {
@@ -83,39 +84,42 @@
         output_tokens,
     } = status
     else {
-        // The call may still be on its way to the engine: cancelling its id bars it.
+        // The call may still be in transit to the engine: cancelling its id makes the
+        // engine reject it.
         engine.cancel(request).await?;
-        return Ok(Recovery::Over(broken("the engine has lost the request")));
+        return Ok(Recovery::Ended(broken("the engine has lost the request")));
     };
     let has_more = match state {
         EngineState::Waiting | EngineState::Prefill => false,
         EngineState::Decode => read.is_stream && output_tokens > read.tokens,
         EngineState::Finished => true,
         EngineState::Cancelled => {
-            return Ok(Recovery::Over(broken("the engine has dropped the request")));
+            return Ok(Recovery::Ended(broken(
+                "the engine has dropped the request",
+            )));
         }
     };
-    if trouble == Trouble::Silent && !has_more {
-        return Ok(Recovery::Wait);
+    if fault == CallFault::Silent && !has_more {
+        return Ok(Recovery::KeepReading);
     }
     Ok(Recovery::Reopen)
 }
 
-/// Cancels a call at its engine and says how it ended.
+/// Cancels a call at its engine and returns how it ended.
 pub async fn cancel(engine: Engine, request: RequestId, cause: CancelCause) -> AnswerEnd {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         if engine.cancel(request).await.is_ok() {
             return match cause {
                 CancelCause::Unwanted => AnswerEnd::Cancelled,
                 CancelCause::Preempt => AnswerEnd::Preempted,
             };
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     in_doubt("the engine does not confirm the cancellation")
 }
 
-/// The end of an answer that broke off.
+/// Returns the end of an answer that broke off.
 #[must_use]
 pub fn broken(reason: &str) -> AnswerEnd {
     AnswerEnd::Broken {
@@ -123,7 +127,7 @@
     }
 }
 
-/// The end of an answer whose outcome nobody can tell.
+/// Returns the end of an answer whose outcome is unknown.
 #[must_use]
 pub fn in_doubt(reason: &str) -> AnswerEnd {
     AnswerEnd::InDoubt {
--- a/lib/src/agent/call_task/delivery.rs
+++ b/lib/src/agent/call_task/delivery.rs
@@ -1,4 +1,4 @@
-//! What of an answer goes to the entry next: its head, its bytes, its end.
+//! Delivery of an answer to the entry: the head, the bytes and the end.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use crate::link::wire::AgentMessage;
 use crate::link::wire::AnswerEnd;
 
-/// Status and headers of an answer.
+/// HTTP status and headers of an answer.
 #[derive(Clone, Debug)]
 struct Head {
     status: u16,
     headers: Vec<(Arc<str>, Bytes)>,
 }
 
-/// The way of an answer to its entry.
+/// State of the delivery of one answer.
 #[derive(Debug)]
 pub(super) struct Delivery {
     attempt: AttemptId,
-    outlet: Option<AnswerSender>,
+    answer_sender: Option<AnswerSender>,
     head: Option<Head>,
     is_head_sent: bool,
     has_begun: bool,
@@ -30,10 +30,10 @@
 }
 
 impl Delivery {
-    pub(super) fn new(attempt: AttemptId, outlet: Option<AnswerSender>) -> Self {
+    pub(super) fn new(attempt: AttemptId, answer_sender: Option<AnswerSender>) -> Self {
         Delivery {
             attempt,
-            outlet,
+            answer_sender,
             head: None,
             is_head_sent: false,
             has_begun: false,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether any frame went to any entry.
+    /// Returns whether any frame was sent to any entry.
     pub(super) fn has_begun(&self) -> bool {
         self.has_begun
     }
@@ -59,26 +59,26 @@
         self.is_end_sent
     }
 
-    /// Whether nothing is left to do. Nobody will ask for the rest of an answer that is
-    /// not whole.
-    pub(super) fn is_over(&self) -> bool {
+    /// Returns whether nothing is left to deliver: the answer is not whole, and its end was
+    /// sent or there is no link. No entry asks for the rest of such an answer.
+    pub(super) fn is_finished(&self) -> bool {
         match &self.end {
             None | Some(AnswerEnd::Complete { .. }) => false,
-            Some(_) => self.is_end_sent || self.outlet.is_none(),
+            Some(_) => self.is_end_sent || self.answer_sender.is_none(),
         }
     }
 
-    /// Whether there is a frame to send and a link to send it on.
-    pub(super) fn can_send(&self, log: &AnswerBuffer) -> bool {
+    /// Returns whether there is a frame to send and a link to send it on.
+    pub(super) fn can_send(&self, buffer: &AnswerBuffer) -> bool {
         let has_head = self.head.is_some() && !self.is_head_sent;
         let has_end = self.end.is_some() && !self.is_end_sent;
-        self.outlet.is_some() && (has_head || log.has_unsent() || has_end)
+        self.answer_sender.is_some() && (has_head || buffer.has_unsent() || has_end)
     }
 
-    /// Waits until the link takes a frame; false if it is closed.
+    /// Waits until the link accepts a frame. Returns false if the link is closed.
     pub(super) async fn ready(&self) -> bool {
-        match &self.outlet {
-            Some(outlet) => outlet.reserve().await.is_ok(),
+        match &self.answer_sender {
+            Some(answer_sender) => answer_sender.reserve().await.is_ok(),
             None => false,
         }
     }
@@ -91,37 +91,38 @@
         self.end = Some(end);
     }
 
-    /// Sends on this link from now on, beginning with the head.
-    pub(super) fn attach(&mut self, outlet: AnswerSender) {
-        self.outlet = Some(outlet);
+    /// Delivers on this link from now on, starting with the head.
+    pub(super) fn attach(&mut self, answer_sender: AnswerSender) {
+        self.answer_sender = Some(answer_sender);
         self.is_head_sent = false;
         self.is_end_sent = false;
     }
 
     pub(super) fn detach(&mut self) {
-        self.outlet = None;
+        self.answer_sender = None;
     }
 
-    /// Sends the next frame. Where another pump took the place that was free a moment ago,
-    /// nothing changes and the pump waits again.
-    pub(super) fn send_next(&mut self, log: &mut AnswerBuffer) {
-        let (Some(outlet), Some(message)) = (&self.outlet, self.next_frame(log)) else {
+    /// Sends the next frame. If another call task has filled the link's queue in the
+    /// meantime, nothing changes and the task waits again.
+    pub(super) fn send_next(&mut self, buffer: &mut AnswerBuffer) {
+        let (Some(answer_sender), Some(message)) = (&self.answer_sender, self.next_frame(buffer))
+        else {
             return;
         };
-        if outlet.try_send(message).is_err() {
+        if answer_sender.try_send(message).is_err() {
             return;
         }
         self.has_begun = true;
         if self.head.is_some() && !self.is_head_sent {
             self.is_head_sent = true;
-        } else if log.has_unsent() {
-            log.mark_sent();
+        } else if buffer.has_unsent() {
+            buffer.mark_sent();
         } else {
             self.is_end_sent = true;
         }
     }
 
-    fn next_frame(&self, log: &AnswerBuffer) -> Option<AgentMessage> {
+    fn next_frame(&self, buffer: &AnswerBuffer) -> Option<AgentMessage> {
         let attempt = self.attempt;
         if let Some(head) = self.head.as_ref().filter(|_| !self.is_head_sent) {
             return Some(AgentMessage::Head {
@@ -130,7 +131,7 @@
                 headers: head.headers.clone(),
             });
         }
-        if let Some((offset_bytes, bytes)) = log.next_unsent() {
+        if let Some((offset_bytes, bytes)) = buffer.next_unsent() {
             return Some(AgentMessage::Data {
                 attempt,
                 offset_bytes,
--- a/lib/src/agent/call_task/token_report.rs
+++ b/lib/src/agent/call_task/token_report.rs
@@ -1,4 +1,4 @@
-//! Counts the tokens of a call and says when to report them.
+//! Counter of the tokens of a call that decides when to report them.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use super::micros;
 use crate::agent::events::CallProgress;
 
-/// How often the tokens of a call are reported.
-const REPORT_PERIOD: Duration = Duration::from_millis(100);
+/// Minimum time between two token reports of a call.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The tokens of one call.
+/// Counts the tokens of one call.
 #[derive(Debug)]
 pub(super) struct TokenReport {
     total: u64,
     unreported: u32,
     since: Instant,
-    /// Whether reading has been held up since the last report, so that its time says
-    /// nothing about the engine.
-    is_held_up: bool,
+    /// Whether reading was paused since the last report, so that the elapsed time says
+    /// nothing about the engine's speed.
+    was_paused: bool,
 }
 
 impl TokenReport {
@@ -27,7 +27,7 @@
             total: 0,
             unreported: 0,
             since: now,
-            is_held_up: false,
+            was_paused: false,
         }
     }
 
@@ -35,12 +35,12 @@
         self.total
     }
 
-    pub(super) fn hold_up(&mut self) {
-        self.is_held_up = true;
+    pub(super) fn mark_paused(&mut self) {
+        self.was_paused = true;
     }
 
-    /// Counts tokens; returns a report when one is due. The first tokens only start the
-    /// clock, since their time is mostly that of the prompt.
+    /// Counts tokens and returns a report when one is due. The first tokens only start the
+    /// measurement, since their time is mostly spent on the prompt.
     pub(super) fn count(&mut self, tokens: u32, now: Instant) -> Option<CallProgress> {
         if tokens == 0 {
             return None;
@@ -49,28 +49,28 @@
         self.total += u64::from(tokens);
         if is_first {
             self.since = now;
-            self.is_held_up = false;
+            self.was_paused = false;
             return None;
         }
         self.unreported += tokens;
-        if now.duration_since(self.since) < REPORT_PERIOD {
+        if now.duration_since(self.since) < REPORT_INTERVAL {
             return None;
         }
         self.report(now)
     }
 
-    /// The report of what was counted since the last one.
+    /// Returns a report of the tokens counted since the last one, if there are any.
     pub(super) fn report(&mut self, now: Instant) -> Option<CallProgress> {
         if self.unreported == 0 {
             return None;
         }
-        let elapsed_us = if self.is_held_up {
+        let elapsed_us = if self.was_paused {
             0
         } else {
             micros(now.duration_since(self.since))
         };
         let count = std::mem::take(&mut self.unreported);
-        self.is_held_up = false;
+        self.was_paused = false;
         self.since = now;
         Some(CallProgress::Tokens { count, elapsed_us })
     }
--- a/lib/src/agent/call_task/upstream_reader.rs
+++ b/lib/src/agent/call_task/upstream_reader.rs
@@ -1,11 +1,11 @@
-//! The answer comes in from the upstream.
+//! Reading of the answer from the upstream.
 
 use bytes::Bytes;
 use tokio::time::Instant;
 
 use super::CallTask;
-use super::Next;
 use super::Source;
+use super::TaskStep;
 use super::micros;
 use crate::agent::call_recovery;
 use crate::agent::call_recovery::broken;
@@ -16,42 +16,46 @@
 use crate::upstream::http::OpenError;
 use crate::upstream::http::UpstreamAnswer;
 
-/// HTTP statuses with which an engine turns a request down.
+/// HTTP statuses with which an engine declines a request: 429, and 500 and above.
 const TOO_MANY_REQUESTS: u16 = 429;
 const SERVER_ERROR: u16 = 500;
 
 impl CallTask {
-    pub(super) async fn take_opened(&mut self, result: Result<UpstreamAnswer, OpenError>) -> Next {
+    pub(super) async fn handle_opened(
+        &mut self,
+        result: Result<UpstreamAnswer, OpenError>,
+    ) -> TaskStep {
         match result {
-            Ok(answer) if self.is_turned_down(&answer) => self.give_up(answer.status),
+            Ok(answer) if self.is_declined(&answer) => self.cancel_declined(answer.status),
             Ok(answer) => {
                 if !answer.is_event_stream {
                     self.report_first().await;
                 }
                 self.read_from(answer);
-                Next::Continue
+                TaskStep::Continue
             }
             Err(OpenError::NoConnection(_)) => {
                 self.report(CallProgress::NoConnection).await;
-                Next::End(AnswerEnd::NotSent)
+                TaskStep::End(AnswerEnd::NotSent)
             }
-            Err(OpenError::Invalid(_)) => Next::End(AnswerEnd::NotSent),
-            Err(OpenError::Broke(reason)) => self.look_after(&reason),
+            Err(OpenError::Invalid(_)) => TaskStep::End(AnswerEnd::NotSent),
+            Err(OpenError::Broke(reason)) => self.recover_or_end(&reason),
         }
     }
 
-    /// Whether the engine has no room or failed. Another engine may well answer, so the
-    /// caller of an idempotent request need not see this.
-    fn is_turned_down(&self, answer: &UpstreamAnswer) -> bool {
+    /// Returns whether the engine is full or failed and the request may run at another
+    /// engine, so that the caller need not see this answer.
+    fn is_declined(&self, answer: &UpstreamAnswer) -> bool {
         let is_engine = matches!(self.parts.upstream, UpstreamClient::Engine(_));
         let is_failure = answer.status == TOO_MANY_REQUESTS || answer.status >= SERVER_ERROR;
         is_engine && self.parts.is_retryable && is_failure && !self.delivery.has_head()
     }
 
-    /// Cancels the request by its id, so that it does not run here after it was moved.
-    fn give_up(&mut self, status: u16) -> Next {
+    /// Cancels the request by its id, so that it does not run here after another upstream
+    /// got it.
+    fn cancel_declined(&mut self, status: u16) -> TaskStep {
         let UpstreamClient::Engine(engine) = &self.parts.upstream else {
-            return Next::Continue;
+            return TaskStep::Continue;
         };
         let request = self.parts.attempt.request;
         let cancelling = call_recovery::cancel(engine.clone(), request, CancelCause::Unwanted);
@@ -61,8 +65,8 @@
                 end => end,
             }
         }));
-        self.source = Source::Gone;
-        Next::Continue
+        self.source = Source::Closed;
+        TaskStep::Continue
     }
 
     pub(super) fn read_from(&mut self, answer: UpstreamAnswer) {
@@ -79,14 +83,14 @@
         matches!(&self.source, Source::Reading(answer) if answer.is_event_stream)
     }
 
-    pub(super) async fn take_bytes(&mut self, bytes: Bytes) {
+    pub(super) async fn handle_bytes(&mut self, bytes: Bytes) {
         self.silent_at = Instant::now() + self.parts.silent;
         self.recovery = None;
-        self.reopens = 0;
+        self.reopen_count = 0;
         if !self.is_event_stream() {
             let skip = self.skip_bytes.min(bytes.len() as u64);
             self.skip_bytes -= skip;
-            self.log
+            self.buffer
                 .append(bytes.slice(usize::try_from(skip).unwrap_or(0)..));
             return;
         }
@@ -95,9 +99,9 @@
             self.partial.push(bytes);
         } else {
             for part in self.partial.drain(..) {
-                self.log.append(part);
+                self.buffer.append(part);
             }
-            self.log.append(bytes.slice(..scanned.whole_bytes));
+            self.buffer.append(bytes.slice(..scanned.whole_bytes));
             let rest = bytes.slice(scanned.whole_bytes..);
             if !rest.is_empty() {
                 self.partial.push(rest);
@@ -121,16 +125,16 @@
         self.report(CallProgress::FirstToken { after_us }).await;
     }
 
-    /// The body is over. A stream of events that ends without `[DONE]` was cut short,
-    /// however cleanly its connection was closed.
-    pub(super) fn take_body_end(&mut self) -> Next {
+    /// Handles the end of the body. An event stream that ends without `[DONE]` was cut
+    /// short, even if its connection was closed cleanly.
+    pub(super) fn handle_body_end(&mut self) -> TaskStep {
         if self.is_event_stream() && !self.scan.is_done() {
-            return self.look_after("the stream ended before its last event");
+            return self.recover_or_end("the stream ended before its last event");
         }
-        self.source = Source::Gone;
+        self.source = Source::Closed;
         for part in std::mem::take(&mut self.partial) {
-            self.log.append(part);
+            self.buffer.append(part);
         }
-        Next::End(self.log.complete())
+        TaskStep::End(self.buffer.complete())
     }
 }
--- a/lib/src/agent/call_task_registry.rs
+++ b/lib/src/agent/call_task_registry.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of attempts take their orders, shared by the control thread and the
+//! Registry of the command channels of call tasks, shared by the control thread and the
 //! readers of links.
 
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 use crate::agent::call_task::CallCommand;
 use crate::ids::AttemptId;
 
-type Orders = mpsc::UnboundedSender<CallCommand>;
+type CommandSender = mpsc::UnboundedSender<CallCommand>;
 
-/// The pump has ended and takes no order.
+/// The call task has ended and accepts no commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the attempt has no pump any more")]
+#[error("the call task of the attempt has ended")]
 pub struct CallTaskEndedError;
 
-/// The pumps of an agent; clones share it.
+/// The call tasks of an agent; clones share one registry.
 ///
-/// Orders need no bound: the control thread sends a few for each attempt, and an entry's
-/// acknowledgements are no more than the frames that it got.
+/// The command channels need no limit: the control thread sends a few commands for each
+/// attempt, and an entry sends no more acknowledgements than it received frames.
 #[derive(Clone, Debug, Default)]
 pub struct CallTaskRegistry {
-    pumps: Arc<Mutex<IndexMap<AttemptId, Orders>>>,
+    call_tasks: Arc<Mutex<IndexMap<AttemptId, CommandSender>>>,
 }
 
 impl CallTaskRegistry {
-    /// Makes the channel of a new pump. The pump of an earlier call of the same attempt
-    /// is told to end by the loss of its sender.
+    /// Creates the command channel of a new call task. The task of an earlier call of the
+    /// same attempt ends because its sender is dropped.
     #[must_use]
     pub fn add(&self, attempt: AttemptId) -> mpsc::UnboundedReceiver<CallCommand> {
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -38,28 +38,30 @@
         receiver
     }
 
-    /// Passes an order on.
+    /// Sends a command to a call task.
     ///
     /// # Errors
     ///
-    /// The pump has ended.
-    pub fn order(&self, attempt: AttemptId, order: CallCommand) -> Result<(), CallTaskEndedError> {
-        let is_last = matches!(order, CallCommand::Forget);
-        let mut pumps = self.lock();
-        let orders = pumps.get(&attempt).ok_or(CallTaskEndedError)?;
-        let sent = orders.send(order).map_err(|_| CallTaskEndedError);
+    /// Returns [`CallTaskEndedError`] if the task has ended.
+    pub fn send(&self, attempt: AttemptId, command: CallCommand) -> Result<(), CallTaskEndedError> {
+        let is_last = matches!(command, CallCommand::DropAnswer);
+        let mut call_tasks = self.lock();
+        let commands = call_tasks.get(&attempt).ok_or(CallTaskEndedError)?;
+        let sent = commands.send(command).map_err(|_| CallTaskEndedError);
         if is_last {
-            pumps.swap_remove(&attempt);
+            call_tasks.swap_remove(&attempt);
         }
         sent
     }
 
-    /// Removes the pumps that have ended.
+    /// Removes the tasks that have ended.
     pub fn sweep(&self) {
-        self.lock().retain(|_, orders| !orders.is_closed());
+        self.lock().retain(|_, commands| !commands.is_closed());
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<AttemptId, Orders>> {
-        self.pumps.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, IndexMap<AttemptId, CommandSender>> {
+        self.call_tasks
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of an agent: it feeds the decisions and carries their steps out.
+//! The control thread of an agent: passes events to the state machine and executes its steps.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,46 +42,46 @@
 use crate::upstream::health::UpstreamHealth;
 use crate::upstream::http::UpstreamHttp;
 
-/// How often the decisions are told the time.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval of the state machine's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long what was sent last may take to leave at the end of a shutdown.
-const FLUSH_TIME: Duration = Duration::from_millis(100);
+/// How long the writers of links may take to send the last messages of a shutdown.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What the control thread works with.
+/// Inputs of the control thread.
 #[derive(Debug)]
 pub struct ControlParts {
-    /// The name of the upstream.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// The decisions.
+    /// The state machine.
     pub state: AgentState,
     /// The configuration in force.
     pub catalog: watch::Receiver<Arc<Catalog>>,
-    /// The start of the agent's time.
+    /// Start of the agent's clock.
     pub started: Instant,
-    /// When heartbeats are due, and when a silent link is given up.
+    /// Rules for when heartbeats are due and when a silent link is dropped.
     pub pace: PaceRules,
-    /// How long a shutdown waits for what is in flight.
+    /// How long a shutdown waits for requests in flight.
     pub shutdown_grace: Duration,
-    /// The window of an answer.
+    /// Maximum number of unacknowledged bytes of one answer.
     pub window_bytes: u64,
-    /// Where metrics go.
+    /// Receives metrics.
     pub metrics: Metrics,
-    /// Sends requests, once.
+    /// HTTP client that sends each request once.
     pub http: UpstreamHttp,
-    /// Where traffic runs.
+    /// Runtime of the traffic threads.
     pub traffic: Handle,
-    /// The pumps of attempts.
-    pub pumps: CallTaskRegistry,
-    /// What links tell.
+    /// Call tasks of attempts.
+    pub call_tasks: CallTaskRegistry,
+    /// Events of links.
     pub link_events: mpsc::Receiver<LinkEvent>,
-    /// Asks for a graceful end.
+    /// Requests a graceful shutdown when cancelled.
     pub shut_down: CancellationToken,
-    /// Ends everything at once.
+    /// Stops the agent at once when cancelled.
     pub stop: CancellationToken,
 }
 
-/// The control thread.
+/// State of the control thread.
 #[derive(Debug)]
 pub struct AgentControl {
     parts: ControlParts,
@@ -94,10 +94,10 @@
     health: UpstreamHealth,
 }
 
-/// Events of calls that may wait for the control thread; pumps wait for room.
-const CALL_EVENTS: usize = 1_024;
+/// Capacity of the queue of call events. When it is full, call tasks wait.
+const CALL_EVENT_QUEUE: usize = 1_024;
 
-/// What the control thread wakes up for.
+/// Reason for which the control thread wakes up.
 enum Wake {
     Link(LinkEvent),
     Call(AgentEvent),
@@ -109,9 +109,9 @@
 }
 
 impl AgentControl {
-    /// Runs until it is stopped, or shut down and idle.
+    /// Runs until the agent is stopped, or shut down and idle.
     pub async fn run(parts: ControlParts) {
-        let (call_events, mut calls) = mpsc::channel(CALL_EVENTS);
+        let (call_events, mut calls) = mpsc::channel(CALL_EVENT_QUEUE);
         let mut control = AgentControl {
             paces: IndexMap::new(),
             links: IndexMap::new(),
@@ -122,27 +122,28 @@
             health: UpstreamHealth::default(),
             parts,
         };
-        control.read_catalog();
+        control.apply_catalog();
         let stop = control.parts.stop.clone();
         control.serve(&mut calls).await;
-        // Writers of links get the time to send what was said last.
-        let _stopped = timeout(FLUSH_TIME, stop.cancelled()).await;
+        // Gives the writers of links time to send the last messages.
+        let _stopped = timeout(FLUSH_TIMEOUT, stop.cancelled()).await;
         stop.cancel();
     }
 
     async fn serve(&mut self, calls: &mut mpsc::Receiver<AgentEvent>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut heartbeats = interval(Duration::from_millis(self.parts.pace.heartbeat_ms));
         heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut leave_by = None;
+        let mut exit_deadline = None;
         loop {
-            // Calls go before links: a pump reports the end of its call before it sends it, so
-            // an entry that asks about an end which it has read is never told "running".
+            // Calls have priority over links: a call task reports the end of its call before it
+            // sends the end to the entry, so an entry that has read the end and asks about the
+            // attempt never gets "running".
             let wake = tokio::select! {
                 biased;
                 () = self.parts.stop.cancelled() => Wake::Stop,
-                () = self.parts.shut_down.cancelled(), if leave_by.is_none() => Wake::ShutDown,
+                () = self.parts.shut_down.cancelled(), if exit_deadline.is_none() => Wake::ShutDown,
                 _ = heartbeats.tick() => Wake::Heartbeat,
                 _ = ticks.tick() => Wake::Tick,
                 Ok(()) = self.parts.catalog.changed() => Wake::Catalog,
@@ -150,45 +151,48 @@
                 Some(event) = self.parts.link_events.recv() => Wake::Link(event),
             };
             match wake {
-                Wake::Link(event) => self.take_link_event(event),
-                Wake::Call(event) => self.decide(event),
-                Wake::Catalog => self.read_catalog(),
-                Wake::Heartbeat => self.keep_pace(),
-                Wake::Tick => self.decide(AgentEvent::Tick),
+                Wake::Link(event) => self.handle_link_event(event),
+                Wake::Call(event) => self.handle_event(event),
+                Wake::Catalog => self.apply_catalog(),
+                Wake::Heartbeat => self.send_heartbeats(),
+                Wake::Tick => self.handle_event(AgentEvent::Tick),
                 Wake::ShutDown => {
-                    leave_by = Some(Instant::now() + self.parts.shutdown_grace);
+                    exit_deadline = Some(Instant::now() + self.parts.shutdown_grace);
                     Line::new(Level::Info, "shutting down").send();
-                    self.decide(AgentEvent::ShutDown);
+                    self.handle_event(AgentEvent::ShutDown);
                 }
                 Wake::Stop => return,
             }
-            if leave_by.is_some_and(|leave_by| self.can_leave(leave_by)) {
+            if exit_deadline.is_some_and(|exit_deadline| self.can_exit(exit_deadline)) {
                 return;
             }
         }
     }
 
-    fn can_leave(&self, leave_by: Instant) -> bool {
+    fn can_exit(&self, exit_deadline: Instant) -> bool {
         if self.parts.state.is_idle() {
             return true;
         }
-        let is_late = Instant::now() >= leave_by;
-        if is_late {
-            Line::new(Level::Warn, "shutdown grace is over with work in flight")
-                .field("running", self.parts.state.running())
-                .send();
+        let is_overdue = Instant::now() >= exit_deadline;
+        if is_overdue {
+            Line::new(
+                Level::Warn,
+                "shutdown grace period ended with requests in flight",
+            )
+            .field("running", self.parts.state.running())
+            .send();
         }
-        is_late
+        is_overdue
     }
 
     fn now_ms(&self) -> u64 {
         u64::try_from(self.parts.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn decide(&mut self, event: AgentEvent) {
+    fn handle_event(&mut self, event: AgentEvent) {
         let now_ms = self.now_ms();
         for step in self.parts.state.step(now_ms, event) {
-            self.carry_out(step);
+            self.execute_step(step);
         }
         self.log_health();
     }
@@ -204,7 +208,7 @@
         self.health = health;
     }
 
-    fn read_catalog(&mut self) {
+    fn apply_catalog(&mut self) {
         let catalog = Arc::clone(&self.parts.catalog.borrow_and_update());
         let object = catalog.upstreams.get(&self.parts.upstream).cloned();
         if object == self.object {
@@ -216,23 +220,26 @@
             .map(|upstream| UpstreamClient::new(http.clone(), upstream));
         self.object.clone_from(&object);
         Line::new(Level::Info, "upstream object changed")
-            .field("activity", object.as_ref().map(|one| one.activity))
+            .field(
+                "activity",
+                object.as_ref().map(|upstream| upstream.activity),
+            )
             .revision(catalog.revision)
             .send();
-        self.decide(AgentEvent::UpstreamChanged(object));
+        self.handle_event(AgentEvent::UpstreamChanged(object));
     }
 
-    fn take_link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Opened { link, handle } => {
                 Line::new(Level::Info, "link opened")
                     .field("entry", &handle.entry)
                     .send();
                 self.links.insert(link, handle);
-                self.decide(AgentEvent::LinkUp { link });
+                self.handle_event(AgentEvent::LinkUp { link });
             }
             LinkEvent::Received { link, message } => {
-                self.decide(AgentEvent::Received { link, message });
+                self.handle_event(AgentEvent::Received { link, message });
             }
             LinkEvent::Lost { link, reason } => self.drop_link(link, &reason),
         }
@@ -249,12 +256,12 @@
             .field("entry", &handle.entry)
             .field("reason", reason)
             .send();
-        self.decide(AgentEvent::LinkLost { link });
+        self.handle_event(AgentEvent::LinkLost { link });
     }
 
-    /// Sends the heartbeats that are due, and gives up links that are silent.
-    fn keep_pace(&mut self) {
-        self.parts.pumps.sweep();
+    /// Sends the heartbeats that are due and drops silent links.
+    fn send_heartbeats(&mut self) {
+        self.parts.call_tasks.sweep();
         self.sequence += 1;
         let load = self.parts.state.load();
         let beat = AgentMessage::Heartbeat {
@@ -262,7 +269,7 @@
             revision: self.parts.catalog.borrow().revision,
             load,
         };
-        for (link, step) in self.due_on_links() {
+        for (link, step) in self.heartbeat_steps() {
             match step {
                 PaceStep::Rest => {}
                 PaceStep::Beat => self.send(link, beat.clone()),
@@ -276,7 +283,7 @@
         metrics.gauge("agent.step_us", u64::from(load.step_us));
     }
 
-    fn due_on_links(&mut self) -> Vec<(LinkId, PaceStep)> {
+    fn heartbeat_steps(&mut self) -> Vec<(LinkId, PaceStep)> {
         let now_ms = self.now_ms();
         let rules = self.parts.pace;
         let watched = self.parts.state.watched_links(now_ms, rules.heartbeat_ms);
@@ -299,9 +306,9 @@
     }
 }
 
-/// Steps.
+/// Execution of steps.
 impl AgentControl {
-    fn carry_out(&mut self, step: AgentStep) {
+    fn execute_step(&mut self, step: AgentStep) {
         match step {
             AgentStep::Send { link, message } => self.send(link, message),
             AgentStep::CloseLink { link, reason } => self.drop_link(link, &reason),
@@ -312,18 +319,21 @@
                 buffer_whole,
                 is_retryable,
             } => {
-                if let Some(parts) = self.pump_parts(attempt, buffer_whole, is_retryable) {
+                if let Some(parts) = self.call_task_parts(attempt, buffer_whole, is_retryable) {
                     self.open_call(parts, link, call);
                 }
             }
             AgentStep::AdoptCall { attempt } => {
-                if let Some(parts) = self.pump_parts(attempt, true, false) {
+                if let Some(parts) = self.call_task_parts(attempt, true, false) {
                     self.spawn(CallTask::adopt(parts).run());
                 }
             }
             AgentStep::CancelCall { attempt, cause } => {
-                // What has ended needs no cancellation.
-                let _ended = self.parts.pumps.order(attempt, CallCommand::Cancel(cause));
+                // Fails only if the call task has ended; it needs no cancellation then.
+                let _ended = self
+                    .parts
+                    .call_tasks
+                    .send(attempt, CallCommand::Cancel(cause));
             }
             AgentStep::AttachCall {
                 attempt,
@@ -333,8 +343,8 @@
                 self.attach(attempt, link, from_bytes);
             }
             AgentStep::DropAnswer { attempt } => {
-                // What has ended is forgotten already.
-                let _ended = self.parts.pumps.order(attempt, CallCommand::Forget);
+                // Fails only if the call task has ended; its answer is dropped already then.
+                let _ended = self.parts.call_tasks.send(attempt, CallCommand::DropAnswer);
             }
             AgentStep::Probe => self.probe(),
             AgentStep::Investigate { attempt } => self.investigate(attempt),
@@ -351,22 +361,25 @@
             _ => {}
         }
         if handle.control.try_send(message).is_err() {
-            self.drop_link(link, "the entry does not read");
+            self.drop_link(link, "the entry does not read its control messages");
         }
     }
 
-    fn outlet(&self, link: LinkId) -> Option<AnswerSender> {
+    fn answer_sender(&self, link: LinkId) -> Option<AnswerSender> {
         self.links.get(&link).map(|handle| handle.bulk.clone())
     }
 
-    /// A pump that has just ended can't take the link any more; its report is on the way
-    /// here, so the entry is told to ask again.
+    /// Attaches a call task to a link. If the task has just ended, its report is still in the
+    /// queue, so the entry gets `InDoubt` and asks again.
     fn attach(&mut self, attempt: AttemptId, link: LinkId, from_bytes: u64) {
-        let Some(outlet) = self.outlet(link) else {
+        let Some(answer_sender) = self.answer_sender(link) else {
             return;
         };
-        let order = CallCommand::Attach { outlet, from_bytes };
-        if self.parts.pumps.order(attempt, order).is_err() {
+        let command = CallCommand::Attach {
+            answer_sender,
+            from_bytes,
+        };
+        if self.parts.call_tasks.send(attempt, command).is_err() {
             self.send(link, settled_message(attempt, Settlement::InDoubt));
         }
     }
@@ -376,11 +389,11 @@
         Line::new(Level::Debug, "call opened")
             .attempt(parts.attempt)
             .send();
-        let outlet = self.outlet(link);
-        self.spawn(CallTask::open(parts, outlet, call).run());
+        let answer_sender = self.answer_sender(link);
+        self.spawn(CallTask::open(parts, answer_sender, call).run());
     }
 
-    fn pump_parts(
+    fn call_task_parts(
         &self,
         attempt: AttemptId,
         buffer_whole: bool,
@@ -394,7 +407,7 @@
             buffer_whole,
             is_retryable,
             events: self.call_events.clone(),
-            orders: self.parts.pumps.add(attempt),
+            commands: self.parts.call_tasks.add(attempt),
         })
     }
 
@@ -405,7 +418,7 @@
         let events = self.call_events.clone();
         self.spawn(async move {
             let probe = client.probe().await;
-            // Without a control thread nobody wants to know.
+            // Fails only if the control thread has stopped; the agent is ending then.
             let _stopped = events.send(AgentEvent::Probed(probe)).await;
         });
     }
@@ -418,12 +431,12 @@
         self.spawn(async move {
             let found = client.investigate(attempt.request).await;
             let event = AgentEvent::Investigated { attempt, found };
-            // Without a control thread nobody wants to know.
+            // Fails only if the control thread has stopped; the agent is ending then.
             let _stopped = events.send(event).await;
         });
     }
 
-    /// Runs a task on the traffic threads until the agent stops.
+    /// Spawns a task on the traffic threads that runs until the agent stops.
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let stop = self.parts.stop.clone();
         self.parts
--- a/lib/src/agent/events.rs
+++ b/lib/src/agent/events.rs
@@ -1,4 +1,4 @@
-//! What an agent's decisions are told, and what they ask to be done.
+//! Inputs and outputs of an agent's state machine.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::upstream::report::Found;
 use crate::upstream::report::Probe;
 
-/// Names one link of an agent; never used twice in a process.
+/// Identifies one link of an agent; never reused within a process.
 ///
 /// ```
 /// use sardinewood::agent::events::LinkId;
@@ -22,10 +22,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// Something that an agent learns.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentEvent {
-    /// An entry said hello on a new link.
+    /// An entry opened a new link.
     LinkUp { link: LinkId },
     /// A link closed or fell silent.
     LinkLost { link: LinkId },
@@ -34,80 +34,81 @@
         link: LinkId,
         message: Box<EntryMessage>,
     },
-    /// The object of this agent's upstream is this now; `None` when it was deleted.
+    /// The configuration object of the upstream has changed; `None` if it was deleted.
     UpstreamChanged(Option<Arc<Upstream>>),
-    /// A call went on.
+    /// A call made progress.
     Call {
         attempt: AttemptId,
         progress: CallProgress,
     },
-    /// Answers [`AgentStep::Probe`].
+    /// Result of [`AgentStep::Probe`].
     Probed(Probe),
-    /// Answers [`AgentStep::Investigate`].
+    /// Result of [`AgentStep::Investigate`].
     Investigated { attempt: AttemptId, found: Found },
-    /// The process has been told to end.
+    /// The process was asked to shut down.
     ShutDown,
     /// Time has passed.
     Tick,
 }
 
-/// How a call to the upstream goes on.
+/// Progress of a call to the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallProgress {
-    /// The first token, or for a plain answer the head, came so long after the call was opened.
+    /// The first token, or the head of a plain answer, arrived; `after_us` is the time since
+    /// the call was opened.
     FirstToken { after_us: u64 },
-    /// So many tokens came since the last report, the last of them so long after it; 0 if
-    /// reading was held up, so that the time says nothing about the upstream.
+    /// `count` tokens arrived within `elapsed_us` since the last report. `elapsed_us` is 0 if
+    /// reading was paused, so that the time says nothing about the upstream.
     Tokens { count: u32, elapsed_us: u64 },
-    /// The first part of the answer is on its way to the entry: the call can't be moved
-    /// any more.
+    /// The first part of the answer was sent to the entry, so the request can't run at
+    /// another upstream any more.
     DeliveryStarted,
-    /// A cancellation to make room came too late, since the answer is already passed on.
+    /// A preemption came too late, since the answer is already being delivered.
     CancelTooLate,
-    /// The upstream took no connection; [`Self::Ended`] follows.
+    /// The upstream accepted no connection; [`Self::Ended`] follows.
     NoConnection,
-    /// The call is over.
+    /// The call has ended.
     Ended { end: AnswerEnd },
     /// The entry has acknowledged the whole answer.
     Acknowledged,
 }
 
-/// Why a call is cancelled.
+/// Reason for which a call is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelCause {
-    /// The entry does not want the answer any more, or nobody waits for it.
+    /// The entry does not need the answer any more, or no entry waits for it.
     Unwanted,
-    /// More important work needs the room, or the upstream is stopped. Only an answer of
-    /// which nothing was passed on is given up.
+    /// A request of higher priority needs the slot, or the upstream is stopped. Only a call
+    /// whose answer is not being delivered yet is cancelled.
     Preempt,
 }
 
-/// Something that an agent's decisions ask to be done.
+/// An output of the state machine: an action to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentStep {
-    /// Send a message on a link; a lost link drops it.
+    /// Send a message on a link; dropped if the link is lost.
     Send { link: LinkId, message: AgentMessage },
-    /// Close a link whose peer breaks the protocol.
+    /// Close a link whose peer violates the protocol.
     CloseLink { link: LinkId, reason: Arc<str> },
     /// Open the call of an attempt, once, and send the answer on the link.
     OpenCall {
         attempt: AttemptId,
         link: LinkId,
         call: Call,
-        /// Whether the answer is read and kept to its end even if nobody takes it.
+        /// Whether the answer is read and buffered to its end even if no entry reads it.
         buffer_whole: bool,
-        /// Whether the request may run elsewhere when the upstream turns it down.
+        /// Whether the request may run at another upstream when this one declines it.
         is_retryable: bool,
     },
     /// Read the answer of an attempt that runs or is finished at the upstream, from its
-    /// start, and keep it until an entry asks for it.
+    /// start, and buffer it until an entry asks for it.
     AdoptCall { attempt: AttemptId },
-    /// Stop a call and tell how it ended.
+    /// Cancel a call and report how it ended.
     CancelCall {
         attempt: AttemptId,
         cause: CancelCause,
     },
-    /// Send the answer on this link from here on, beginning with its head.
+    /// Deliver the answer on this link from now on, starting with its head.
     AttachCall {
         attempt: AttemptId,
         link: LinkId,
@@ -115,14 +116,14 @@
     },
     /// Drop the answer of an ended call.
     DropAnswer { attempt: AttemptId },
-    /// Ask the upstream what it runs.
+    /// Query the upstream for the requests that it runs.
     Probe,
-    /// Ask the upstream what became of a request, and unless it runs or is finished there,
-    /// cancel it by its id.
+    /// Query the upstream for the outcome of a request, and cancel the request by its id
+    /// unless it runs or is finished there.
     Investigate { attempt: AttemptId },
 }
 
-/// A message that tells the outcome of an attempt.
+/// Returns the message that reports the outcome of an attempt.
 ///
 /// ```
 /// use sardinewood::agent::events::settled_message;
--- a/lib/src/agent/grants.rs
+++ b/lib/src/agent/grants.rs
@@ -1,4 +1,4 @@
-//! The grants of one agent incarnation that are not answered yet.
+//! Grants of one agent incarnation that no entry has answered yet.
 
 use indexmap::IndexMap;
 
@@ -8,16 +8,16 @@
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
 
-/// A grant that waits for its answer and holds a slot meanwhile.
+/// A grant that waits for its answer and occupies a slot until then.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingGrant {
-    /// The reservation that it was made for.
-    pub waiting: QueuedReservation,
-    /// When the slot is given to another.
+    /// The granted reservation.
+    pub queued: QueuedReservation,
+    /// Time at which the grant expires and its slot is free again.
     pub expires_ms: u64,
 }
 
-/// Unanswered grants; there are never more of them than slots and grants ahead.
+/// Unanswered grants; never more than slots and grants ahead together.
 ///
 /// ```
 /// use sardinewood::agent::grants::Grants;
@@ -34,7 +34,7 @@
 }
 
 impl Grants {
-    /// No grants of this incarnation.
+    /// Creates an empty table for the grants of this incarnation.
     #[must_use]
     pub fn new(agent: Incarnation) -> Self {
         Grants {
@@ -44,62 +44,62 @@
         }
     }
 
-    /// How many wait for their answer.
+    /// Returns the number of unanswered grants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.unanswered.len()
     }
 
-    /// Whether none waits for its answer.
+    /// Returns whether there are no unanswered grants.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.unanswered.is_empty()
     }
 
-    /// Whether `grant` was made by this incarnation.
+    /// Returns whether this incarnation issued `grant`.
     #[must_use]
     pub fn is_own(&self, grant: GrantId) -> bool {
         grant.agent == self.agent
     }
 
-    /// The grants that wait for their answer.
+    /// Returns the unanswered grants.
     pub fn iter(&self) -> impl Iterator<Item = &PendingGrant> {
         self.unanswered.values()
     }
 
-    /// Makes a grant.
-    pub fn issue(&mut self, granted: PendingGrant) -> GrantId {
+    /// Issues a grant and returns its id.
+    pub fn issue(&mut self, pending: PendingGrant) -> GrantId {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.unanswered.insert(sequence, granted);
+        self.unanswered.insert(sequence, pending);
         GrantId {
             agent: self.agent,
             sequence,
         }
     }
 
-    /// Takes the grant out that `link` answers. `None` if it has lapsed, was answered, or
-    /// was never made for that link.
+    /// Removes and returns the grant that the entry on `link` answers. Returns `None` if the
+    /// grant has expired, was answered already, or was never issued on that link.
     pub fn answer(&mut self, grant: GrantId, link: LinkId) -> Option<PendingGrant> {
-        let granted = self.unanswered.get(&grant.sequence)?;
-        if !self.is_own(grant) || granted.waiting.link != link {
+        let pending = self.unanswered.get(&grant.sequence)?;
+        if !self.is_own(grant) || pending.queued.link != link {
             return None;
         }
         self.unanswered.swap_remove(&grant.sequence)
     }
 
-    /// Takes all grants out for which `revoke` says so.
+    /// Removes and returns all grants for which `revoke` returns true.
     pub fn revoke(&mut self, revoke: impl Fn(&PendingGrant) -> bool) -> Vec<PendingGrant> {
         let (revoked, kept) = self
             .unanswered
             .drain(..)
-            .partition::<IndexMap<_, _>, _>(|(_, granted)| revoke(granted));
+            .partition::<IndexMap<_, _>, _>(|(_, pending)| revoke(pending));
         self.unanswered = kept;
         revoked.into_values().collect()
     }
 
-    /// Takes the grants of a request out.
+    /// Removes and returns the grants of a request.
     pub fn revoke_request(&mut self, request: RequestId) -> Vec<PendingGrant> {
-        self.revoke(|granted| granted.waiting.reservation.request == request)
+        self.revoke(|pending| pending.queued.reservation.request == request)
     }
 }
--- a/lib/src/agent/link.rs
+++ b/lib/src/agent/link.rs
@@ -1,4 +1,4 @@
-//! The agent's end of one link: a reader and a writer on the traffic threads.
+//! The agent's side of one link: a reader and a writer on the traffic threads.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -28,71 +28,71 @@
 use crate::link::wire::Hello;
 use crate::link::wire::PROTOCOL_VERSION;
 
-/// Control messages that may wait for the writer of a link. A link on which more wait is
-/// not read by its entry and is closed.
+/// Capacity of a link's queue of control messages. When it is full, the entry is not
+/// reading, and the link is closed.
 const CONTROL_QUEUE: usize = 4_096;
 
-/// Frames of answers that may wait for the writer of a link; pumps wait for room.
+/// Capacity of a link's queue of answer frames. When it is full, call tasks wait.
 const BULK_QUEUE: usize = 256;
 
-/// What a link tells the control thread.
+/// An event of a link for the control thread.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// An entry said hello.
+    /// An entry opened the link with its hello.
     Opened { link: LinkId, handle: LinkHandle },
-    /// An entry sent a message that needs a decision.
+    /// An entry sent a message that the control thread must handle.
     Received {
         link: LinkId,
         message: Box<EntryMessage>,
     },
-    /// The link is gone.
+    /// The link was lost.
     Lost { link: LinkId, reason: Arc<str> },
 }
 
-/// What the control thread holds of a link.
+/// The control thread's handle of a link.
 #[derive(Clone, Debug)]
 pub struct LinkHandle {
     /// The entry's name.
     pub entry: Arc<str>,
-    /// Where control messages go.
+    /// Sender of control messages.
     pub control: mpsc::Sender<AgentMessage>,
-    /// Where the frames of answers go.
+    /// Sender of answer frames.
     pub bulk: AnswerSender,
-    /// When the entry was last heard.
+    /// Time of the last message from the entry.
     pub heard: Heard,
-    /// Ends the link.
+    /// Closes the link when cancelled.
     pub close: CancellationToken,
 }
 
-/// What a link works with.
+/// Inputs of a link.
 #[derive(Clone, Debug)]
 pub struct LinkParts {
-    /// What this agent says first.
+    /// The agent's first message.
     pub hello: Hello,
-    /// What proves entries and agents to each other.
+    /// Keys with which entries and agents authenticate each other.
     pub keys: PeerKeys,
-    /// How long an entry may take for its hello.
+    /// Time limit of the authentication, and of the entry's hello.
     pub silent: Duration,
-    /// The start of the agent's time.
+    /// Start of the agent's clock.
     pub started: Instant,
-    /// Where events go.
+    /// Receives the events of the link.
     pub events: mpsc::Sender<LinkEvent>,
-    /// The pumps that acknowledgements go to.
-    pub pumps: CallTaskRegistry,
-    /// Ends all links.
+    /// Call tasks, which receive the acknowledgements.
+    pub call_tasks: CallTaskRegistry,
+    /// Closes all links when cancelled.
     pub stop: CancellationToken,
 }
 
-/// Why a link ended.
+/// Reason for which a link ended.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
-    #[error("the entry says no hello")]
+    #[error("the entry sent no hello in time")]
     Silent,
     #[error("the entry closed the link")]
     Closed,
-    #[error("the first message is no hello")]
+    #[error("the first message of the entry is not a hello")]
     NoHello,
-    #[error("the entry speaks protocol {0}, this agent {PROTOCOL_VERSION}")]
+    #[error("the entry uses protocol version {0}, this agent uses {PROTOCOL_VERSION}")]
     OtherProtocol(u32),
     #[error("the agent closed the link")]
     ClosedHere,
@@ -106,7 +106,7 @@
 pub async fn serve(stream: TcpStream, link: LinkId, parts: LinkParts) {
     let Err(error) = run(stream, link, &parts).await;
     let reason = error.to_string().into();
-    // Without a control thread nobody wants to know.
+    // Fails only if the control thread has stopped; the agent is ending then.
     let _stopped = parts.events.send(LinkEvent::Lost { link, reason }).await;
 }
 
@@ -116,8 +116,8 @@
     parts: &LinkParts,
 ) -> Result<Infallible, LinkError> {
     stream.set_nodelay(true).map_err(FrameError::Io)?;
-    // Whoever can reach this port could otherwise run work in the upstream past the entry's
-    // checks of keys, profiles and limits.
+    // Without authentication, any client that can reach this port could run requests at the
+    // upstream and bypass the entry's checks of keys, profiles and limits.
     let nonce = rand::random();
     let proof = prove_as_agent(&mut stream, &parts.keys, &nonce);
     let proof = timeout(parts.silent, proof).await;
@@ -136,7 +136,7 @@
     };
     let close = handle.close.clone();
     let heard = handle.heard.clone();
-    // The queue is empty, so there is room for the first message.
+    // The queue is empty, so the first message fits.
     let _room = handle
         .control
         .try_send(AgentMessage::Hello(parts.hello.clone()));
@@ -158,7 +158,7 @@
     reader: &mut FrameReader<AgentEnd, OwnedReadHalf>,
     silent: Duration,
 ) -> Result<Hello, LinkError> {
-    let first = timeout(silent, read_one(reader)).await;
+    let first = timeout(silent, read_message(reader)).await;
     match first.map_err(|_| LinkError::Silent)?? {
         EntryMessage::Hello(hello) if hello.protocol == PROTOCOL_VERSION => Ok(hello),
         EntryMessage::Hello(hello) => Err(LinkError::OtherProtocol(hello.protocol)),
@@ -166,7 +166,7 @@
     }
 }
 
-async fn read_one(
+async fn read_message(
     reader: &mut FrameReader<AgentEnd, OwnedReadHalf>,
 ) -> Result<EntryMessage, LinkError> {
     reader.next().await?.ok_or(LinkError::Closed)
@@ -179,7 +179,7 @@
     parts: &LinkParts,
 ) -> Result<Infallible, LinkError> {
     loop {
-        let message = read_one(reader).await?;
+        let message = read_message(reader).await?;
         heard.now();
         match message {
             EntryMessage::Heartbeat { .. } => {}
@@ -187,9 +187,9 @@
                 attempt,
                 through_bytes,
             } => {
-                let order = CallCommand::Acknowledge { through_bytes };
-                // What has ended needs no acknowledgement.
-                let _ended = parts.pumps.order(attempt, order);
+                let command = CallCommand::Acknowledge { through_bytes };
+                // Fails only if the call task has ended; it needs no acknowledgement then.
+                let _ended = parts.call_tasks.send(attempt, command);
             }
             message => {
                 let message = Box::new(message);
--- a/lib/src/agent/reservation_queue.rs
+++ b/lib/src/agent/reservation_queue.rs
@@ -1,8 +1,8 @@
-//! The bounded queue of reservations that wait at one agent.
+//! Queue of the reservations that wait at one agent.
 //!
-//! Order: tier, then started appointments, then the customer that had the least service
-//! for its weight, then the earliest deadline. Each step costs the logarithm of what
-//! waits, whatever the number of customers.
+//! Reservations are ordered by tier, then started appointments first, then the customer
+//! with the least service for its weight, then the earliest deadline. Each operation takes
+//! time logarithmic in the length of the queue, independent of the number of customers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,76 +14,78 @@
 use crate::ids::RequestId;
 use crate::link::wire::Reservation;
 
-/// Service is divided by weight in these units, so that whole numbers keep the fraction.
-const SHARE_SCALE: u64 = 1_000;
+/// Factor applied before service is divided by a weight, so that integers keep the fraction.
+const SERVICE_SCALE: u64 = 1_000;
 
-/// Accounts of customers without waiting work are dropped beyond this number. A dropped
-/// account starts again at the level of the tier, as one that was idle does.
-const IDLE_ACCOUNTS: usize = 4_096;
+/// Number of accounts above which those of customers without queued work are dropped. A
+/// dropped account restarts at the virtual time of the tier, as an idle one does.
+const MAX_IDLE_ACCOUNTS: usize = 4_096;
 
-/// A reservation as the agent keeps it.
+/// A reservation in the agent's queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedReservation {
-    /// The link that it came on.
+    /// Link on which the reservation was received.
     pub link: LinkId,
-    /// What the entry sent.
+    /// The reservation as the entry sent it.
     pub reservation: Reservation,
-    /// When it came.
+    /// Time of arrival.
     pub arrived_ms: u64,
-    /// When the answer is of no use any more.
+    /// Deadline of the answer.
     pub deadline_ms: u64,
-    /// When it has to start to be done by then, at the speed learned when it came.
+    /// Latest start that meets the deadline, at the speed measured when the reservation
+    /// arrived.
     pub latest_start_ms: u64,
-    /// The expected work, charged to its customer when it is granted.
+    /// Expected work, charged to the customer when the reservation is granted.
     pub cost_us: u64,
 }
 
-/// Orders the waiting work of one customer in one lane.
-type Turn = (u64, u64, RequestId);
+/// Sort key of a reservation among those of its customer: deadline, sequence, request.
+type QueueKey = (u64, u64, RequestId);
 
-/// What waits of one customer in one lane.
+/// Queued reservations of one customer in one priority class.
 #[derive(Debug, Default)]
-struct Turns {
-    in_order: BTreeSet<Turn>,
-    /// Its key in [`Lane::by_crowd`].
-    crowd: u64,
+struct CustomerQueue {
+    reservations: BTreeSet<QueueKey>,
+    /// The customer's key in [`PriorityClass::by_queued_per_weight`].
+    queued_per_weight: u64,
 }
 
-/// The work of one tier that is of the same importance: of started appointments, or not.
+/// Queued reservations of one tier that belong to started appointments, or those that don't.
 #[derive(Debug, Default)]
-struct Lane {
-    /// What waits, by customer; never an empty set.
-    customers: IndexMap<Arc<str>, Turns>,
-    /// Customers by the service that they had.
+struct PriorityClass {
+    /// Queued reservations by customer; never an empty queue.
+    customers: IndexMap<Arc<str>, CustomerQueue>,
+    /// Customers by the service that they received.
     by_service: BTreeSet<(u64, Arc<str>)>,
-    /// Customers by what waits of them for their weight; gives way first from the back.
-    by_crowd: BTreeSet<(u64, Arc<str>)>,
+    /// Customers by their number of queued reservations divided by their weight. When the
+    /// queue is full, the last customer loses a reservation first.
+    by_queued_per_weight: BTreeSet<(u64, Arc<str>)>,
 }
 
-/// The account of one customer in one tier.
+/// Account of one customer in one tier.
 #[derive(Clone, Copy, Debug, Default)]
 struct Account {
-    /// Work done for its weight. Idle time is not saved up: the share of an idle customer
-    /// is lent to the others, and is its own again with its next reservation.
+    /// Work granted, divided by the weight. Idle time is not credited: the other customers
+    /// use an idle customer's share until its next reservation.
     service: u64,
     weight: u64,
-    waiting: usize,
+    queued: usize,
 }
 
 #[derive(Debug, Default)]
 struct TierQueue {
-    started: Lane,
-    new: Lane,
+    started: PriorityClass,
+    new: PriorityClass,
     accounts: IndexMap<Arc<str>, Account>,
-    /// The service of the customer that was last granted something.
-    level: u64,
+    /// Highest service of a customer at the time of a grant to it.
+    virtual_time: u64,
 }
 
-/// Where one reservation stands.
+/// A queued reservation and its sequence number.
 #[derive(Clone, Debug)]
-struct Place {
+struct QueueItem {
     sequence: u64,
-    waiting: QueuedReservation,
+    queued: QueuedReservation,
 }
 
 /// Reservations in the order in which they are granted.
@@ -95,7 +97,7 @@
 /// use sardinewood::agent::reservation_queue::{ReservationQueue, QueuedReservation};
 /// use sardinewood::link::wire::Reservation;
 ///
-/// let waiting = |id, tier| QueuedReservation {
+/// let queued = |id, tier| QueuedReservation {
 ///     link: LinkId(1),
 ///     reservation: Reservation {
 ///         request: RequestId(id),
@@ -118,46 +120,46 @@
 ///     cost_us: 100,
 /// };
 /// let mut queue = ReservationQueue::default();
-/// queue.insert(waiting(1, 3));
-/// queue.insert(waiting(2, 0));
+/// queue.insert(queued(1, 3));
+/// queue.insert(queued(2, 0));
 /// assert_eq!(queue.first().unwrap().reservation.request, RequestId(2));
 /// assert_eq!(queue.last().unwrap().reservation.request, RequestId(1));
 /// ```
 #[derive(Debug, Default)]
 pub struct ReservationQueue {
     tiers: [TierQueue; TIER_COUNT],
-    places: IndexMap<RequestId, Place>,
+    items: IndexMap<RequestId, QueueItem>,
     by_latest_start: BTreeSet<(u64, RequestId)>,
     next_sequence: u64,
     cost_us: u64,
 }
 
 impl ReservationQueue {
-    /// How many reservations wait.
+    /// Returns the number of queued reservations.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.items.is_empty()
     }
 
-    /// The expected work of all that waits.
+    /// Returns the expected work of all queued reservations.
     #[must_use]
     pub fn cost_us(&self) -> u64 {
         self.cost_us
     }
 
-    /// The reservation of a request.
+    /// Returns the reservation of a request.
     #[must_use]
     pub fn get(&self, request: RequestId) -> Option<&QueuedReservation> {
-        self.places.get(&request).map(|place| &place.waiting)
+        self.items.get(&request).map(|item| &item.queued)
     }
 
-    /// The reservation that is granted next.
+    /// Returns the reservation that is granted next.
     #[must_use]
     pub fn first(&self) -> Option<&QueuedReservation> {
         self.tiers
@@ -166,7 +168,7 @@
             .and_then(|request| self.get(request))
     }
 
-    /// The reservation that gives way first.
+    /// Returns the reservation that is refused first when the queue is full.
     #[must_use]
     pub fn last(&self) -> Option<&QueuedReservation> {
         self.tiers
@@ -176,131 +178,137 @@
             .and_then(|request| self.get(request))
     }
 
-    /// Requests that had to start by `now_ms`, the most pressing first.
-    pub fn due(&self, now_ms: u64) -> impl Iterator<Item = &QueuedReservation> {
+    /// Returns the reservations whose latest start is at or before `now_ms`, earliest first.
+    pub fn due_to_start(&self, now_ms: u64) -> impl Iterator<Item = &QueuedReservation> {
         self.by_latest_start
             .iter()
             .take_while(move |(latest_start_ms, _)| *latest_start_ms <= now_ms)
             .filter_map(|(_, request)| self.get(*request))
     }
 
-    /// Requests whose reservation came on `link`.
-    pub fn of_link(&self, link: LinkId) -> impl Iterator<Item = RequestId> {
-        self.places
+    /// Returns the requests whose reservations were received on `link`.
+    pub fn requests_on_link(&self, link: LinkId) -> impl Iterator<Item = RequestId> {
+        self.items
             .iter()
-            .filter(move |(_, place)| place.waiting.link == link)
+            .filter(move |(_, item)| item.queued.link == link)
             .map(|(request, _)| *request)
     }
 
-    /// All requests that wait, in no order.
+    /// Returns all queued requests with their links, in no particular order.
     pub fn requests(&self) -> impl Iterator<Item = (RequestId, LinkId)> {
-        self.places
+        self.items
             .iter()
-            .map(|(request, place)| (*request, place.waiting.link))
+            .map(|(request, item)| (*request, item.queued.link))
     }
 
-    /// Adds a reservation; one for the same request is replaced.
-    pub fn insert(&mut self, waiting: QueuedReservation) {
-        let request = waiting.reservation.request;
+    /// Adds a reservation, replacing one of the same request.
+    pub fn insert(&mut self, queued: QueuedReservation) {
+        let request = queued.reservation.request;
         self.remove(request);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.cost_us += waiting.cost_us;
+        self.cost_us += queued.cost_us;
         self.by_latest_start
-            .insert((waiting.latest_start_ms, request));
-        self.tier_mut(&waiting)
-            .insert(&waiting, turn(sequence, &waiting));
-        self.places.insert(request, Place { sequence, waiting });
+            .insert((queued.latest_start_ms, request));
+        self.tier_mut(&queued)
+            .insert(&queued, queue_key(sequence, &queued));
+        self.items.insert(request, QueueItem { sequence, queued });
     }
 
-    /// Takes a reservation out without charging its customer.
+    /// Removes and returns a reservation without charging its customer.
     pub fn remove(&mut self, request: RequestId) -> Option<QueuedReservation> {
-        let Place { sequence, waiting } = self.places.swap_remove(&request)?;
-        self.cost_us -= waiting.cost_us;
+        let QueueItem { sequence, queued } = self.items.swap_remove(&request)?;
+        self.cost_us -= queued.cost_us;
         self.by_latest_start
-            .remove(&(waiting.latest_start_ms, request));
-        self.tier_mut(&waiting)
-            .remove(&waiting, turn(sequence, &waiting));
-        Some(waiting)
+            .remove(&(queued.latest_start_ms, request));
+        self.tier_mut(&queued)
+            .remove(&queued, queue_key(sequence, &queued));
+        Some(queued)
     }
 
-    /// Takes out the reservation that is granted next and charges its customer.
+    /// Removes and returns the reservation that is granted next and charges its customer.
     pub fn take_first(&mut self) -> Option<QueuedReservation> {
         let request = self.first()?.reservation.request;
-        let waiting = self.get(request)?.clone();
-        self.tier_mut(&waiting).charge(&waiting);
+        let queued = self.get(request)?.clone();
+        self.tier_mut(&queued).charge(&queued);
         self.remove(request)
     }
 
-    /// Gives a customer back what was charged for a grant that was not used.
-    pub fn refund(&mut self, waiting: &QueuedReservation) {
-        self.tier_mut(waiting).refund(waiting);
+    /// Refunds a customer what was charged for a grant that was not used.
+    pub fn refund(&mut self, queued: &QueuedReservation) {
+        self.tier_mut(queued).refund(queued);
     }
 
-    fn tier_mut(&mut self, waiting: &QueuedReservation) -> &mut TierQueue {
-        let tier = usize::from(waiting.reservation.tier.0).min(TIER_COUNT - 1);
+    fn tier_mut(&mut self, queued: &QueuedReservation) -> &mut TierQueue {
+        let tier = usize::from(queued.reservation.tier.0).min(TIER_COUNT - 1);
         &mut self.tiers[tier]
     }
 }
 
-fn turn(sequence: u64, waiting: &QueuedReservation) -> Turn {
-    (waiting.deadline_ms, sequence, waiting.reservation.request)
+fn queue_key(sequence: u64, queued: &QueuedReservation) -> QueueKey {
+    (queued.deadline_ms, sequence, queued.reservation.request)
 }
 
-/// What `waiting` adds to the service of its customer.
-fn share(waiting: &QueuedReservation) -> u64 {
-    let weight = u64::from(waiting.reservation.weight.max(1));
-    waiting.cost_us.saturating_mul(SHARE_SCALE) / weight
+/// Returns what granting `queued` adds to the service of its customer.
+fn service_cost(queued: &QueuedReservation) -> u64 {
+    let weight = u64::from(queued.reservation.weight.max(1));
+    queued.cost_us.saturating_mul(SERVICE_SCALE) / weight
 }
 
 impl TierQueue {
-    fn lane_mut(&mut self, waiting: &QueuedReservation) -> &mut Lane {
-        if waiting.reservation.started_appointment {
+    fn class_mut(&mut self, queued: &QueuedReservation) -> &mut PriorityClass {
+        if queued.reservation.started_appointment {
             &mut self.started
         } else {
             &mut self.new
         }
     }
 
-    fn insert(&mut self, waiting: &QueuedReservation, turn: Turn) {
+    fn insert(&mut self, queued: &QueuedReservation, queue_key: QueueKey) {
         self.drop_idle_accounts();
-        let customer = &waiting.reservation.customer;
-        let level = self.level;
+        let customer = &queued.reservation.customer;
+        let virtual_time = self.virtual_time;
         let account = self.accounts.entry(Arc::clone(customer)).or_default();
-        if account.waiting == 0 {
-            account.service = account.service.max(level);
+        if account.queued == 0 {
+            account.service = account.service.max(virtual_time);
         }
-        account.waiting += 1;
-        account.weight = u64::from(waiting.reservation.weight.max(1));
+        account.queued += 1;
+        account.weight = u64::from(queued.reservation.weight.max(1));
         let account = *account;
-        self.lane_mut(waiting).insert(customer, account, turn);
+        self.class_mut(queued).insert(customer, account, queue_key);
     }
 
-    fn remove(&mut self, waiting: &QueuedReservation, turn: Turn) {
-        let customer = &waiting.reservation.customer;
+    fn remove(&mut self, queued: &QueuedReservation, queue_key: QueueKey) {
+        let customer = &queued.reservation.customer;
         let Some(account) = self.accounts.get_mut(customer) else {
             return;
         };
-        account.waiting -= 1;
+        account.queued -= 1;
         let account = *account;
-        self.lane_mut(waiting).remove(customer, account, turn);
+        self.class_mut(queued).remove(customer, account, queue_key);
     }
 
-    fn charge(&mut self, waiting: &QueuedReservation) {
-        let customer = &waiting.reservation.customer;
+    fn charge(&mut self, queued: &QueuedReservation) {
+        let customer = &queued.reservation.customer;
         let Some(account) = self.accounts.get(customer) else {
             return;
         };
-        self.level = self.level.max(account.service);
-        self.set_service(customer, account.service.saturating_add(share(waiting)));
+        self.virtual_time = self.virtual_time.max(account.service);
+        self.set_service(
+            customer,
+            account.service.saturating_add(service_cost(queued)),
+        );
     }
 
-    fn refund(&mut self, waiting: &QueuedReservation) {
-        let customer = &waiting.reservation.customer;
+    fn refund(&mut self, queued: &QueuedReservation) {
+        let customer = &queued.reservation.customer;
         let Some(account) = self.accounts.get(customer) else {
             return;
         };
-        self.set_service(customer, account.service.saturating_sub(share(waiting)));
+        self.set_service(
+            customer,
+            account.service.saturating_sub(service_cost(queued)),
+        );
     }
 
     fn set_service(&mut self, customer: &Arc<str>, service: u64) {
@@ -314,43 +322,47 @@
     }
 
     fn drop_idle_accounts(&mut self) {
-        if self.accounts.len() > IDLE_ACCOUNTS {
-            let busy = self.accounts.values().filter(|one| one.waiting > 0).count();
-            if busy < IDLE_ACCOUNTS / 2 {
-                self.accounts.retain(|_, account| account.waiting > 0);
+        if self.accounts.len() > MAX_IDLE_ACCOUNTS {
+            let busy = self
+                .accounts
+                .values()
+                .filter(|account| account.queued > 0)
+                .count();
+            if busy < MAX_IDLE_ACCOUNTS / 2 {
+                self.accounts.retain(|_, account| account.queued > 0);
             }
         }
     }
 }
 
-impl Lane {
+impl PriorityClass {
     fn first(&self) -> Option<RequestId> {
         let (_, customer) = self.by_service.first()?;
-        let (_, _, request) = self.customers.get(customer)?.in_order.first()?;
+        let (_, _, request) = self.customers.get(customer)?.reservations.first()?;
         Some(*request)
     }
 
     fn last(&self) -> Option<RequestId> {
-        let (_, customer) = self.by_crowd.last()?;
-        let (_, _, request) = self.customers.get(customer)?.in_order.last()?;
+        let (_, customer) = self.by_queued_per_weight.last()?;
+        let (_, _, request) = self.customers.get(customer)?.reservations.last()?;
         Some(*request)
     }
 
-    fn insert(&mut self, customer: &Arc<str>, account: Account, turn: Turn) {
-        let turns = self.customers.entry(Arc::clone(customer)).or_default();
-        turns.in_order.insert(turn);
+    fn insert(&mut self, customer: &Arc<str>, account: Account, queue_key: QueueKey) {
+        let queue = self.customers.entry(Arc::clone(customer)).or_default();
+        queue.reservations.insert(queue_key);
         self.by_service
             .insert((account.service, Arc::clone(customer)));
-        self.sort_by_crowd(customer, account.weight);
+        self.update_queued_per_weight(customer, account.weight);
     }
 
-    fn remove(&mut self, customer: &Arc<str>, account: Account, turn: Turn) {
-        let Some(turns) = self.customers.get_mut(customer) else {
+    fn remove(&mut self, customer: &Arc<str>, account: Account, queue_key: QueueKey) {
+        let Some(queue) = self.customers.get_mut(customer) else {
             return;
         };
-        turns.in_order.remove(&turn);
-        self.sort_by_crowd(customer, account.weight);
-        if self.customers[customer].in_order.is_empty() {
+        queue.reservations.remove(&queue_key);
+        self.update_queued_per_weight(customer, account.weight);
+        if self.customers[customer].reservations.is_empty() {
             self.customers.swap_remove(customer);
             self.by_service
                 .remove(&(account.service, Arc::clone(customer)));
@@ -363,14 +375,16 @@
         }
     }
 
-    fn sort_by_crowd(&mut self, customer: &Arc<str>, weight: u64) {
-        let Some(turns) = self.customers.get_mut(customer) else {
+    fn update_queued_per_weight(&mut self, customer: &Arc<str>, weight: u64) {
+        let Some(queue) = self.customers.get_mut(customer) else {
             return;
         };
-        self.by_crowd.remove(&(turns.crowd, Arc::clone(customer)));
-        turns.crowd = turns.in_order.len() as u64 * SHARE_SCALE / weight;
-        if !turns.in_order.is_empty() {
-            self.by_crowd.insert((turns.crowd, Arc::clone(customer)));
+        self.by_queued_per_weight
+            .remove(&(queue.queued_per_weight, Arc::clone(customer)));
+        queue.queued_per_weight = queue.reservations.len() as u64 * SERVICE_SCALE / weight;
+        if !queue.reservations.is_empty() {
+            self.by_queued_per_weight
+                .insert((queue.queued_per_weight, Arc::clone(customer)));
         }
     }
 }
--- a/lib/src/agent/retained_answers.rs
+++ b/lib/src/agent/retained_answers.rs
@@ -1,17 +1,17 @@
-//! Which answers of finished attempts are still held, within a bound on their bytes.
+//! Index of the answers of finished attempts that are retained for replay.
 
 use indexmap::IndexMap;
 
 use crate::ids::AttemptId;
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct RetainedAnswer {
     length_bytes: u64,
     since_ms: u64,
     acknowledged: bool,
 }
 
-/// The answers that can be read again.
+/// The answers that can be replayed.
 ///
 /// ```
 /// use sardinewood::ids::{AttemptId, RequestId};
@@ -19,77 +19,77 @@
 ///
 /// let attempt = AttemptId { request: RequestId(1), number: 1 };
 /// let mut answers = RetainedAnswers::default();
-/// answers.keep(attempt, 100, 0);
+/// answers.insert(attempt, 100, 0);
 /// assert!(answers.is_retained(attempt));
-/// assert_eq!(answers.unread().count(), 1);
-/// assert_eq!(answers.surplus(50), None, "nobody has read it yet");
+/// assert_eq!(answers.unacknowledged().count(), 1);
+/// assert_eq!(answers.evictable(50), None, "no entry has acknowledged it yet");
 /// answers.acknowledge(attempt);
-/// assert_eq!(answers.surplus(50), Some(attempt));
+/// assert_eq!(answers.evictable(50), Some(attempt));
 /// ```
 #[derive(Debug, Default)]
 pub struct RetainedAnswers {
-    /// In the order in which they ended.
-    answers: IndexMap<AttemptId, Kept>,
+    /// Answers in the order in which they were completed.
+    answers: IndexMap<AttemptId, RetainedAnswer>,
     bytes: u64,
 }
 
 impl RetainedAnswers {
-    /// Whether the answer of `attempt` can be read.
+    /// Returns whether the answer of `attempt` can be replayed.
     #[must_use]
     pub fn is_retained(&self, attempt: AttemptId) -> bool {
         self.answers.contains_key(&attempt)
     }
 
-    /// Answers that no entry has acknowledged to the end.
-    pub fn unread(&self) -> impl Iterator<Item = AttemptId> {
+    /// Returns the attempts whose answers no entry has acknowledged to the end.
+    pub fn unacknowledged(&self) -> impl Iterator<Item = AttemptId> {
         self.answers
             .iter()
-            .filter(|(_, kept)| !kept.acknowledged)
+            .filter(|(_, answer)| !answer.acknowledged)
             .map(|(attempt, _)| *attempt)
     }
 
-    /// The oldest answer, if it ended by `before_ms`.
+    /// Returns the oldest answer if it was completed by `before_ms`.
     #[must_use]
     pub fn expired(&self, before_ms: u64) -> Option<AttemptId> {
-        let (attempt, kept) = self.answers.first()?;
-        (kept.since_ms <= before_ms).then_some(*attempt)
+        let (attempt, answer) = self.answers.first()?;
+        (answer.since_ms <= before_ms).then_some(*attempt)
     }
 
-    /// The oldest answer that was read, if all together are over `limit_bytes`. One that
-    /// its entry has not read yet is never given up for room.
+    /// Returns the oldest acknowledged answer if the answers together exceed `limit_bytes`.
+    /// An answer that its entry has not acknowledged is never evicted for space.
     #[must_use]
-    pub fn surplus(&self, limit_bytes: u64) -> Option<AttemptId> {
+    pub fn evictable(&self, limit_bytes: u64) -> Option<AttemptId> {
         if self.bytes <= limit_bytes {
             return None;
         }
         self.answers
             .iter()
-            .find(|(_, kept)| kept.acknowledged)
+            .find(|(_, answer)| answer.acknowledged)
             .map(|(attempt, _)| *attempt)
     }
 
-    /// Notes an answer that is whole.
-    pub fn keep(&mut self, attempt: AttemptId, length_bytes: u64, now_ms: u64) {
+    /// Adds a complete answer.
+    pub fn insert(&mut self, attempt: AttemptId, length_bytes: u64, now_ms: u64) {
         self.bytes += length_bytes;
-        let kept = Kept {
+        let answer = RetainedAnswer {
             length_bytes,
             since_ms: now_ms,
             acknowledged: false,
         };
-        self.answers.insert(attempt, kept);
+        self.answers.insert(attempt, answer);
     }
 
-    /// Notes that an entry has all of it.
+    /// Records that an entry has received the whole answer.
     pub fn acknowledge(&mut self, attempt: AttemptId) {
-        if let Some(kept) = self.answers.get_mut(&attempt) {
-            kept.acknowledged = true;
+        if let Some(answer) = self.answers.get_mut(&attempt) {
+            answer.acknowledged = true;
         }
     }
 
-    /// Notes that it is not held any more.
-    pub fn forget(&mut self, attempt: AttemptId) {
-        if let Some(kept) = self.answers.shift_remove(&attempt) {
-            self.bytes -= kept.length_bytes;
+    /// Removes an answer that is no longer retained.
+    pub fn remove(&mut self, attempt: AttemptId) {
+        if let Some(answer) = self.answers.shift_remove(&attempt) {
+            self.bytes -= answer.length_bytes;
         }
     }
 }
--- a/lib/src/agent/server.rs
+++ b/lib/src/agent/server.rs
@@ -1,6 +1,5 @@
-//! An agent that runs: its listener and links on traffic threads, its decisions on a
-//! control thread of their own, so that no amount of traffic holds up a grant or a
-//! heartbeat.
+//! A running agent: listener and links on traffic threads, the state machine on a separate
+//! control thread, so that traffic can't delay grants or heartbeats.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,33 +34,33 @@
 use crate::metrics::Metrics;
 use crate::upstream::http::UpstreamHttp;
 
-/// Events of links that may wait for the control thread; readers wait for room, and so
+/// Capacity of the queue of link events. When it is full, the readers of links wait, and so
 /// do their entries.
-const LINK_EVENTS: usize = 1_024;
+const LINK_EVENT_QUEUE: usize = 1_024;
 
-/// The pause after a connection could not be accepted, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a connection could not be accepted, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An agent could not start.
+/// Error of starting an agent.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its address can't be had.
+    /// The address can't be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address from the settings.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// The control thread can't be started.
     #[error("can't start the control thread: {0}")]
     Thread(io::Error),
-    /// There is no HTTP client.
-    #[error("can't make an HTTP client: {0}")]
+    /// The HTTP client can't be created.
+    #[error("can't create an HTTP client: {0}")]
     Http(#[from] reqwest::Error),
 }
 
-/// A running agent; dropping it ends it at once, as a crash would.
+/// Handle of a running agent; dropping it ends the agent at once, as a crash would.
 #[derive(Debug)]
 pub struct AgentHandle {
     address: SocketAddr,
@@ -71,7 +70,7 @@
     control: Option<JoinHandle<()>>,
 }
 
-/// Starts an agent. Its traffic runs in the current runtime.
+/// Starts an agent whose traffic runs in the current runtime.
 ///
 /// # Errors
 ///
@@ -108,8 +107,8 @@
     let started = Instant::now();
     let shut_down = CancellationToken::new();
     let stop = CancellationToken::new();
-    let pumps = CallTaskRegistry::default();
-    let (events, link_events) = mpsc::channel(LINK_EVENTS);
+    let call_tasks = CallTaskRegistry::default();
+    let (events, link_events) = mpsc::channel(LINK_EVENT_QUEUE);
     let parts = ControlParts {
         upstream: Arc::clone(&settings.upstream),
         state: AgentState::new(incarnation, limits(&settings)),
@@ -124,7 +123,7 @@
         metrics,
         http: UpstreamHttp::new(settings.upstream_timings)?,
         traffic: Handle::current(),
-        pumps: pumps.clone(),
+        call_tasks: call_tasks.clone(),
         link_events,
         shut_down: shut_down.clone(),
         stop: stop.clone(),
@@ -141,7 +140,7 @@
         silent: Duration::from_millis(settings.silent_ms),
         started,
         events,
-        pumps,
+        call_tasks,
         stop: stop.clone(),
     };
     tokio::spawn(accept(listener, links));
@@ -155,19 +154,20 @@
 }
 
 impl AgentHandle {
-    /// Where entries connect.
+    /// Returns the address on which entries connect.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The incarnation of this agent.
+    /// Returns the incarnation of this agent.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Grants nothing more, lets what is in flight finish within the grace, and ends.
+    /// Shuts the agent down: issues no more grants, lets requests in flight finish within the
+    /// grace period, and ends.
     pub async fn shut_down(self) {
         self.shut_down.cancel();
         self.stop.cancelled().await;
@@ -183,7 +183,8 @@
     fn drop(&mut self) {
         self.stop.cancel();
         if let Some(control) = self.control.take() {
-            // It ends as soon as it sees the token; a panic there was reported by itself.
+            // The thread ends as soon as it sees the token. A panic in it was reported by the
+            // panic hook already.
             let _panicked = control.join();
         }
     }
@@ -216,7 +217,7 @@
     let mut next_link = 0;
     while let Some(accepted) = stop.run_until_cancelled(listener.accept()).await {
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let link = LinkId(next_link);
--- a/lib/src/agent/settings.rs
+++ b/lib/src/agent/settings.rs
@@ -11,7 +11,7 @@
 use crate::settings::Setting;
 use crate::upstream::http::UpstreamTimings;
 
-/// Settings of one agent; the defaults suit an agent on loopback with a port taken free.
+/// Settings of one agent; the defaults suit an agent on loopback with any free port.
 ///
 /// ```
 /// use sardinewood::agent::settings::AgentSettings;
@@ -21,47 +21,48 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// The upstream beside which this agent stands.
+    /// Name of the agent's upstream.
     pub upstream: Arc<str>,
-    /// The name of this host.
+    /// Name of this host.
     pub host: Arc<str>,
-    /// The data centre in which this host stands.
+    /// Data centre of this host.
     pub data_centre: Arc<str>,
-    /// Where entries connect.
+    /// Address on which entries connect.
     pub listen: SocketAddr,
-    /// The platform's store.
+    /// URL of the platform's store.
     pub store_url: Arc<str>,
-    /// How it finds the other processes.
+    /// How the agent reaches the other processes.
     pub peers: PeerSettings,
-    /// Where metrics go, if anywhere.
+    /// Address to which metrics are sent by UDP, if any.
     pub metrics: Option<SocketAddr>,
-    /// The pause between two heartbeats on a link.
+    /// Interval of heartbeats on a link.
     pub heartbeat_ms: u64,
     /// How long a link may be silent before it is dropped.
     pub silent_ms: u64,
-    /// How many reservations may wait.
+    /// Maximum number of queued reservations.
     pub queue_limit: usize,
-    /// How long a grant waits for its answer before it lapses.
+    /// How long a grant waits for its answer before it expires.
     pub grant_valid_ms: u64,
-    /// How many grants may be out beyond the free slots, so that a round trip idles nothing.
+    /// Number of grants that may be issued beyond the free slots, so that a slot is not idle
+    /// during a round trip.
     pub grant_ahead: usize,
-    /// How long to wait for the upstream.
+    /// Timeouts of calls to the upstream.
     pub upstream_timings: UpstreamTimings,
-    /// The pause between two looks at the upstream.
+    /// Interval of probes of the upstream.
     pub probe_ms: u64,
-    /// How long an idempotent request runs on that no entry waits for.
+    /// How long an idempotent request that no entry waits for continues to run.
     pub orphan_grace_ms: u64,
-    /// How long the answer of a named request is kept.
+    /// How long the answer of a request with an idempotency key is retained.
     pub retain_ms: u64,
-    /// How much of all kept answers is held together.
+    /// Maximum size of all retained answers together.
     pub retain_bytes: usize,
-    /// How much of one answer may wait for acknowledgement.
+    /// Maximum number of unacknowledged bytes of one answer.
     pub window_bytes: usize,
-    /// How long a shutdown waits for what is in flight.
+    /// How long a shutdown waits for requests in flight.
     pub shutdown_grace_ms: u64,
-    /// Threads that carry traffic.
+    /// Number of traffic threads.
     pub traffic_threads: usize,
-    /// The least important level that is logged.
+    /// Minimum log level.
     pub log_level: Arc<str>,
 }
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// The table of an agent's settings.
+/// Returns the table of an agent's settings.
 ///
 /// ```
 /// assert_eq!(sardinewood::agent::settings::program().name, "sardinewood-agent");
--- a/lib/src/agent/speeds.rs
+++ b/lib/src/agent/speeds.rs
@@ -1,25 +1,27 @@
-//! The speed of an upstream, learned from the calls that its agent sees.
+//! Estimates of an upstream's speed, from the calls that its agent makes.
 
 use indexmap::IndexMap;
 
 use crate::config::objects::Target;
 use crate::numbers;
 
-/// Share of a new sample in the quick average, which follows a slowdown within two or
+/// Share of a new sample in the fast average, which follows a slowdown within two or
 /// three samples.
-const QUICK_SHARE: f64 = 0.5;
+const FAST_SHARE: f64 = 0.5;
 
-/// Share of a new sample in the steady average, which forgets a slowdown slowly.
-const STEADY_SHARE: f64 = 0.08;
+/// Share of a new sample in the slow average, which forgets a slowdown slowly.
+const SLOW_SHARE: f64 = 0.08;
 
-/// A prompt of so many tokens counts half of a long one. The time of a short prompt is
-/// mostly that of the step and the socket; taken for prefill it would make a long prompt
-/// look hopeless.
+/// Prompt length whose sample has half the weight of a long prompt's. The time of a short
+/// prompt is mostly that of the decode step and the socket; counted as prefill, it would
+/// make the estimate for a long prompt far too high.
 const HALF_WEIGHT_TOKENS: f64 = 256.0;
 
-/// An average that follows a rise at once and a fall with care: the larger of a quick
-/// and a steady one. A slowdown that is seen too late costs missed deadlines; a recovery
-/// that is seen too late only costs a moment of less work.
+/// The larger of a fast and a slow moving average, so that the value rises quickly and
+/// falls slowly.
+///
+/// A slowdown that is noticed late costs missed deadlines; a recovery that is noticed late
+/// only costs a short time of lower throughput.
 ///
 /// ```
 /// use sardinewood::agent::speeds::SlowdownAverage;
@@ -34,39 +36,39 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowdownAverage {
-    quick: f64,
-    steady: f64,
+    fast: f64,
+    slow: f64,
     weight: f64,
 }
 
 impl SlowdownAverage {
-    /// Takes a sample of a weight up to 1 in. The first samples are averaged evenly, so
-    /// that none of them counts for long.
+    /// Adds a sample with a weight of at most 1. The first samples are averaged evenly, so
+    /// that none of them dominates for long.
     pub fn observe(&mut self, sample: f64, weight: f64) {
         self.weight += weight;
-        let steady_share = (weight / self.weight).max(STEADY_SHARE * weight);
-        let quick_share = (weight / self.weight).max(QUICK_SHARE * weight);
-        self.steady += (sample - self.steady) * steady_share;
-        self.quick += (sample - self.quick) * quick_share;
+        let slow_share = (weight / self.weight).max(SLOW_SHARE * weight);
+        let fast_share = (weight / self.weight).max(FAST_SHARE * weight);
+        self.slow += (sample - self.slow) * slow_share;
+        self.fast += (sample - self.fast) * fast_share;
     }
 
-    /// The average, if there was a sample.
+    /// Returns the average, or `None` without a sample.
     #[must_use]
     pub fn value(&self) -> Option<f64> {
-        (self.weight > 0.0).then(|| self.quick.max(self.steady))
+        (self.weight > 0.0).then(|| self.fast.max(self.slow))
     }
 }
 
-/// What was learned of one model or service.
+/// Speed estimates of one model or service.
 #[derive(Clone, Copy, Debug, Default)]
-struct Speed {
+struct TargetSpeed {
     prefill_us_per_token: SlowdownAverage,
     step_us: SlowdownAverage,
-    /// Time to the first byte of a plain service's answer.
+    /// Time to the head of a plain service's answer.
     first_us: SlowdownAverage,
 }
 
-/// What was learned of an upstream, by what it serves.
+/// Speed estimates of an upstream, by model or service.
 ///
 /// ```
 /// use sardinewood::config::objects::Target;
@@ -74,18 +76,19 @@
 ///
 /// let small = Target::Model("small".into());
 /// let mut speeds = Speeds::default();
-/// assert_eq!(speeds.work_us(&small, 100, 10), 0, "nothing is known yet");
+/// assert_eq!(speeds.work_us(&small, 100, 10), 0, "there is no sample yet");
 /// speeds.observe_first(&small, 100, 5_000);
 /// speeds.observe_tokens(&small, 10, 40_000);
 /// assert_eq!(speeds.work_us(&small, 100, 10), 45_000);
 /// ```
 #[derive(Debug, Default)]
 pub struct Speeds {
-    by_target: IndexMap<Target, Speed>,
+    by_target: IndexMap<Target, TargetSpeed>,
 }
 
 impl Speeds {
-    /// The first token came so long after the call was opened.
+    /// Records the time from opening a call to its first token, or to the head of a plain
+    /// service's answer.
     pub fn observe_first(&mut self, target: &Target, prompt_tokens: u32, after_us: u64) {
         let speed = self.by_target.entry(target.clone()).or_default();
         if matches!(target, Target::Service(_)) {
@@ -100,7 +103,7 @@
         }
     }
 
-    /// So many tokens of one request took so long.
+    /// Records that `count` tokens of one request took `elapsed_us`.
     pub fn observe_tokens(&mut self, target: &Target, count: u32, elapsed_us: u64) {
         if count > 0 && elapsed_us > 0 {
             let speed = self.by_target.entry(target.clone()).or_default();
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The expected time of a request of this size; 0 where nothing is known.
+    /// Returns the expected time of a request of this size; 0 without samples.
     #[must_use]
     pub fn work_us(&self, target: &Target, prompt_tokens: u32, output_tokens: u32) -> u64 {
         let Some(speed) = self.by_target.get(target) else {
@@ -121,13 +124,13 @@
         numbers::whole_u64(prefill + steps + first)
     }
 
-    /// The expected time between two tokens, over all models; 0 where nothing is known.
+    /// Returns the expected time between two tokens of the slowest model; 0 without samples.
     #[must_use]
     pub fn step_us(&self) -> u64 {
         numbers::whole_u64(self.slowest(|speed| speed.step_us.value()))
     }
 
-    /// Prompt tokens per second, over all models; 0 where nothing is known.
+    /// Returns the prompt tokens per second of the slowest model; 0 without samples.
     #[must_use]
     pub fn prefill_tokens_per_s(&self) -> u64 {
         let us_per_token = self.slowest(|speed| speed.prefill_us_per_token.value());
@@ -138,7 +141,7 @@
         }
     }
 
-    fn slowest(&self, of: impl Fn(&Speed) -> Option<f64>) -> f64 {
+    fn slowest(&self, of: impl Fn(&TargetSpeed) -> Option<f64>) -> f64 {
         self.by_target.values().filter_map(of).fold(0.0, f64::max)
     }
 }
--- a/lib/src/agent/state.rs
+++ b/lib/src/agent/state.rs
@@ -1,8 +1,9 @@
-//! What one agent decides: who gets a slot of its upstream, what is opened, and what is
-//! said about each attempt.
+//! The state machine of one agent: grants slots of the upstream, opens calls, and reports
+//! the outcome of each attempt.
 //!
-//! Sans-IO: an [`AgentEvent`] and the time go in, [`AgentStep`]s come out. The agent is
-//! the only way to its upstream, so what it counts is exact. The rules are in
+//! Sans-IO: [`AgentState::step`] takes an [`AgentEvent`] and the time and returns
+//! [`AgentStep`]s. Every request to the upstream goes through its agent, so the agent's
+//! count of slots in use is exact. The rules are in
 //! `docs/design/dispatch.md` and `docs/design/protocol.md`.
 
 use std::mem;
@@ -38,7 +39,7 @@
 mod timers;
 mod upstream;
 
-/// The bounds and times that an agent works with.
+/// Limits and timeouts of an agent.
 ///
 /// ```
 /// use sardinewood::agent::state::AgentLimits;
@@ -47,29 +48,30 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentLimits {
-    /// How many reservations may wait.
+    /// Maximum number of queued reservations.
     pub queue_limit: usize,
-    /// How long a grant waits for its answer before it lapses.
+    /// How long a grant waits for its answer before it expires.
     pub grant_valid_ms: u64,
-    /// How many grants may be out beyond the free slots.
+    /// Number of grants that may be issued beyond the free slots.
     pub grant_ahead: usize,
-    /// How long an idempotent request runs on that no entry waits for.
+    /// How long an idempotent request that no entry waits for continues to run.
     pub orphan_grace_ms: u64,
-    /// How long the answer of a named request is kept after its end.
+    /// How long an answer is retained after its end.
     pub retain_ms: u64,
-    /// How much of all answers that were taken is kept together.
+    /// Maximum size of all retained answers together; unacknowledged answers are never
+    /// evicted for it.
     pub retain_bytes: u64,
-    /// How long the record of an attempt is kept after its end.
+    /// How long the record of an attempt is kept after its final phase began.
     pub record_ms: u64,
-    /// How many records of attempts that are over are kept.
+    /// Maximum number of records of attempts in a final phase.
     pub record_limit: usize,
-    /// The part of its time, from its arrival to its deadline, that a request waits before
-    /// running work gives way to it. The slots of an engine free up many times a second, and
-    /// mostly one does before that; above 100 nothing ever gives way.
+    /// Percentage of its time from arrival to deadline that a request must have waited
+    /// before it preempts running requests. The slots of an engine become free many times a
+    /// second, mostly before that point. Above 100, nothing is ever preempted.
     pub preempt_after_percent: u64,
-    /// How long before a request has to start running work gives way to it.
+    /// How long before its latest start a request may preempt running requests.
     pub preempt_margin_ms: u64,
-    /// The pause between two looks at the upstream.
+    /// Interval of probes of the upstream.
     pub probe_ms: u64,
 }
 
@@ -91,7 +93,7 @@
     }
 }
 
-/// The state of one agent.
+/// State of one agent.
 ///
 /// ```
 /// use sardinewood::agent::events::{AgentEvent, AgentStep};
@@ -114,16 +116,16 @@
     attempts: Attempts,
     speeds: Speeds,
     health: UpstreamHealth,
-    /// What the upstream runs that this incarnation did not send: the work of an earlier
-    /// one. It occupies slots until it is gone.
-    foreign: IndexSet<RequestId>,
+    /// Requests that the upstream runs but this incarnation did not send: those of an
+    /// earlier incarnation. They occupy slots until they end.
+    foreign_requests: IndexSet<RequestId>,
     next_probe_ms: u64,
-    silent_probes: u32,
+    unanswered_probes: u32,
     steps: Vec<AgentStep>,
 }
 
 impl AgentState {
-    /// An agent that knows nothing yet.
+    /// Creates an agent without an upstream or links.
     #[must_use]
     pub fn new(incarnation: Incarnation, limits: AgentLimits) -> Self {
         AgentState {
@@ -136,37 +138,41 @@
             attempts: Attempts::new(limits.record_limit),
             speeds: Speeds::default(),
             health: UpstreamHealth::default(),
-            foreign: IndexSet::new(),
+            foreign_requests: IndexSet::new(),
             next_probe_ms: 0,
-            silent_probes: 0,
+            unanswered_probes: 0,
             steps: Vec::new(),
             limits,
         }
     }
 
-    /// Takes an event in and says what to do next.
+    /// Handles an event and returns the steps to execute.
     pub fn step(&mut self, now_ms: u64, event: AgentEvent) -> Vec<AgentStep> {
         match event {
             AgentEvent::LinkUp { link } => {
                 self.links.insert(link);
             }
-            AgentEvent::LinkLost { link } => self.lose_link(now_ms, link),
-            AgentEvent::Received { link, message } => self.receive(now_ms, link, *message),
-            AgentEvent::UpstreamChanged(upstream) => self.change_upstream(now_ms, upstream),
-            AgentEvent::Call { attempt, progress } => self.advance(now_ms, attempt, progress),
-            AgentEvent::Probed(probe) => self.take_probe(now_ms, probe),
-            AgentEvent::Investigated { attempt, found } => self.conclude(now_ms, attempt, found),
+            AgentEvent::LinkLost { link } => self.handle_link_lost(now_ms, link),
+            AgentEvent::Received { link, message } => self.handle_message(now_ms, link, *message),
+            AgentEvent::UpstreamChanged(upstream) => self.apply_upstream(now_ms, upstream),
+            AgentEvent::Call { attempt, progress } => {
+                self.handle_call_progress(now_ms, attempt, progress);
+            }
+            AgentEvent::Probed(probe) => self.handle_probe(now_ms, probe),
+            AgentEvent::Investigated { attempt, found } => {
+                self.handle_investigated(now_ms, attempt, found);
+            }
             AgentEvent::ShutDown => {
                 self.shutting_down = true;
-                self.turn_away_all(RefusalReason::Leaving);
+                self.refuse_all(RefusalReason::Leaving);
             }
             AgentEvent::Tick => self.tick(now_ms),
         }
-        self.use_room(now_ms);
+        self.schedule(now_ms);
         mem::take(&mut self.steps)
     }
 
-    /// The load as entries are told it.
+    /// Returns the load that heartbeats report to entries.
     #[must_use]
     pub fn load(&self) -> Load {
         let slots = self.slots();
@@ -181,11 +187,12 @@
         }
     }
 
-    /// How the links with work on them are watched: what this agent says, and what it hears.
+    /// Returns, for each link with work on it, how closely it is watched: first for the
+    /// heartbeats that this agent sends, second for those that it expects.
     ///
-    /// A reservation or a grant waits for what both sides say. An attempt waits for its
-    /// answer, and an answer that is being passed on says by itself that the link is alive;
-    /// without tokens for `quiet_ms`, heartbeats have to.
+    /// Reservations and grants depend on prompt messages in both directions. An attempt only
+    /// depends on its answer, and an answer that is being delivered shows that the link is
+    /// alive; without tokens for `quiet_ms`, heartbeats have to show it.
     #[must_use]
     pub fn watched_links(&self, now_ms: u64, quiet_ms: u64) -> IndexMap<LinkId, (Watch, Watch)> {
         let mut watched: IndexMap<LinkId, (Watch, Watch)> = IndexMap::new();
@@ -196,14 +203,14 @@
         for (_, link) in self.queue.requests() {
             note(link, Watch::Closely, Watch::Closely);
         }
-        for granted in self.grants.iter() {
-            note(granted.waiting.link, Watch::Closely, Watch::Closely);
+        for pending in self.grants.iter() {
+            note(pending.queued.link, Watch::Closely, Watch::Closely);
         }
         for (_, attempt) in self.attempts.live() {
             let Some(link) = attempt.link else {
                 continue;
             };
-            let tell = if attempt.is_talking(now_ms, quiet_ms) {
+            let tell = if attempt.is_delivering(now_ms, quiet_ms) {
                 Watch::Idly
             } else {
                 Watch::Closely
@@ -213,7 +220,7 @@
         watched
     }
 
-    /// Whether new work is taken.
+    /// Returns whether the agent accepts no new requests.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let active = self
@@ -223,8 +230,8 @@
         self.shutting_down || !active
     }
 
-    /// Whether no call is open and every answer has been taken by its entry or has nobody
-    /// who waits for it.
+    /// Returns whether no grant is unanswered, no call is open or ready to be opened, and no
+    /// entry waits for an answer that it has not acknowledged.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let is_open = |phase: &Phase| matches!(phase, Phase::Ready(_) | Phase::Running(_));
@@ -234,36 +241,39 @@
                 .is_some_and(|attempt| attempt.link.is_some())
         };
         self.grants.is_empty()
-            && !self.attempts.live().any(|(_, one)| is_open(&one.phase))
-            && !self.attempts.answers.unread().any(is_awaited)
+            && !self
+                .attempts
+                .live()
+                .any(|(_, attempt)| is_open(&attempt.phase))
+            && !self.attempts.answers.unacknowledged().any(is_awaited)
     }
 
-    /// How many slots may be used by new work.
+    /// Returns the number of slots available to new requests.
     #[must_use]
     pub fn free_slots(&self) -> usize {
         let usable = self.health.usable_slots(self.slots()) as usize;
         usable.saturating_sub(self.occupied())
     }
 
-    /// How many reservations wait.
+    /// Returns the number of queued reservations.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many attempts are open at the upstream or may be.
+    /// Returns the number of requests that run at the upstream or may be running.
     #[must_use]
     pub fn running(&self) -> usize {
         self.in_upstream()
     }
 
-    /// The health of the upstream.
+    /// Returns the health of the upstream.
     #[must_use]
     pub fn health(&self) -> UpstreamHealth {
         self.health
     }
 
-    /// The record of an attempt.
+    /// Returns the record of an attempt.
     #[must_use]
     pub fn attempt(&self, attempt: AttemptId) -> Option<&Attempt> {
         self.attempts.get(attempt)
--- a/lib/src/agent/state/calls.rs
+++ b/lib/src/agent/state/calls.rs
@@ -1,4 +1,4 @@
-//! What the calls of attempts report, and what is learned from it.
+//! Handling of the progress that calls report.
 
 use super::AgentState;
 use crate::agent::attempts::Phase;
@@ -8,11 +8,16 @@
 use crate::upstream::health::UpstreamHealth;
 
 impl AgentState {
-    pub(super) fn advance(&mut self, now_ms: u64, id: AttemptId, progress: CallProgress) {
+    pub(super) fn handle_call_progress(
+        &mut self,
+        now_ms: u64,
+        id: AttemptId,
+        progress: CallProgress,
+    ) {
         match progress {
-            CallProgress::FirstToken { after_us } => self.see_first(now_ms, id, after_us),
+            CallProgress::FirstToken { after_us } => self.record_first_token(now_ms, id, after_us),
             CallProgress::Tokens { count, elapsed_us } => {
-                self.see_tokens(now_ms, id, count, elapsed_us);
+                self.record_tokens(now_ms, id, count, elapsed_us);
             }
             CallProgress::DeliveryStarted => {
                 if let Some(run) = self.progress_mut(id) {
@@ -25,13 +30,13 @@
                     run.delivered = true;
                 }
             }
-            CallProgress::NoConnection => self.fail(now_ms),
-            CallProgress::Ended { end } => self.end(now_ms, id, &end),
+            CallProgress::NoConnection => self.mark_down(now_ms),
+            CallProgress::Ended { end } => self.handle_call_ended(now_ms, id, &end),
             CallProgress::Acknowledged => self.acknowledge(id),
         }
     }
 
-    pub(super) fn note_progress(&mut self) {
+    pub(super) fn mark_progress(&mut self) {
         if self.health == UpstreamHealth::Stalled {
             let running = self.attempts.running().count();
             let running = u32::try_from(running).unwrap_or(u32::MAX);
@@ -39,8 +44,8 @@
         }
     }
 
-    fn see_first(&mut self, now_ms: u64, id: AttemptId, after_us: u64) {
-        self.note_progress();
+    fn record_first_token(&mut self, now_ms: u64, id: AttemptId, after_us: u64) {
+        self.mark_progress();
         if let Some(run) = self.progress_mut(id) {
             run.first_seen = true;
             run.last_progress_ms = now_ms;
@@ -53,8 +58,8 @@
         }
     }
 
-    fn see_tokens(&mut self, now_ms: u64, id: AttemptId, count: u32, elapsed_us: u64) {
-        self.note_progress();
+    fn record_tokens(&mut self, now_ms: u64, id: AttemptId, count: u32, elapsed_us: u64) {
+        self.mark_progress();
         if let Some(run) = self.progress_mut(id) {
             run.tokens = run.tokens.saturating_add(count);
             run.last_progress_ms = now_ms;
@@ -66,14 +71,14 @@
         }
     }
 
-    fn end(&mut self, now_ms: u64, id: AttemptId, end: &AnswerEnd) {
+    fn handle_call_ended(&mut self, now_ms: u64, id: AttemptId, end: &AnswerEnd) {
         if self.progress_mut(id).is_none() {
             return;
         }
         let phase = match end {
             AnswerEnd::Complete { length_bytes, .. } => {
-                self.attempts.answers.keep(id, *length_bytes, now_ms);
-                self.note_progress();
+                self.attempts.answers.insert(id, *length_bytes, now_ms);
+                self.mark_progress();
                 self.health.serves();
                 self.health.settle(self.slots());
                 Phase::Finished
@@ -82,7 +87,7 @@
             AnswerEnd::Broken { .. } | AnswerEnd::Cancelled | AnswerEnd::Preempted => Phase::Ended,
             AnswerEnd::InDoubt { .. } => Phase::InDoubt {
                 holds_slot: self.is_engine(),
-                ask_ms: self.is_engine().then_some(now_ms + self.limits.probe_ms),
+                query_at_ms: self.is_engine().then_some(now_ms + self.limits.probe_ms),
                 reply_to: None,
             },
         };
@@ -95,9 +100,12 @@
 
     fn acknowledge(&mut self, id: AttemptId) {
         self.attempts.answers.acknowledge(id);
-        let is_retained = self.attempts.get(id).is_some_and(|one| one.info.retain);
+        let is_retained = self
+            .attempts
+            .get(id)
+            .is_some_and(|attempt| attempt.info.retain);
         if !is_retained {
-            self.forget_answer(id);
+            self.drop_answer(id);
         }
     }
 }
--- a/lib/src/agent/state/dispatch.rs
+++ b/lib/src/agent/state/dispatch.rs
@@ -1,4 +1,4 @@
-//! Attempts: dispatched at most once, settled, resumed and cancelled.
+//! Dispatch, settlement, resumption and cancellation of attempts.
 
 use super::AgentState;
 use crate::agent::attempts::Attempt;
@@ -16,7 +16,7 @@
 use crate::link::wire::Call;
 use crate::link::wire::Settlement;
 
-/// An entry's answer to a grant.
+/// An entry's answer to a grant: the call to open.
 #[derive(Clone, Debug)]
 pub(super) struct Dispatch {
     pub(super) grant: GrantId,
@@ -33,28 +33,29 @@
             retain,
             call,
         } = dispatch;
-        let granted = self.grants.answer(grant, link);
-        // A repeated dispatch is told what became of the first one. `NotSent` would say of
-        // a running attempt that it does not run.
+        let pending = self.grants.answer(grant, link);
+        // A repeated dispatch gets the settlement of the first one. `NotSent` would be wrong
+        // for an attempt that is running.
         if let Some(settlement) = self.attempts.settlement(attempt) {
             return self.send(link, settled_message(attempt, settlement));
         }
-        let Some(granted) = granted else {
-            return self.end_not_sent(link, attempt);
+        let Some(pending) = pending else {
+            return self.send_not_sent(link, attempt);
         };
-        let reservation = &granted.waiting.reservation;
+        let reservation = &pending.queued.reservation;
         let is_first = reservation.request == attempt.request
             && !self.attempts.was_sent(attempt.request)
             && !self.attempts.is_live(attempt.request);
-        // An agent that was paused reads what came meanwhile before it notices the time.
-        let has_lapsed = granted.expires_ms <= now_ms;
-        if has_lapsed || !is_first || self.usable_slots() == 0 {
-            self.queue.refund(&granted.waiting);
-            return self.end_not_sent(link, attempt);
+        // An agent that was paused reads messages from the pause before its next tick, so
+        // the grant may have expired without having been removed.
+        let has_expired = pending.expires_ms <= now_ms;
+        if has_expired || !is_first || self.usable_slots() == 0 {
+            self.queue.refund(&pending.queued);
+            return self.send_not_sent(link, attempt);
         }
         let record = Attempt {
             info: AttemptInfo::of(reservation, retain),
-            granted: Some(grant.sequence),
+            grant_sequence: Some(grant.sequence),
             link: Some(link),
             detached_ms: now_ms,
             phase: Phase::Ready(Box::new(call)),
@@ -65,13 +66,13 @@
         }
     }
 
-    pub(super) fn end_not_sent(&mut self, link: LinkId, attempt: AttemptId) {
+    pub(super) fn send_not_sent(&mut self, link: LinkId, attempt: AttemptId) {
         let end = AnswerEnd::NotSent;
         self.send(link, AgentMessage::End { attempt, end });
     }
 
-    /// Opens the call of a recorded attempt. The record changes first, so that whatever
-    /// comes next cannot open it again.
+    /// Opens the call of a recorded attempt. The phase is changed first, so that no later
+    /// event can open the call again.
     pub(super) fn open(&mut self, now_ms: u64, id: AttemptId) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -98,21 +99,21 @@
         let is_in_memory =
             self.grants.is_own(grant) && !self.attempts.may_have_dropped(grant.sequence);
         if is_in_memory {
-            // The dispatch may still be under way on an older link. Without its grant it
-            // is answered with `NotSent` whenever it comes.
-            for granted in self.grants.revoke_request(id.request) {
-                self.queue.refund(&granted.waiting);
+            // The dispatch may still be in transit on an older link. Without its grant it is
+            // answered with `NotSent` when it arrives.
+            for pending in self.grants.revoke_request(id.request) {
+                self.queue.refund(&pending.queued);
             }
             return self.send(link, settled_message(id, Settlement::NeverSent));
         }
         let record = Attempt {
             info: AttemptInfo::unknown(),
-            granted: None,
+            grant_sequence: None,
             link: Some(link),
             detached_ms: now_ms,
             phase: Phase::InDoubt {
                 holds_slot: false,
-                ask_ms: self.is_engine().then_some(now_ms),
+                query_at_ms: self.is_engine().then_some(now_ms),
                 reply_to: Some(link),
             },
         };
@@ -147,7 +148,7 @@
             return;
         };
         attempt.link = Some(link);
-        // The call of an attempt that waits for its slot is opened on the new link.
+        // The call of a ready attempt is opened on the new link once a slot is free.
         if !matches!(attempt.phase, Phase::Ready(_)) {
             self.steps.push(AgentStep::AttachCall {
                 attempt: id,
@@ -161,8 +162,8 @@
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
-        // The answer has moved to another link, whose entry still wants it. The one that
-        // wants it no more is told that it goes on.
+        // The answer has moved to another link, whose entry still needs it. The entry on this
+        // link gets the settlement of the attempt, which goes on.
         if attempt.link.is_some_and(|current| current != link) {
             if let Some(settlement) = self.attempts.settlement(id) {
                 self.send(link, settled_message(id, settlement));
@@ -172,10 +173,10 @@
         match attempt.phase {
             Phase::Ready(_) => {
                 self.attempts.set_phase(id, Phase::NotSent, now_ms);
-                self.end_not_sent(link, id);
+                self.send_not_sent(link, id);
             }
             Phase::Running(_) => self.cancel(id, CancelCause::Unwanted),
-            Phase::Finished => self.forget_answer(id),
+            Phase::Finished => self.drop_answer(id),
             Phase::InDoubt { .. } | Phase::Ended | Phase::NotSent => {}
         }
     }
@@ -190,10 +191,10 @@
         }
     }
 
-    /// No entry waits on `link` any more. What was dispatched and not opened is barred;
-    /// what runs goes on until the entry asks for it or the grace is over.
+    /// Detaches the attempts of a lost link. Ready attempts are never sent; running ones go on
+    /// until an entry asks for them or the grace period ends.
     pub(super) fn detach(&mut self, now_ms: u64, link: LinkId) {
-        let lost: Vec<_> = self.attempts.ids_on(link).collect();
+        let lost: Vec<_> = self.attempts.ids_on_link(link).collect();
         for id in lost {
             let Some(attempt) = self.attempts.get_mut(id) else {
                 continue;
@@ -213,9 +214,9 @@
         }
     }
 
-    pub(super) fn forget_answer(&mut self, id: AttemptId) {
+    pub(super) fn drop_answer(&mut self, id: AttemptId) {
         if self.attempts.answers.is_retained(id) {
-            self.attempts.answers.forget(id);
+            self.attempts.answers.remove(id);
             self.steps.push(AgentStep::DropAnswer { attempt: id });
         }
     }
--- a/lib/src/agent/state/reservations.rs
+++ b/lib/src/agent/state/reservations.rs
@@ -1,4 +1,4 @@
-//! What entries ask for: reservations come in, are given back, and go with their link.
+//! Messages of entries, and the arrival, refusal and removal of reservations.
 
 use super::AgentState;
 use super::dispatch::Dispatch;
@@ -19,12 +19,12 @@
         }
     }
 
-    pub(super) fn receive(&mut self, now_ms: u64, link: LinkId, message: EntryMessage) {
+    pub(super) fn handle_message(&mut self, now_ms: u64, link: LinkId, message: EntryMessage) {
         if !self.links.contains(&link) {
             return;
         }
         match message {
-            // Heartbeats and acknowledgements are met where the link is read.
+            // The reader of the link handles heartbeats and acknowledgements.
             EntryMessage::Heartbeat { .. } | EntryMessage::Acknowledge { .. } => {}
             EntryMessage::Hello(_) => self.steps.push(AgentStep::CloseLink {
                 link,
@@ -33,8 +33,8 @@
             EntryMessage::Reserve(reservation) => self.reserve(now_ms, link, reservation),
             EntryMessage::Withdraw { request } => self.withdraw(link, request),
             EntryMessage::Decline { grant } => {
-                if let Some(granted) = self.grants.answer(grant, link) {
-                    self.queue.refund(&granted.waiting);
+                if let Some(pending) = self.grants.answer(grant, link) {
+                    self.queue.refund(&pending.queued);
                 }
             }
             EntryMessage::Dispatch {
@@ -71,24 +71,24 @@
             reservation.expected_output_tokens,
         );
         let deadline_ms = now_ms + reservation.deadline_in_ms;
-        let waiting = QueuedReservation {
+        let queued = QueuedReservation {
             link,
             arrived_ms: now_ms,
             deadline_ms,
             latest_start_ms: deadline_ms.saturating_sub(work_us / 1_000),
-            // Shares are kept by tokens until a speed is known.
+            // Until a speed is known, the number of tokens stands in for the time.
             cost_us: work_us.max(kv_tokens(&reservation)).max(1),
             reservation,
         };
-        if self.is_too_late(now_ms, &waiting) {
+        if self.is_too_late(now_ms, &queued) {
             return self.refuse(link, request, RefusalReason::TooLate);
         }
-        self.queue.insert(waiting);
+        self.queue.insert(queued);
         if self.queue.len() > self.limits.queue_limit
             && let Some(last) = self.queue.last()
         {
             let request = last.reservation.request;
-            self.turn_away(request, RefusalReason::Crowded);
+            self.refuse_queued(request, RefusalReason::Crowded);
         }
     }
 
@@ -114,11 +114,13 @@
         }
     }
 
-    /// Whether the deadline can't be met at the speed learned. While nothing runs there
-    /// are no samples, and a speed learned in a bad moment would refuse everything for
-    /// ever; so one request at a time is tried unless its deadline has passed.
-    pub(super) fn is_too_late(&self, now_ms: u64, waiting: &QueuedReservation) -> bool {
-        let reservation = &waiting.reservation;
+    /// Returns whether the deadline can't be met at the measured speed.
+    ///
+    /// While nothing runs there are no new samples, and a speed measured during a slowdown
+    /// would refuse all requests forever. An idle upstream therefore accepts a request
+    /// unless its deadline has passed.
+    pub(super) fn is_too_late(&self, now_ms: u64, queued: &QueuedReservation) -> bool {
+        let reservation = &queued.reservation;
         let work_us = if self.in_upstream() == 0 {
             0
         } else {
@@ -128,11 +130,14 @@
                 reservation.expected_output_tokens,
             )
         };
-        now_ms + work_us / 1_000 > waiting.deadline_ms
+        now_ms + work_us / 1_000 > queued.deadline_ms
     }
 
     fn withdraw(&mut self, link: LinkId, request: RequestId) {
-        let is_own = self.queue.get(request).is_some_and(|one| one.link == link);
+        let is_own = self
+            .queue
+            .get(request)
+            .is_some_and(|queued| queued.link == link);
         if is_own {
             self.queue.remove(request);
         }
@@ -155,34 +160,34 @@
         self.send(link, message);
     }
 
-    /// Gives a reservation back.
-    pub(super) fn turn_away(&mut self, request: RequestId, reason: RefusalReason) {
-        if let Some(waiting) = self.queue.remove(request) {
-            self.refuse(waiting.link, request, reason);
+    /// Removes a reservation from the queue and refuses it.
+    pub(super) fn refuse_queued(&mut self, request: RequestId, reason: RefusalReason) {
+        if let Some(queued) = self.queue.remove(request) {
+            self.refuse(queued.link, request, reason);
         }
     }
 
-    /// Gives all reservations back and revokes the grants, so that nothing more comes in: a
-    /// dispatch that is under way finds no grant and is answered with `NotSent`.
-    pub(super) fn turn_away_all(&mut self, reason: RefusalReason) {
+    /// Refuses all reservations and revokes all grants, so that no further request is
+    /// dispatched: a dispatch in transit finds no grant and is answered with `NotSent`.
+    pub(super) fn refuse_all(&mut self, reason: RefusalReason) {
         let mut requests: Vec<_> = self.queue.requests().collect();
         requests.sort_unstable();
         for (request, _) in requests {
-            self.turn_away(request, reason);
+            self.refuse_queued(request, reason);
         }
-        for granted in self.grants.revoke(|_| true) {
-            self.queue.refund(&granted.waiting);
+        for pending in self.grants.revoke(|_| true) {
+            self.queue.refund(&pending.queued);
         }
     }
 
-    pub(super) fn lose_link(&mut self, now_ms: u64, link: LinkId) {
+    pub(super) fn handle_link_lost(&mut self, now_ms: u64, link: LinkId) {
         self.links.swap_remove(&link);
-        let lost: Vec<_> = self.queue.of_link(link).collect();
+        let lost: Vec<_> = self.queue.requests_on_link(link).collect();
         for request in lost {
             self.queue.remove(request);
         }
-        for granted in self.grants.revoke(|granted| granted.waiting.link == link) {
-            self.queue.refund(&granted.waiting);
+        for pending in self.grants.revoke(|pending| pending.queued.link == link) {
+            self.queue.refund(&pending.queued);
         }
         self.detach(now_ms, link);
     }
--- a/lib/src/agent/state/scheduling.rs
+++ b/lib/src/agent/state/scheduling.rs
@@ -1,5 +1,5 @@
-//! Who gets the room in the upstream: grants, and work that gives way to more important
-//! work.
+//! Assignment of the upstream's slots: grants, and preemption by requests of higher
+//! priority.
 
 use super::AgentState;
 use super::kv_tokens;
@@ -10,12 +10,14 @@
 use crate::link::wire::AgentMessage;
 use crate::link::wire::RefusalReason;
 
-/// A running request is about to end when its longest remaining output takes less than
-/// this: about a round trip to an entry, so that a grant made now is answered by then.
+/// A running request is about to end when its longest possible remaining output takes at
+/// most this long. This is about a round trip to an entry, so a grant issued now is answered
+/// by then.
 const ABOUT_TO_END_US: u64 = 5_000;
 
-/// How many turns the agents that hold reservations of one request take in making room.
-const PREEMPT_TURNS: u8 = 4;
+/// Number of steps over which agents that hold reservations of the same request spread
+/// their preemptions.
+const PREEMPT_STAGGER_STEPS: u8 = 4;
 
 impl AgentState {
     pub(super) fn slots(&self) -> u32 {
@@ -26,17 +28,17 @@
         self.health.usable_slots(self.slots()) as usize
     }
 
-    /// Slots that the upstream is using now, as far as can be known.
+    /// Returns the number of slots that the upstream uses, as far as the agent knows.
     pub(super) fn in_upstream(&self) -> usize {
         let own = self
             .attempts
             .live()
             .filter(|(_, attempt)| attempt.phase.is_in_upstream())
             .count();
-        own + self.foreign.len()
+        own + self.foreign_requests.len()
     }
 
-    /// Slots in use or promised.
+    /// Returns the number of slots in use, granted, or assigned to ready attempts.
     pub(super) fn occupied(&self) -> usize {
         let ready = self
             .attempts
@@ -46,7 +48,7 @@
         self.in_upstream() + ready + self.grants.len()
     }
 
-    /// Running requests that are certain to end within [`ABOUT_TO_END_US`].
+    /// Returns the number of running requests that should end within [`ABOUT_TO_END_US`].
     fn about_to_end(&self) -> usize {
         let step_us = self.speeds.step_us();
         if step_us == 0 {
@@ -73,13 +75,13 @@
         self.occupied() < usable + ahead
     }
 
-    /// Whether the KV cache holds `waiting` beside what runs and is promised. Where
-    /// nothing else runs it is tried in any case.
-    fn has_kv_for(&self, waiting: &QueuedReservation) -> bool {
+    /// Returns whether the KV cache has space for `queued` in addition to live attempts and
+    /// unanswered grants. Without any of those, the request is always tried.
+    fn has_kv_for(&self, queued: &QueuedReservation) -> bool {
         let Some(capacity) = self
             .upstream
             .as_ref()
-            .and_then(|one| one.kv_capacity_tokens)
+            .and_then(|upstream| upstream.kv_capacity_tokens)
         else {
             return true;
         };
@@ -87,19 +89,19 @@
             .attempts
             .live()
             .map(|(_, attempt)| attempt.info.kv_tokens());
-        let granted = self
+        let pending = self
             .grants
             .iter()
-            .map(|granted| kv_tokens(&granted.waiting.reservation));
-        let used: u64 = live.chain(granted).sum();
-        used == 0 || used + kv_tokens(&waiting.reservation) <= capacity
+            .map(|pending| kv_tokens(&pending.queued.reservation));
+        let used: u64 = live.chain(pending).sum();
+        used == 0 || used + kv_tokens(&queued.reservation) <= capacity
     }
 
-    /// Opens what waits for a slot, then grants, then makes room for what is urgent.
-    pub(super) fn use_room(&mut self, now_ms: u64) {
+    /// Opens ready attempts, then issues grants, then preempts for urgent reservations.
+    pub(super) fn schedule(&mut self, now_ms: u64) {
         self.open_ready(now_ms);
         self.grant_waiting(now_ms);
-        self.make_room(now_ms);
+        self.preempt_for_urgent(now_ms);
     }
 
     fn open_ready(&mut self, now_ms: u64) {
@@ -121,7 +123,7 @@
             };
             let request = first.reservation.request;
             if self.is_too_late(now_ms, first) {
-                self.turn_away(request, RefusalReason::TooLate);
+                self.refuse_queued(request, RefusalReason::TooLate);
                 continue;
             }
             if !self.has_kv_for(first) {
@@ -132,13 +134,13 @@
     }
 
     fn grant_first(&mut self, now_ms: u64) {
-        let Some(waiting) = self.queue.take_first() else {
+        let Some(queued) = self.queue.take_first() else {
             return;
         };
-        let link = waiting.link;
-        let request = waiting.reservation.request;
+        let link = queued.link;
+        let request = queued.reservation.request;
         let grant = self.grants.issue(PendingGrant {
-            waiting,
+            queued,
             expires_ms: now_ms + self.limits.grant_valid_ms,
         });
         let valid_ms = self.limits.grant_valid_ms;
@@ -152,38 +154,43 @@
         );
     }
 
-    /// How long before its latest start a request makes others give way here. The agents
-    /// that hold reservations of one request take turns: the first one's grant withdraws
-    /// it from the others, where nothing then has to give way.
-    fn own_margin_ms(&self, waiting: &QueuedReservation) -> u64 {
-        let mixed = waiting.reservation.request.0 ^ u128::from(self.incarnation.0);
-        let turn = mixed.to_le_bytes()[0] % PREEMPT_TURNS;
-        self.limits.preempt_margin_ms * u64::from(turn + 1) / u64::from(PREEMPT_TURNS)
+    /// Returns how long before its latest start a request may preempt others at this agent.
+    ///
+    /// Agents that hold reservations of the same request use different margins: once the
+    /// first of them grants, the reservation is withdrawn from the others, which then needn't
+    /// preempt anything.
+    fn staggered_margin_ms(&self, queued: &QueuedReservation) -> u64 {
+        let mixed = queued.reservation.request.0 ^ u128::from(self.incarnation.0);
+        let turn = mixed.to_le_bytes()[0] % PREEMPT_STAGGER_STEPS;
+        self.limits.preempt_margin_ms * u64::from(turn + 1) / u64::from(PREEMPT_STAGGER_STEPS)
     }
 
-    /// Whether a request has waited so long that running work may give way to it.
-    fn has_waited(&self, now_ms: u64, waiting: &QueuedReservation) -> bool {
-        let here_ms = now_ms.saturating_sub(waiting.arrived_ms);
-        let waited_ms = waiting.reservation.waited_ms + here_ms;
-        let patience_ms = waited_ms + waiting.deadline_ms.saturating_sub(now_ms);
+    /// Returns whether a request has waited long enough to preempt running requests.
+    fn has_waited(&self, now_ms: u64, queued: &QueuedReservation) -> bool {
+        let here_ms = now_ms.saturating_sub(queued.arrived_ms);
+        let waited_ms = queued.reservation.waited_ms + here_ms;
+        let patience_ms = waited_ms + queued.deadline_ms.saturating_sub(now_ms);
         waited_ms * 100 >= patience_ms * self.limits.preempt_after_percent
     }
 
-    /// Cancels running work of lower tiers for reservations that would otherwise start too
-    /// late. Only idempotent work of which nothing was passed on gives way: the entry can
-    /// run it elsewhere. The lowest tier goes first, and in it what has computed least.
-    fn make_room(&mut self, now_ms: u64) {
+    /// Cancels running requests of lower tiers for reservations that would otherwise start
+    /// too late.
+    ///
+    /// Only idempotent requests whose answer is not being delivered are cancelled, since the
+    /// entry can run them at another upstream. The lowest tier is cancelled first, and within
+    /// it the request that was opened last.
+    fn preempt_for_urgent(&mut self, now_ms: u64) {
         if self.queue.is_empty() || self.usable_slots() == 0 {
             return;
         }
         let horizon_ms = now_ms + self.limits.preempt_margin_ms;
         let mut urgent: Vec<_> = self
             .queue
-            .due(horizon_ms)
-            .filter(|waiting| now_ms + self.own_margin_ms(waiting) >= waiting.latest_start_ms)
-            .filter(|waiting| self.has_waited(now_ms, waiting))
-            .filter(|waiting| !self.is_too_late(now_ms, waiting))
-            .map(|waiting| waiting.reservation.tier)
+            .due_to_start(horizon_ms)
+            .filter(|queued| now_ms + self.staggered_margin_ms(queued) >= queued.latest_start_ms)
+            .filter(|queued| self.has_waited(now_ms, queued))
+            .filter(|queued| !self.is_too_late(now_ms, queued))
+            .map(|queued| queued.reservation.tier)
             .collect();
         urgent.sort_unstable();
         let freed = self
--- a/lib/src/agent/state/upstream.rs
+++ b/lib/src/agent/state/upstream.rs
@@ -1,4 +1,5 @@
-//! The state of the upstream: its object, whether it answers, what it says of attempts.
+//! State of the upstream: its configuration object, its health, and its information about
+//! attempts.
 
 use std::sync::Arc;
 
@@ -17,35 +18,36 @@
 use crate::upstream::report::Found;
 use crate::upstream::report::Probe;
 
-/// How many probes in a row may go unanswered. A busy engine misses one; giving all its
-/// waiting work back for that would cost more than the wait for the next.
-const SILENT_PROBES: u32 = 2;
+/// Number of unanswered probes in a row after which the upstream counts as down. A busy
+/// engine may miss one probe; refusing all queued reservations for that would cost more than
+/// waiting for the next probe.
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
 impl AgentState {
-    pub(super) fn change_upstream(&mut self, now_ms: u64, upstream: Option<Arc<Upstream>>) {
+    pub(super) fn apply_upstream(&mut self, now_ms: u64, upstream: Option<Arc<Upstream>>) {
         self.upstream = upstream;
         self.next_probe_ms = now_ms;
         if self.is_leaving() {
-            self.turn_away_all(RefusalReason::Leaving);
+            self.refuse_all(RefusalReason::Leaving);
         }
         let is_stopped = self
             .upstream
             .as_ref()
             .is_some_and(|upstream| upstream.activity == Activity::Stopped);
         if is_stopped {
-            self.cancel_movable();
+            self.cancel_retryable();
         }
     }
 
-    /// Cancels what can run elsewhere without the caller noticing.
-    fn cancel_movable(&mut self) {
-        let movable: Vec<_> = self
+    /// Cancels the requests that can run at another upstream without the caller noticing.
+    fn cancel_retryable(&mut self) {
+        let retryable: Vec<_> = self
             .attempts
             .running()
             .filter(|(_, attempt, run)| !attempt.info.non_idempotent && !run.delivered)
             .map(|(id, _, _)| id)
             .collect();
-        for id in movable {
+        for id in retryable {
             self.cancel(id, CancelCause::Preempt);
         }
     }
@@ -56,46 +58,48 @@
             .is_none_or(|upstream| matches!(upstream.serves, Serves::Models(_)))
     }
 
-    pub(super) fn take_probe(&mut self, now_ms: u64, probe: Probe) {
+    pub(super) fn handle_probe(&mut self, now_ms: u64, probe: Probe) {
         match probe {
-            Probe::Refused => self.fail(now_ms),
+            Probe::Refused => self.mark_down(now_ms),
             Probe::Silent => {
-                self.silent_probes += 1;
-                if self.silent_probes >= SILENT_PROBES {
-                    self.fail(now_ms);
+                self.unanswered_probes += 1;
+                if self.unanswered_probes >= MAX_UNANSWERED_PROBES {
+                    self.mark_down(now_ms);
                 }
             }
             Probe::Alive { running } => {
-                self.silent_probes = 0;
+                self.unanswered_probes = 0;
                 self.health.answers();
-                self.foreign = running
+                self.foreign_requests = running
                     .into_iter()
                     .filter(|request| self.is_foreign(*request))
                     .collect();
                 if self.attempts.running().next().is_none() {
-                    self.note_progress();
+                    self.mark_progress();
                 }
             }
         }
     }
 
-    /// Whether no record of this incarnation accounts for what the upstream says it runs.
-    /// A request that has ended here meanwhile does not: the list is older than that.
+    /// Returns whether a request that the upstream reports as running is not from this
+    /// incarnation. A request that has ended here since is not foreign: the upstream's list
+    /// is older than its end.
     fn is_foreign(&self, request: RequestId) -> bool {
         !self.attempts.was_sent(request) && !self.attempts.is_live(request)
     }
 
-    /// The upstream takes no connections: waiting work is given back to be run elsewhere.
-    pub(super) fn fail(&mut self, now_ms: u64) {
+    /// Marks the upstream as down and refuses queued reservations and ready attempts, so that
+    /// they can run at other upstreams.
+    pub(super) fn mark_down(&mut self, now_ms: u64) {
         if self.health.is_down() {
             return;
         }
         self.health.fails();
-        self.turn_away_all(RefusalReason::UpstreamDown);
-        self.bar_ready(now_ms);
+        self.refuse_all(RefusalReason::UpstreamDown);
+        self.cancel_ready(now_ms);
     }
 
-    fn bar_ready(&mut self, now_ms: u64) {
+    fn cancel_ready(&mut self, now_ms: u64) {
         let ready: Vec<_> = self
             .attempts
             .live()
@@ -105,25 +109,25 @@
         for (id, link) in ready {
             self.attempts.set_phase(id, Phase::NotSent, now_ms);
             if let Some(link) = link {
-                self.end_not_sent(link, id);
+                self.send_not_sent(link, id);
             }
         }
     }
 
     pub(super) fn investigate(&mut self, now_ms: u64, id: AttemptId) {
         if !self.is_engine() {
-            return self.reply_doubt(id);
+            return self.reply_in_doubt(id);
         }
         let again_ms = now_ms + self.limits.probe_ms;
         if let Some(attempt) = self.attempts.get_mut(id)
-            && let Phase::InDoubt { ask_ms, .. } = &mut attempt.phase
+            && let Phase::InDoubt { query_at_ms, .. } = &mut attempt.phase
         {
-            *ask_ms = Some(again_ms);
+            *query_at_ms = Some(again_ms);
             self.steps.push(AgentStep::Investigate { attempt: id });
         }
     }
 
-    fn reply_doubt(&mut self, id: AttemptId) {
+    fn reply_in_doubt(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id)
             && let Phase::InDoubt { reply_to, .. } = &mut attempt.phase
             && let Some(link) = reply_to.take()
@@ -132,7 +136,7 @@
         }
     }
 
-    pub(super) fn conclude(&mut self, now_ms: u64, id: AttemptId, found: Found) {
+    pub(super) fn handle_investigated(&mut self, now_ms: u64, id: AttemptId, found: Found) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
@@ -140,12 +144,12 @@
             return;
         };
         let (phase, settlement) = match found {
-            Found::Unclear => return self.reply_doubt(id),
+            Found::Unclear => return self.reply_in_doubt(id),
             Found::Running => (Phase::running(now_ms), Settlement::Running),
             Found::Finished => (Phase::running(now_ms), Settlement::Finished),
             Found::Gone => (Phase::Ended, Settlement::Ended),
         };
-        self.foreign.swap_remove(&id.request);
+        self.foreign_requests.swap_remove(&id.request);
         if found != Found::Gone {
             self.steps.push(AgentStep::AdoptCall { attempt: id });
         }
