--- a/lib/tests/agent_fixture.rs
+++ b/lib/tests/agent_fixture.rs
@@ -1,4 +1,4 @@
-//! An agent under test with short ways to tell it events and to read its steps.
+//! Fixture for tests of the agent's state machine: sends events and reads the steps.
 
 use sardinewood::agent::events::AgentEvent;
 use sardinewood::agent::events::AgentStep;
@@ -89,7 +89,7 @@
 }
 
 impl Fixture {
-    /// An agent with one link beside a living engine of so many slots.
+    /// Creates an agent with one link and a live engine of `slots` slots.
     pub fn new(slots: u32) -> Self {
         Self::with_limits(slots, AgentLimits::default())
     }
@@ -161,7 +161,7 @@
         self.progress(attempt, CallProgress::Ended { end })
     }
 
-    /// Reserves, is granted and dispatches; the attempt runs then.
+    /// Reserves a slot, gets the grant and dispatches; the attempt is running afterwards.
     pub fn run(&mut self, reservation: Reservation) -> GrantId {
         let id = reservation.request.0;
         let steps = self.reserve(reservation);
@@ -175,7 +175,7 @@
     }
 }
 
-/// The requests granted, in order.
+/// Returns the granted requests, in order.
 pub fn granted(steps: &[AgentStep]) -> Vec<u128> {
     grants(steps).into_iter().map(|(id, _)| id).collect()
 }
@@ -197,7 +197,7 @@
     grants[0].1
 }
 
-/// The reservations given back, and why.
+/// Returns the refused reservations with the reasons.
 pub fn refused(steps: &[AgentStep]) -> Vec<(u128, RefusalReason)> {
     let refusal = |step: &AgentStep| match step {
         AgentStep::Send {
@@ -211,7 +211,7 @@
     steps.iter().filter_map(refusal).collect()
 }
 
-/// What is said about attempts.
+/// Returns the settlements that are sent.
 pub fn settlements(steps: &[AgentStep]) -> Vec<Settlement> {
     let settlement = |step: &AgentStep| match step {
         AgentStep::Send {
@@ -243,7 +243,7 @@
     steps.iter().filter(is_open).count()
 }
 
-/// The requests whose calls are to be cancelled.
+/// Returns the requests whose calls are cancelled.
 pub fn cancelled(steps: &[AgentStep]) -> Vec<u128> {
     let cancel = |step: &AgentStep| match step {
         AgentStep::CancelCall { attempt, .. } => Some(attempt.request.0),
--- a/lib/tests/test_agent_attempts.rs
+++ b/lib/tests/test_agent_attempts.rs
@@ -1,4 +1,4 @@
-//! What an agent says about attempts: sent at most once, and never a wrong "not sent".
+//! Attempts at an agent: each is sent at most once and never wrongly reported as not sent.
 
 use sardinewood::agent::events::AgentEvent;
 use sardinewood::agent::events::AgentStep;
@@ -59,8 +59,8 @@
 
 #[test]
 fn dispatch_repeated_is_opened_once_and_told_the_truth() {
-    // The network repeats a dispatch. A second call would run the request twice, and
-    // `NotSent` would make the entry run it elsewhere while it runs here.
+    // The network duplicates a dispatch. A second call would run the request twice, and
+    // `NotSent` would make the entry run it at another upstream while it runs here.
     let mut fixture = Fixture::new(2);
     let grant = fixture.run(reservation(1, 0));
     let steps = fixture.dispatch(grant, attempt(1));
@@ -114,9 +114,9 @@
 
 #[test]
 fn settle_before_a_delayed_dispatch_bars_it() {
-    // The entry lost its link after the dispatch went into it, connects again and asks.
-    // It is told `NeverSent` and may run the request elsewhere. Then the delayed dispatch
-    // comes out of the old link: it must not run.
+    // The entry loses its link after it sent the dispatch, reconnects and asks. It gets
+    // `NeverSent` and may run the request at another upstream. Then the delayed dispatch
+    // arrives on the old link and must not run.
     let mut fixture = Fixture::new(2);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
     fixture.step(AgentEvent::LinkUp { link: NEW_LINK });
@@ -145,7 +145,7 @@
 
 #[test]
 fn settle_dropped_record_asks_the_upstream_in_place_of_guessing() {
-    // The record of an attempt that ran was dropped for age. `NeverSent` would be wrong.
+    // The record of an attempt that ran has expired. `NeverSent` would be wrong.
     let limits = AgentLimits {
         record_limit: 0,
         ..AgentLimits::default()
@@ -165,8 +165,8 @@
 
 #[test]
 fn settle_of_an_earlier_incarnation_asks_the_engine_first() {
-    // The agent was restarted beside its engine. The new incarnation can't know what the
-    // earlier one sent, so it asks the engine before it says anything.
+    // The agent was restarted while its engine kept running. The new incarnation can't know
+    // what the earlier one sent, so it queries the engine before it answers.
     for (found, settlement) in [
         (Found::Running, Settlement::Running),
         (Found::Finished, Settlement::Finished),
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn cancel_to_make_room_too_late_leaves_the_attempt_running() {
+fn cancel_for_preemption_too_late_leaves_the_attempt_running() {
     let mut fixture = Fixture::new(1);
     fixture.run(reservation(1, 4));
     let urgent = Reservation {
--- a/lib/tests/test_agent_reservations.rs
+++ b/lib/tests/test_agent_reservations.rs
@@ -1,4 +1,4 @@
-//! Who is granted a slot, who is given back, and when.
+//! Grants, refusals and preemption at an agent.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 use crate::agent_fixture::reservation;
 use crate::agent_fixture::upstream;
 
-/// Frees the one slot of the fixture again and again; who is granted, in order.
+/// Frees the only slot of the fixture repeatedly and returns the granted requests, in order.
 fn grant_order(fixture: &mut Fixture, running: u128) -> Vec<u128> {
     let mut order = Vec::new();
     let mut last = running;
@@ -258,8 +258,8 @@
 
 #[test]
 fn tick_unanswered_grant_lapses_and_its_dispatch_is_not_sent() {
-    // The entry is paused between the grant and its dispatch. The slot goes to another
-    // after `grant_valid_ms`, and the late dispatch must not open a second call.
+    // The entry is paused between the grant and its dispatch. The slot is granted to another
+    // request after `grant_valid_ms`, and the late dispatch must not open a second call.
     let mut fixture = Fixture::new(1);
     let late = only_grant(&fixture.reserve(reservation(1, 0)));
     fixture.reserve(reservation(2, 3));
@@ -272,8 +272,8 @@
 
 #[test]
 fn dispatch_read_after_a_pause_is_not_sent() {
-    // The agent is paused with the dispatch in its socket. When it wakes up it reads the
-    // dispatch before its clock's tick; the grant has lapsed all the same.
+    // The agent is paused while the dispatch is in its socket. Afterwards it reads the
+    // dispatch before its next tick, but the grant has expired already.
     let mut fixture = Fixture::new(1);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
     fixture.now_ms += 30_000;
@@ -327,8 +327,9 @@
 
 #[test]
 fn upstream_draining_gives_back_and_takes_no_dispatch() {
-    // An operator drains the upstream while a grant is on its way. What runs goes on, the
-    // dispatch for the revoked grant is told that it was not sent, and nothing new is taken.
+    // An operator drains the upstream while a grant is in transit. Running requests go on,
+    // the dispatch for the revoked grant is answered with `NotSent`, and no new request is
+    // accepted.
     for activity in [Activity::Draining, Activity::Stopped] {
         let mut fixture = Fixture::new(2);
         fixture.run(Reservation {
@@ -392,10 +393,10 @@
 }
 
 #[test]
-fn make_room_urgent_work_preempts_the_lowest_idempotent() {
-    // Both slots run lower work. The tier-0 request would miss its deadline if it waited
-    // for one of them; the tier-4 one gives way, since nothing of its answer went out and
-    // it may run again elsewhere.
+fn preempt_urgent_request_cancels_the_lowest_idempotent() {
+    // Both slots run requests of lower tiers. The tier-0 request would miss its deadline if
+    // it waited for one of them. The tier-4 request is preempted, since nothing of its answer
+    // was delivered and it may run again at another upstream.
     let mut fixture = Fixture::new(3);
     fixture.run(Reservation {
         non_idempotent: true,
@@ -415,7 +416,7 @@
 }
 
 #[test]
-fn make_room_equal_tier_or_delivered_work_is_kept() {
+fn preempt_leaves_equal_tier_and_delivered_requests() {
     let mut fixture = Fixture::new(2);
     fixture.run(reservation(1, 0));
     fixture.run(reservation(2, 4));
@@ -429,8 +430,9 @@
 
 #[test]
 fn probe_silent_gives_back_and_returns_with_care() {
-    // The engine dies. Its agent gives waiting work back to run elsewhere, and when the
-    // engine answers again it gets one request, then one more with each answer.
+    // The engine dies. Its agent refuses queued reservations, so that they run at other
+    // upstreams. When the engine answers again it gets one request, then one more with each
+    // answer.
     let mut fixture = Fixture::new(4);
     for id in 1..=4 {
         fixture.run(reservation(id, 0));
@@ -485,8 +487,9 @@
 
 #[test]
 fn start_beside_a_busy_engine_counts_what_runs_there() {
-    // The agent was restarted while its engine went on. What the earlier incarnation sent
-    // still occupies slots; granting them again would queue work inside the engine.
+    // The agent was restarted while its engine kept running. Requests of the earlier
+    // incarnation still occupy slots; granting those again would queue requests inside the
+    // engine.
     let mut fixture = Fixture::new(2);
     fixture.probe_alive(&[90, 91]);
     assert_eq!(granted(&fixture.reserve(reservation(1, 0))), []);
--- a/lib/tests/test_agent_server.rs
+++ b/lib/tests/test_agent_server.rs
@@ -1,4 +1,4 @@
-//! A running agent on real sockets beside the stand-ins, judged by what they count.
+//! A running agent on real sockets, checked by the counters of the stand-in upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,10 +48,10 @@
 use crate::agent_fixture::reservation;
 use crate::agent_fixture::upstream;
 
-/// Generous: a test that waits so long has failed.
+/// Time limit of a wait; a test that reaches it fails.
 const CAP: Duration = Duration::from_secs(20);
 
-/// An agent and the configuration that it sees.
+/// An agent and its configuration.
 struct Agent {
     handle: AgentHandle,
     catalog: watch::Sender<Arc<Catalog>>,
@@ -63,7 +63,7 @@
         let settings = AgentSettings {
             upstream: "lang-1".into(),
             heartbeat_ms: 50,
-            // The entry of these tests sends no heartbeats.
+            // The entry in these tests sends no heartbeats.
             silent_ms: 60_000,
             upstream_timings: UpstreamTimings {
                 silent_ms: 200,
@@ -95,7 +95,7 @@
     Arc::new(catalog)
 }
 
-/// The entry's end of a link, as simple as can be.
+/// A minimal entry's side of a link.
 struct Entry {
     reader: FrameReader<EntryEnd, OwnedReadHalf>,
     messages: mpsc::Sender<EntryMessage>,
@@ -134,7 +134,7 @@
         self.messages.send(message).await.unwrap();
     }
 
-    /// The next message, heartbeats left out.
+    /// Returns the next message that is not a heartbeat.
     async fn hear(&mut self) -> AgentMessage {
         loop {
             let message = timeout(CAP, self.reader.next()).await.unwrap();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Reserves until there is a grant; an agent that has just started refuses at first.
+    /// Reserves until there is a grant, since an agent that has just started refuses at first.
     async fn granted(&mut self, reservation: Reservation) -> GrantId {
         loop {
             self.say(EntryMessage::Reserve(reservation.clone())).await;
@@ -173,7 +173,7 @@
         (attempt, grant)
     }
 
-    /// Reads an answer to its end; its body and how it ended.
+    /// Reads an answer to its end; returns its body and how it ended.
     async fn read_answer(&mut self, reader: &mut AnswerReader) -> (Vec<u8>, ReadStep) {
         let mut body = Vec::new();
         loop {
@@ -213,7 +213,7 @@
     }
 }
 
-/// The answer that a direct call gets for the same request id.
+/// Returns the answer that a direct call to an engine gets for the same request id.
 async fn direct_answer(max_tokens: u32, stream: bool, id: &str) -> Vec<u8> {
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
@@ -261,9 +261,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn engine_connections_cut_or_silent_are_resumed_without_a_second_dispatch() {
-    // The connection between agent and engine closes, or is lost track of without a word,
-    // in the middle of a stream. The agent asks the engine, finds the request running and
-    // reads on after the last whole event; the caller sees one unbroken answer.
+    // The connection between agent and engine closes, or dies without a notice, in the
+    // middle of a stream. The agent queries the engine, finds the request running and reads
+    // on after the last whole event. The caller gets one unbroken answer.
     for is_cut in [true, false] {
         let engine = EngineStandIn::spawn(EngineSettings::default())
             .await
@@ -325,9 +325,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn agent_restarted_beside_a_living_engine_picks_the_stream_up() {
-    // The agent dies in the middle of a stream and its successor starts beside the same
-    // engine. The entry asks the new incarnation, which finds the request running, and
-    // reads on from where it was. The engine got the request once.
+    // The agent dies in the middle of a stream and is restarted next to the same engine. The
+    // entry asks the new incarnation, which finds the request running, and the entry reads on
+    // from its offset. The engine got the request once.
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
@@ -402,8 +402,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn service_answer_lost_is_in_doubt_and_sent_once() {
-    // The service runs the call and its connection closes before the answer. No library
-    // may send the call again, and nobody may be told that it did not run.
+    // The service runs the call, and its connection closes before the answer. No library may
+    // send the call again, and the call must not be reported as not run.
     let service = ServiceStandIn::spawn().await.unwrap();
     let agent = Agent::beside(Upstream {
         url: service.url().into(),
@@ -457,7 +457,7 @@
     let grant = entry.granted(refund).await;
     let address = service.address();
     drop(service);
-    // Its listener closes a moment later; until then a connection is taken and reset.
+    // The listener closes a moment later; until then it accepts and resets connections.
     while TcpStream::connect(address).await.is_ok() {
         tokio::task::yield_now().await;
     }
@@ -512,9 +512,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn engine_that_refuses_hands_back_only_what_may_run_elsewhere() {
-    // The engine answers 503. An idempotent request is cancelled by its id and handed back,
-    // so that its entry can try another engine; of any other the caller gets the 503, since
-    // "broken" would make its outcome unknown.
+    // The engine answers 503. An idempotent request is cancelled by its id and reported as
+    // broken, so that its entry can try another engine. For any other request the caller gets
+    // the 503, since "broken" would make its outcome unknown.
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
--- a/lib/tests/test_speeds.rs
+++ b/lib/tests/test_speeds.rs
@@ -1,4 +1,4 @@
-//! Learned speeds: quick to see a slowdown, not spoilt by short prompts.
+//! Speed estimates follow a slowdown quickly and aren't distorted by short prompts.
 
 use sardinewood::agent::speeds::Speeds;
 use sardinewood::config::objects::Target;
@@ -19,7 +19,10 @@
     }
     assert!(speeds.step_us() > 14_000, "{}", speeds.step_us());
     speeds.observe_tokens(&model(), 25, 100_000);
-    assert!(speeds.step_us() > 5_000, "one good sample is not believed");
+    assert!(
+        speeds.step_us() > 5_000,
+        "one fast sample does not end the slowdown"
+    );
     for _ in 0..60 {
         speeds.observe_tokens(&model(), 25, 100_000);
     }
@@ -27,9 +30,9 @@
 }
 
 #[test]
-fn observe_first_short_prompts_do_not_make_long_ones_look_hopeless() {
-    // A prompt of ten tokens takes a step and a millisecond of sockets; at that rate a
-    // prompt of 8,000 tokens would seem to take 4 s in place of 0.4 s.
+fn observe_first_short_prompts_do_not_distort_long_ones() {
+    // A prompt of ten tokens takes one step and a millisecond in sockets. Extrapolated from
+    // that, a prompt of 8,000 tokens would take 4 s instead of 0.4 s.
     let mut speeds = Speeds::default();
     speeds.observe_tokens(&model(), 25, 100_000);
     speeds.observe_first(&model(), 8_000, 405_000);
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn observe_tokens_held_up_reading_says_nothing() {
+fn observe_tokens_ignores_paused_reading() {
     let mut speeds = Speeds::default();
     speeds.observe_tokens(&model(), 25, 0);
     assert_eq!(speeds.step_us(), 0);
