--- a/lib/src/agent/state/reservations.rs
+++ b/lib/src/agent/state/reservations.rs
@@ -117,8 +117,8 @@
     /// Returns whether the deadline can't be met at the measured speed.
     ///
     /// While nothing runs there are no new samples, and a speed measured during a slowdown
-    /// would refuse all requests forever. An idle upstream therefore accepts a request
-    /// unless its deadline has passed.
+    /// would refuse all requests forever. An idle upstream therefore tries one request at a
+    /// time unless its deadline has passed.
     pub(super) fn is_too_late(&self, now_ms: u64, queued: &QueuedReservation) -> bool {
         let reservation = &queued.reservation;
         let work_us = if self.in_upstream() == 0 {
--- a/lib/src/agent/state/scheduling.rs
+++ b/lib/src/agent/state/scheduling.rs
@@ -161,16 +161,16 @@
     /// preempt anything.
     fn staggered_margin_ms(&self, queued: &QueuedReservation) -> u64 {
         let mixed = queued.reservation.request.0 ^ u128::from(self.incarnation.0);
-        let turn = mixed.to_le_bytes()[0] % PREEMPT_STAGGER_STEPS;
-        self.limits.preempt_margin_ms * u64::from(turn + 1) / u64::from(PREEMPT_STAGGER_STEPS)
+        let step = mixed.to_le_bytes()[0] % PREEMPT_STAGGER_STEPS;
+        self.limits.preempt_margin_ms * u64::from(step + 1) / u64::from(PREEMPT_STAGGER_STEPS)
     }
 
     /// Returns whether a request has waited long enough to preempt running requests.
     fn has_waited(&self, now_ms: u64, queued: &QueuedReservation) -> bool {
         let here_ms = now_ms.saturating_sub(queued.arrived_ms);
         let waited_ms = queued.reservation.waited_ms + here_ms;
-        let patience_ms = waited_ms + queued.deadline_ms.saturating_sub(now_ms);
-        waited_ms * 100 >= patience_ms * self.limits.preempt_after_percent
+        let total_ms = waited_ms + queued.deadline_ms.saturating_sub(now_ms);
+        waited_ms * 100 >= total_ms * self.limits.preempt_after_percent
     }
 
     /// Cancels running requests of lower tiers for reservations that would otherwise start
--- a/lib/src/agent/state/upstream.rs
+++ b/lib/src/agent/state/upstream.rs
@@ -88,8 +88,8 @@
         !self.attempts.was_sent(request) && !self.attempts.is_live(request)
     }
 
-    /// Marks the upstream as down and refuses queued reservations and ready attempts, so that
-    /// they can run at other upstreams.
+    /// Marks the upstream as down, refuses queued reservations and cancels ready attempts, so
+    /// that they can run at other upstreams.
     pub(super) fn mark_down(&mut self, now_ms: u64) {
         if self.health.is_down() {
             return;
--- a/lib/tests/test_agent_attempts.rs
+++ b/lib/tests/test_agent_attempts.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn dispatch_repeated_is_opened_once_and_told_the_truth() {
+fn dispatch_repeated_is_opened_once_and_settled() {
     // The network duplicates a dispatch. A second call would run the request twice, and
     // `NotSent` would make the entry run it at another upstream while it runs here.
     let mut fixture = Fixture::new(2);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn settle_before_a_delayed_dispatch_bars_it() {
+fn settle_before_a_delayed_dispatch_rejects_it() {
     // The entry loses its link after it sent the dispatch, reconnects and asks. It gets
     // `NeverSent` and may run the request at another upstream. Then the delayed dispatch
     // arrives on the old link and must not run.
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn resume_unknown_attempt_is_in_doubt_and_bars_nothing() {
+fn resume_unknown_attempt_is_in_doubt_and_blocks_nothing() {
     let mut fixture = Fixture::new(1);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
     let steps = fixture.say(EntryMessage::Resume {
--- a/lib/tests/test_agent_reservations.rs
+++ b/lib/tests/test_agent_reservations.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn reserve_queue_full_gives_back_the_least_important() {
+fn reserve_queue_full_refuses_the_lowest_priority() {
     let limits = AgentLimits {
         queue_limit: 2,
         ..AgentLimits::default()
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn reserve_queue_full_gives_back_of_the_flooding_customer() {
+fn reserve_queue_full_refuses_the_flooding_customer() {
     let limits = AgentLimits {
         queue_limit: 10,
         ..AgentLimits::default()
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn reserve_hopeless_deadline_is_refused_before_prefill() {
+fn reserve_unreachable_deadline_is_refused_before_prefill() {
     let mut fixture = Fixture::new(4);
     fixture.run(reservation(1, 1));
     fixture.progress(attempt(1), CallProgress::FirstToken { after_us: 100_000 });
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn tick_deadline_out_of_reach_gives_back() {
+fn tick_unreachable_deadline_is_refused() {
     let mut fixture = Fixture::new(1);
     fixture.run(reservation(1, 0));
     fixture.reserve(Reservation {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn tick_unanswered_grant_lapses_and_its_dispatch_is_not_sent() {
+fn tick_unanswered_grant_expires_and_its_dispatch_is_not_sent() {
     // The entry is paused between the grant and its dispatch. The slot is granted to another
     // request after `grant_valid_ms`, and the late dispatch must not open a second call.
     let mut fixture = Fixture::new(1);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn link_lost_takes_reservations_and_grants_along() {
+fn link_lost_drops_reservations_and_grants() {
     let mut fixture = Fixture::new(1);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
     fixture.reserve(reservation(2, 0));
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn upstream_draining_gives_back_and_takes_no_dispatch() {
+fn upstream_draining_refuses_reservations_and_dispatches() {
     // An operator drains the upstream while a grant is in transit. Running requests go on,
     // the dispatch for the revoked grant is answered with `NotSent`, and no new request is
     // accepted.
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn probe_silent_gives_back_and_returns_with_care() {
+fn probe_silent_refuses_reservations_and_recovers_slowly() {
     // The engine dies. Its agent refuses queued reservations, so that they run at other
     // upstreams. When the engine answers again it gets one request, then one more with each
     // answer.
--- a/lib/tests/test_agent_server.rs
+++ b/lib/tests/test_agent_server.rs
@@ -362,7 +362,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn engine_restarted_ends_the_attempt_as_broken_and_bars_it() {
+async fn engine_restarted_ends_the_attempt_as_broken_and_rejects_it() {
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
@@ -511,7 +511,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn engine_that_refuses_hands_back_only_what_may_run_elsewhere() {
+async fn engine_that_refuses_returns_only_idempotent_requests() {
     // The engine answers 503. An idempotent request is cancelled by its id and reported as
     // broken, so that its entry can try another engine. For any other request the caller gets
     // the 503, since "broken" would make its outcome unknown.
