--- a/lib/tests/agent_fixture.rs
+++ b/lib/tests/agent_fixture.rs
@@ -26,7 +26,7 @@
 
 pub const LINK: LinkId = LinkId(1);
 
-pub const SELF: Incarnation = Incarnation(7);
+pub const INCARNATION: Incarnation = Incarnation(7);
 
 pub struct Fixture {
     pub agent: AgentState,
@@ -96,7 +96,7 @@
 
     pub fn with_limits(slots: u32, limits: AgentLimits) -> Self {
         let mut fixture = Fixture {
-            agent: AgentState::new(SELF, limits),
+            agent: AgentState::new(INCARNATION, limits),
             now_ms: 1_000,
         };
         fixture.change(upstream(slots));
@@ -125,11 +125,11 @@
         self.step(AgentEvent::Probed(Probe::Alive { running }))
     }
 
-    pub fn say(&mut self, message: EntryMessage) -> Vec<AgentStep> {
-        self.say_on(LINK, message)
+    pub fn send(&mut self, message: EntryMessage) -> Vec<AgentStep> {
+        self.send_on(LINK, message)
     }
 
-    pub fn say_on(&mut self, link: LinkId, message: EntryMessage) -> Vec<AgentStep> {
+    pub fn send_on(&mut self, link: LinkId, message: EntryMessage) -> Vec<AgentStep> {
         self.step(AgentEvent::Received {
             link,
             message: Box::new(message),
@@ -137,11 +137,11 @@
     }
 
     pub fn reserve(&mut self, reservation: Reservation) -> Vec<AgentStep> {
-        self.say(EntryMessage::Reserve(reservation))
+        self.send(EntryMessage::Reserve(reservation))
     }
 
     pub fn dispatch(&mut self, grant: GrantId, attempt: AttemptId) -> Vec<AgentStep> {
-        self.say(EntryMessage::Dispatch {
+        self.send(EntryMessage::Dispatch {
             grant,
             attempt,
             retain: false,
@@ -150,7 +150,7 @@
     }
 
     pub fn settle(&mut self, attempt: AttemptId, grant: GrantId) -> Vec<AgentStep> {
-        self.say(EntryMessage::Settle { attempt, grant })
+        self.send(EntryMessage::Settle { attempt, grant })
     }
 
     pub fn progress(&mut self, attempt: AttemptId, progress: CallProgress) -> Vec<AgentStep> {
--- a/lib/tests/test_agent_attempts.rs
+++ b/lib/tests/test_agent_attempts.rs
@@ -20,8 +20,8 @@
 use sardinewood::upstream::report::Found;
 
 use crate::agent_fixture::Fixture;
+use crate::agent_fixture::INCARNATION;
 use crate::agent_fixture::LINK;
-use crate::agent_fixture::SELF;
 use crate::agent_fixture::attempt;
 use crate::agent_fixture::call;
 use crate::agent_fixture::cancelled;
@@ -39,7 +39,7 @@
 
 fn own_grant(sequence: u64) -> GrantId {
     GrantId {
-        agent: SELF,
+        agent: INCARNATION,
         sequence,
     }
 }
@@ -51,7 +51,7 @@
     }
 }
 
-fn doubt() -> AnswerEnd {
+fn in_doubt() -> AnswerEnd {
     AnswerEnd::InDoubt {
         reason: "the connection broke".into(),
     }
@@ -124,7 +124,7 @@
         attempt: attempt(1),
         grant,
     };
-    let steps = fixture.say_on(NEW_LINK, settle);
+    let steps = fixture.send_on(NEW_LINK, settle);
     assert_eq!(settlements(&steps), [Settlement::NeverSent]);
     let steps = fixture.dispatch(grant, attempt(1));
     assert_eq!(opened(&steps), 0);
@@ -208,7 +208,7 @@
 fn end_in_doubt_holds_the_slot_until_the_engine_confirms() {
     let mut fixture = Fixture::new(1);
     let grant = fixture.run(reservation(1, 0));
-    fixture.end(attempt(1), doubt());
+    fixture.end(attempt(1), in_doubt());
     assert_eq!(granted(&fixture.reserve(reservation(2, 0))), []);
     let steps = fixture.tick(1_000);
     assert!(
@@ -237,7 +237,7 @@
         ..reservation(id, 0)
     };
     let grant = fixture.run(refund(1));
-    fixture.end(attempt(1), doubt());
+    fixture.end(attempt(1), in_doubt());
     assert_eq!(granted(&fixture.reserve(refund(2))), [2]);
     let steps = fixture.settle(attempt(1), grant);
     assert_eq!(settlements(&steps), [Settlement::InDoubt]);
@@ -254,13 +254,13 @@
         attempt: attempt(1),
         grant,
     };
-    let steps = fixture.say_on(NEW_LINK, settle);
+    let steps = fixture.send_on(NEW_LINK, settle);
     assert_eq!(settlements(&steps), [Settlement::Running]);
     let resume = EntryMessage::Resume {
         attempt: attempt(1),
         from_bytes: 12,
     };
-    let steps = fixture.say_on(NEW_LINK, resume);
+    let steps = fixture.send_on(NEW_LINK, resume);
     let attach = AgentStep::AttachCall {
         attempt: attempt(1),
         link: NEW_LINK,
@@ -288,7 +288,7 @@
 fn resume_unknown_attempt_is_in_doubt_and_blocks_nothing() {
     let mut fixture = Fixture::new(1);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
-    let steps = fixture.say(EntryMessage::Resume {
+    let steps = fixture.send(EntryMessage::Resume {
         attempt: attempt(1),
         from_bytes: 0,
     });
@@ -300,7 +300,7 @@
 fn resume_retained_answer_is_replayed_within_retention() {
     let mut fixture = Fixture::new(1);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
-    fixture.say(EntryMessage::Dispatch {
+    fixture.send(EntryMessage::Dispatch {
         grant,
         attempt: attempt(1),
         retain: true,
@@ -312,14 +312,14 @@
         attempt: attempt(1),
         from_bytes: 0,
     };
-    let steps = fixture.say(resume());
+    let steps = fixture.send(resume());
     assert!(matches!(steps[..], [AgentStep::AttachCall { .. }]));
     let steps = fixture.tick(120_000);
     let forget = AgentStep::DropAnswer {
         attempt: attempt(1),
     };
     assert_eq!(steps, [forget]);
-    let steps = fixture.say(resume());
+    let steps = fixture.send(resume());
     assert_eq!(settlements(&steps), [Settlement::Ended]);
 }
 
@@ -328,7 +328,7 @@
     let mut fixture = Fixture::new(1);
     fixture.run(reservation(1, 0));
     fixture.reserve(reservation(2, 0));
-    let steps = fixture.say(EntryMessage::Cancel {
+    let steps = fixture.send(EntryMessage::Cancel {
         attempt: attempt(1),
     });
     assert_eq!(cancelled(&steps), [1]);
--- a/lib/tests/test_agent_reservations.rs
+++ b/lib/tests/test_agent_reservations.rs
@@ -285,7 +285,7 @@
     let mut fixture = Fixture::new(1);
     let grant = only_grant(&fixture.reserve(reservation(1, 0)));
     fixture.reserve(reservation(2, 3));
-    let steps = fixture.say(EntryMessage::Decline { grant });
+    let steps = fixture.send(EntryMessage::Decline { grant });
     assert_eq!(granted(&steps), [2]);
 }
 
@@ -297,9 +297,9 @@
     let other = LinkId(2);
     fixture.step(AgentEvent::LinkUp { link: other });
     let request = RequestId(2);
-    fixture.say_on(other, EntryMessage::Withdraw { request });
+    fixture.send_on(other, EntryMessage::Withdraw { request });
     assert_eq!(fixture.agent.load().waiting, 1);
-    fixture.say(EntryMessage::Withdraw { request });
+    fixture.send(EntryMessage::Withdraw { request });
     assert_eq!(fixture.agent.load().waiting, 0);
 }
 
@@ -313,7 +313,7 @@
     assert_eq!(fixture.agent.free_slots(), 1);
     let other = LinkId(2);
     fixture.step(AgentEvent::LinkUp { link: other });
-    let steps = fixture.say_on(
+    let steps = fixture.send_on(
         other,
         EntryMessage::Dispatch {
             grant,
--- a/lib/tests/test_agent_server.rs
+++ b/lib/tests/test_agent_server.rs
@@ -58,7 +58,7 @@
 }
 
 impl Agent {
-    async fn beside(upstream: Upstream) -> Self {
+    async fn for_upstream(upstream: Upstream) -> Self {
         let (catalog, receiver) = watch::channel(catalog_of(upstream));
         let settings = AgentSettings {
             upstream: "lang-1".into(),
@@ -78,8 +78,8 @@
         }
     }
 
-    async fn beside_engine(engine: &EngineStandIn) -> Self {
-        Self::beside(Upstream {
+    async fn for_engine(engine: &EngineStandIn) -> Self {
+        Self::for_upstream(Upstream {
             url: engine.url().into(),
             ..upstream(4)
         })
@@ -122,20 +122,20 @@
             name: "entry-1".into(),
             data_centre: "wdh-1".into(),
         };
-        entry.say(EntryMessage::Hello(hello)).await;
-        let AgentMessage::Hello(hello) = entry.hear().await else {
+        entry.send(EntryMessage::Hello(hello)).await;
+        let AgentMessage::Hello(hello) = entry.receive().await else {
             panic!("the agent says hello first");
         };
         entry.agent = hello.incarnation;
         entry
     }
 
-    async fn say(&self, message: EntryMessage) {
+    async fn send(&self, message: EntryMessage) {
         self.messages.send(message).await.unwrap();
     }
 
     /// Returns the next message that is not a heartbeat.
-    async fn hear(&mut self) -> AgentMessage {
+    async fn receive(&mut self) -> AgentMessage {
         loop {
             let message = timeout(CAP, self.reader.next()).await.unwrap();
             match message.unwrap().expect("the link is open") {
@@ -148,8 +148,8 @@
     /// Reserves until there is a grant, since an agent that has just started refuses at first.
     async fn granted(&mut self, reservation: Reservation) -> GrantId {
         loop {
-            self.say(EntryMessage::Reserve(reservation.clone())).await;
-            match self.hear().await {
+            self.send(EntryMessage::Reserve(reservation.clone())).await;
+            match self.receive().await {
                 AgentMessage::Grant { grant, .. } => return grant,
                 AgentMessage::Refuse { reason, .. } => {
                     assert_eq!(reason, RefusalReason::UpstreamDown);
@@ -163,7 +163,7 @@
     async fn dispatch(&mut self, reservation: Reservation, call: Call) -> (AttemptId, GrantId) {
         let attempt = attempt(reservation.request.0);
         let grant = self.granted(reservation).await;
-        self.say(EntryMessage::Dispatch {
+        self.send(EntryMessage::Dispatch {
             grant,
             attempt,
             retain: false,
@@ -177,7 +177,7 @@
     async fn read_answer(&mut self, reader: &mut AnswerReader) -> (Vec<u8>, ReadStep) {
         let mut body = Vec::new();
         loop {
-            let Ok(frame) = AnswerFrame::try_from(self.hear().await) else {
+            let Ok(frame) = AnswerFrame::try_from(self.receive().await) else {
                 continue;
             };
             match reader.read(frame) {
@@ -189,9 +189,9 @@
     }
 
     async fn settle(&mut self, attempt: AttemptId, grant: GrantId) -> Settlement {
-        self.say(EntryMessage::Settle { attempt, grant }).await;
+        self.send(EntryMessage::Settle { attempt, grant }).await;
         loop {
-            if let AgentMessage::Settled { settlement, .. } = self.hear().await {
+            if let AgentMessage::Settled { settlement, .. } = self.receive().await {
                 return settlement;
             }
         }
@@ -244,7 +244,7 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let agent = Agent::beside_engine(&engine).await;
+    let agent = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(agent.handle.address()).await;
     for (id, stream) in [(1, true), (2, false)] {
         let (attempt, _) = entry
@@ -268,14 +268,14 @@
         let engine = EngineStandIn::spawn(EngineSettings::default())
             .await
             .unwrap();
-        let agent = Agent::beside_engine(&engine).await;
+        let agent = Agent::for_engine(&engine).await;
         let mut entry = Entry::connect(agent.handle.address()).await;
         let (attempt, _) = entry
             .dispatch(reservation(1, 0), completion(200, true))
             .await;
         let mut reader = AnswerReader::new(attempt);
         while reader.through_bytes() < 2_000 {
-            if let Ok(frame) = AnswerFrame::try_from(entry.hear().await) {
+            if let Ok(frame) = AnswerFrame::try_from(entry.receive().await) {
                 reader.read(frame);
             }
         }
@@ -298,14 +298,14 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let agent = Agent::beside_engine(&engine).await;
+    let agent = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(agent.handle.address()).await;
     let (attempt, grant) = entry
         .dispatch(reservation(1, 0), completion(200, true))
         .await;
     let mut reader = AnswerReader::new(attempt);
     while reader.through_bytes() < 2_000 {
-        if let Ok(frame) = AnswerFrame::try_from(entry.hear().await) {
+        if let Ok(frame) = AnswerFrame::try_from(entry.receive().await) {
             reader.read(frame);
         }
     }
@@ -313,7 +313,7 @@
     let mut entry = Entry::connect(agent.handle.address()).await;
     assert_eq!(entry.settle(attempt, grant).await, Settlement::Running);
     entry
-        .say(EntryMessage::Resume {
+        .send(EntryMessage::Resume {
             attempt,
             from_bytes: reader.through_bytes(),
         })
@@ -331,24 +331,24 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let first = Agent::beside_engine(&engine).await;
+    let first = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(first.handle.address()).await;
     let (attempt, grant) = entry
         .dispatch(reservation(1, 0), completion(400, true))
         .await;
     let mut reader = AnswerReader::new(attempt);
     while reader.through_bytes() < 2_000 {
-        if let Ok(frame) = AnswerFrame::try_from(entry.hear().await) {
+        if let Ok(frame) = AnswerFrame::try_from(entry.receive().await) {
             reader.read(frame);
         }
     }
     drop(first);
-    let second = Agent::beside_engine(&engine).await;
+    let second = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(second.handle.address()).await;
     assert_ne!(entry.agent, grant.agent);
     assert_eq!(entry.settle(attempt, grant).await, Settlement::Running);
     entry
-        .say(EntryMessage::Resume {
+        .send(EntryMessage::Resume {
             attempt,
             from_bytes: reader.through_bytes(),
         })
@@ -366,7 +366,7 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let agent = Agent::beside_engine(&engine).await;
+    let agent = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(agent.handle.address()).await;
     let (attempt, _) = entry
         .dispatch(reservation(1, 0), completion(200, true))
@@ -386,13 +386,13 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let agent = Agent::beside_engine(&engine).await;
+    let agent = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(agent.handle.address()).await;
     let (attempt, _) = entry
         .dispatch(reservation(1, 0), completion(5_000, true))
         .await;
     wait_until(|| engine.counts().dispatches == 1).await;
-    entry.say(EntryMessage::Cancel { attempt }).await;
+    entry.send(EntryMessage::Cancel { attempt }).await;
     let mut reader = AnswerReader::new(attempt);
     let (_, end) = entry.read_answer(&mut reader).await;
     assert_eq!(end, ReadStep::Cut(AnswerEnd::Cancelled));
@@ -405,7 +405,7 @@
     // The service runs the call, and its connection closes before the answer. No library may
     // send the call again, and the call must not be reported as not run.
     let service = ServiceStandIn::spawn().await.unwrap();
-    let agent = Agent::beside(Upstream {
+    let agent = Agent::for_upstream(Upstream {
         url: service.url().into(),
         serves: Serves::Service("refunds".into()),
         ..upstream(2)
@@ -443,7 +443,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn upstream_gone_is_not_sent() {
     let service = ServiceStandIn::spawn().await.unwrap();
-    let agent = Agent::beside(Upstream {
+    let agent = Agent::for_upstream(Upstream {
         url: service.url().into(),
         serves: Serves::Service("refunds".into()),
         ..upstream(2)
@@ -462,7 +462,7 @@
         tokio::task::yield_now().await;
     }
     entry
-        .say(EntryMessage::Dispatch {
+        .send(EntryMessage::Dispatch {
             grant,
             attempt: attempt(1),
             retain: false,
@@ -478,7 +478,7 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let Agent { handle, catalog } = Agent::beside_engine(&engine).await;
+    let Agent { handle, catalog } = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(handle.address()).await;
     let (attempt, _) = entry
         .dispatch(reservation(1, 0), completion(100, true))
@@ -495,14 +495,14 @@
     let (_, end) = entry.read_answer(&mut reader).await;
     assert_eq!(end, ReadStep::Whole);
     assert!(!ending.is_finished(), "the answer is not acknowledged yet");
-    entry.say(EntryMessage::Reserve(reservation(2, 0))).await;
-    let AgentMessage::Refuse { reason, .. } = entry.hear().await else {
+    entry.send(EntryMessage::Reserve(reservation(2, 0))).await;
+    let AgentMessage::Refuse { reason, .. } = entry.receive().await else {
         panic!("a leaving agent refuses");
     };
     assert_eq!(reason, RefusalReason::Leaving);
     let through_bytes = reader.through_bytes();
     entry
-        .say(EntryMessage::Acknowledge {
+        .send(EntryMessage::Acknowledge {
             attempt,
             through_bytes,
         })
@@ -518,7 +518,7 @@
     let engine = EngineStandIn::spawn(EngineSettings::default())
         .await
         .unwrap();
-    let agent = Agent::beside_engine(&engine).await;
+    let agent = Agent::for_engine(&engine).await;
     let mut entry = Entry::connect(agent.handle.address()).await;
     engine.refuse_with(Some(503));
     let (attempt, _) = entry.dispatch(reservation(1, 0), completion(5, true)).await;
