--- a/lib/src/agent/control.rs
+++ b/lib/src/agent/control.rs
@@ -175,12 +175,9 @@
         }
         let is_overdue = Instant::now() >= exit_deadline;
         if is_overdue {
-            Line::new(
-                Level::Warn,
-                "shutdown grace period ended with requests in flight",
-            )
-            .field("running", self.parts.state.running())
-            .send();
+            Line::new(Level::Warn, "shutdown grace ended with requests running")
+                .field("running", self.parts.state.running())
+                .send();
         }
         is_overdue
     }
