--- a/lib/src/entry/run.rs
+++ b/lib/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! One request in an entry: where it is in its life, and what has happened to it.
+//! The state of one request in an entry: its phase and its attempts so far.
 
 use std::sync::Arc;
 
@@ -13,34 +13,35 @@
 use crate::link::wire::AnswerEnd;
 use crate::verdict::Outcome;
 
-/// The one attempt that may be alive.
+/// The attempt of a request that may still be running; there is at most one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its id.
+    /// The attempt's id.
     pub id: AttemptId,
-    /// The agent that granted it.
+    /// The agent that sent the grant.
     pub agent: Arc<str>,
-    /// The grant that was answered with it.
+    /// The grant that this attempt uses.
     pub grant: GrantId,
 }
 
-/// Where a request is in its life.
+/// The phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No attempt is alive; it waits for a grant.
+    /// No attempt is running; the request waits for a grant.
     Waiting,
-    /// An attempt may be alive, and the caller waits for it.
+    /// An attempt may be running, and the caller waits for its answer.
     Running(Attempt),
-    /// Nobody can tell what became of the attempt, and the caller still waits.
+    /// The outcome of the attempt is unknown, and the caller still waits.
     InDoubt(Attempt),
-    /// An attempt may be alive, but nobody waits for it any more.
+    /// An attempt may be running, but the caller no longer waits for its answer.
     Abandoned(Attempt),
-    /// Another request of the same name has this attempt, whose answer is read instead.
+    /// The attempt belongs to another request with the same idempotency key, and this request
+    /// reads its answer.
     Following(Attempt),
 }
 
 impl Phase {
-    /// The attempt that may be alive.
+    /// Returns the attempt that may still be running.
     #[must_use]
     pub fn attempt(&self) -> Option<&Attempt> {
         match self {
@@ -53,43 +54,43 @@
     }
 }
 
-/// A request and what has happened to it.
+/// A request and the state of its execution.
 #[derive(Debug)]
 pub struct Run {
-    /// What the caller asked for.
+    /// The request as the caller submitted it.
     pub submission: Submission,
-    /// When it came.
+    /// When the request arrived.
     pub arrived_ms: u64,
-    /// Where it is in its life.
+    /// The current phase.
     pub phase: Phase,
-    /// Whether an earlier request of the same order key is not done yet.
+    /// Whether an earlier request with the same order key is unfinished.
     pub awaits_turn: bool,
-    /// A grant that waits until the claim on the request's name is decided.
+    /// A grant that is held until the claim on the request's idempotency key is decided.
     pub held_grant: Option<(Arc<str>, GrantId)>,
-    /// The attempt of another request of the same name that is known not to be alive.
+    /// The attempt of another request with the same idempotency key that is known to have ended.
     pub settled: Option<Holder>,
-    /// Agents that hold a reservation.
+    /// Agents that hold a reservation for this request.
     pub reserved: IndexSet<Arc<str>>,
-    /// Agents that refused, and until when they are not asked again.
+    /// Agents that refused, each with the time until which it is not asked again.
     pub refused: IndexMap<Arc<str>, u64>,
-    /// Agents that can't answer before the deadline.
+    /// The number of agents that can't answer before the deadline.
     pub too_late: usize,
     /// Agents where an attempt may have reached the upstream.
     pub tried: IndexSet<Arc<str>>,
-    /// How many attempts were dispatched.
+    /// The number of dispatched attempts.
     pub attempts: u32,
-    /// When candidates are asked again, if that is set.
+    /// When candidates are asked again, if a retry is scheduled.
     pub reserve_at_ms: Option<u64>,
-    /// Whether it counts among the placed or running requests of its profile.
+    /// Whether the request counts among its profile's placed or running requests.
     pub is_active: bool,
-    /// Whether the caller's reader has begun on the answer that is followed.
+    /// Whether the caller's reader has started to read the followed attempt's answer.
     pub reads: bool,
-    /// The end of the attempt, while the caller's reader has not come to it.
+    /// How the attempt ended, until the caller's reader has reached that end.
     pub unread_end: Option<AnswerEnd>,
 }
 
 impl Run {
-    /// A request that has just come.
+    /// Creates the state of a request that has just arrived.
     #[must_use]
     pub fn new(submission: Submission, now_ms: u64, awaits_turn: bool) -> Self {
         Self {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Its place in the queue of requests that wait.
+    /// Returns the request's entry in the queue of waiting requests.
     #[must_use]
     pub fn place(&self) -> QueuedRequest {
         QueuedRequest {
@@ -122,11 +123,11 @@
         }
     }
 
-    /// What is true of it if it ends now without an answer.
+    /// Returns the outcome to report if the request ends now without an answer.
     ///
-    /// No attempt is alive or may have reached an upstream exactly when this is
-    /// [`Outcome::NotRun`]: `tried` keeps each agent that was sent a dispatch until that
-    /// dispatch is settled as never sent, and a followed attempt may have run, too.
+    /// This is [`Outcome::NotRun`] exactly when no attempt is running or may have reached an
+    /// upstream: `tried` keeps each agent that was sent a dispatch until that dispatch is
+    /// settled as never sent, and a followed attempt may also have run.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         let follows = matches!(self.phase, Phase::Following(_));
@@ -137,13 +138,13 @@
         }
     }
 
-    /// Whether a next attempt may be made after one that may have run has ended.
+    /// Returns whether another attempt is allowed after the end of one that may have run.
     #[must_use]
     pub fn may_move(&self, now_ms: u64) -> bool {
         !self.submission.non_idempotent && now_ms < self.submission.deadline_at_ms
     }
 
-    /// Whether `agent` may not be asked for a grant now.
+    /// Returns whether `agent` must not be asked for a grant now.
     #[must_use]
     pub fn excludes(&self, agent: &str, now_ms: u64) -> bool {
         self.reserved.contains(agent)
