--- a/lib/src/entry/settings.rs
+++ b/lib/src/entry/settings.rs
@@ -12,7 +12,7 @@
 use crate::settings::Setting;
 use crate::tls::TlsSettings;
 
-/// Settings of one entry; the defaults suit an entry on loopback with ports taken free.
+/// Settings of one entry; the defaults run it on loopback with ports chosen by the system.
 ///
 /// ```
 /// use sardinewood::entry::settings::EntrySettings;
@@ -24,47 +24,47 @@
 pub struct EntrySettings {
     /// The name of this host.
     pub host: Arc<str>,
-    /// The data centre in which this host stands.
+    /// The data centre of this host.
     pub data_centre: Arc<str>,
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// The address on which operators connect.
     pub operator_listen: SocketAddr,
-    /// A token of an operator who may change everything, to create the first operators.
+    /// The token of an operator with full write access, used to create the first operators.
     pub operator_token: Secret,
-    /// The platform's store.
+    /// The URL of the platform's store.
     pub store_url: Arc<str>,
-    /// How it finds the other processes.
+    /// How the entry finds the other processes.
     pub peers: PeerSettings,
-    /// Certificate and key of the ports for callers and operators.
+    /// TLS certificate and key of the ports for callers and operators.
     pub tls: TlsSettings,
-    /// Where metrics go, if anywhere.
+    /// The address to which metrics are sent by UDP; none are sent if it is absent.
     pub metrics: Option<SocketAddr>,
-    /// The pause between two heartbeats on a link.
+    /// The interval between heartbeats on a link.
     pub heartbeat_ms: u64,
     /// How long a link may be silent before it is replaced.
     pub silent_ms: u64,
     /// How many agents are asked for a grant of one request.
     pub candidates: usize,
-    /// How many requests may wait.
+    /// The maximum number of waiting requests.
     pub queue_limit: usize,
-    /// Longest body of a request.
+    /// The maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Longest headers of a request, together.
+    /// The maximum total size of a request's headers.
     pub max_header_bytes: usize,
     /// How long a caller's connection may be idle.
     pub idle_timeout_ms: u64,
-    /// How long a shutdown waits for what is in flight.
+    /// How long a shutdown waits for requests in flight.
     pub shutdown_grace_ms: u64,
-    /// How long the answer of a named request is kept.
+    /// How long the answer of a request with an idempotency key is kept.
     pub retain_ms: u64,
-    /// How much of one answer is held for a slow caller.
+    /// How much of one answer is buffered for a slow caller.
     pub window_bytes: usize,
-    /// Threads that carry traffic.
+    /// The number of threads that handle traffic.
     pub traffic_threads: usize,
-    /// The longest deadline; a longer one of a header or profile is cut to it.
+    /// The maximum deadline; a longer one from a header or profile is reduced to it.
     pub max_deadline_ms: u64,
-    /// The least important level that is logged.
+    /// The least severe level that is logged.
     pub log_level: Arc<str>,
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// The table of an entry's settings.
+/// Returns the definitions of an entry's settings.
 ///
 /// ```
 /// assert_eq!(sardinewood::entry::settings::program().name, "sardinewood-entry");
@@ -108,7 +108,7 @@
     settings.extend(peers());
     settings.extend(tls());
     settings.extend(links_and_queue());
-    settings.extend(limits_of_callers());
+    settings.extend(caller_limits());
     Program {
         name: "sardinewood-entry",
         about: "takes callers' requests and brings them to upstreams",
@@ -255,7 +255,7 @@
     ]
 }
 
-fn limits_of_callers() -> Vec<Setting<EntrySettings>> {
+fn caller_limits() -> Vec<Setting<EntrySettings>> {
     vec![
         Setting::number(
             "max-body-bytes",
