--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -1,7 +1,7 @@
-//! One entry: callers' waiting requests, and which agent gets which of them.
+//! The entry role: queues callers' requests and assigns them to agents.
 //!
-//! [`state`] decides and knows no socket; [`control`] carries out what it decides on a thread
-//! of its own. Programs start it by [`server`].
+//! [`state`] makes the decisions and does no I/O; [`control`] executes them on a dedicated
+//! thread. Programs start an entry with [`server::spawn`].
 
 pub mod admission;
 pub mod appointments;
--- a/lib/src/entry/control.rs
+++ b/lib/src/entry/control.rs
@@ -1,4 +1,5 @@
-//! The thread of control of an entry: takes events, decides, and carries the decisions out.
+//! The control loop of an entry: receives events, passes them to [`EntryState`] and executes
+//! the resulting steps.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -40,15 +41,15 @@
 use crate::operator::messages::Decision;
 use crate::verdict::Failure;
 
-/// Events taken together before timers are looked at.
+/// The maximum number of events handled in one batch before timers are checked.
 const BATCH_EVENTS: usize = 256;
-/// The longest sleep, when no timer is set.
-const IDLE: Duration = Duration::from_secs(3_600);
+/// How long the control loop sleeps when no timer is set.
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// The pace of each open link.
+/// The heartbeat state of each open link, by agent.
 type LinkPaces = IndexMap<Arc<str>, LinkPace>;
 
-/// What an entry knows of one agent.
+/// The status of one agent as an entry knows it.
 ///
 /// ```
 /// use sardinewood::entry::control::AgentStatus;
@@ -57,19 +58,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AgentStatus {
-    /// Whether there is a link to it.
+    /// Whether a link to the agent is open.
     pub is_linked: bool,
-    /// Whether it gets new work from here.
+    /// Whether this entry sends new work to the agent.
     pub takes_work: bool,
-    /// The newest configuration revision that it said it has.
+    /// The newest configuration revision that the agent reported.
     pub revision: u64,
-    /// How long ago it was last heard; absent if it never was.
+    /// How long ago the last message from the agent arrived; absent if none has.
     pub heard_ms_ago: Option<u64>,
-    /// The load that it reported last.
+    /// The load that the agent last reported.
     pub load: Load,
 }
 
-/// What others may know of the entry's state.
+/// The entry's state as it is published to its other parts.
 ///
 /// ```
 /// use sardinewood::entry::control::EntryStatus;
@@ -78,70 +79,71 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryStatus {
-    /// Whether new requests are taken.
+    /// Whether the entry accepts new requests.
     pub is_ready: bool,
-    /// Whether no caller waits any more.
+    /// Whether no caller is waiting.
     pub is_drained: bool,
-    /// How many requests are where.
+    /// Counts of requests, reservations and links.
     pub counts: EntryCounts,
-    /// How many answers have a reader.
+    /// The number of answers that have a reader.
     pub readers: usize,
-    /// What is known of each agent.
+    /// The status of each agent.
     pub agents: IndexMap<Arc<str>, AgentStatus>,
 }
 
-/// A question to the control thread.
+/// A query to the control thread.
 #[derive(Debug)]
 pub enum EntryQuery {
-    /// The status after all events that came before.
+    /// Asks for the status after all events handled so far.
     Status(oneshot::Sender<EntryStatus>),
-    /// What was decided about a request; nothing if it is not remembered.
+    /// Asks for the decisions about a request; the reply is empty if none are recorded.
     Explain {
         /// The request.
         request: RequestId,
-        /// Where the answer goes.
+        /// The channel for the reply.
         answer: oneshot::Sender<Vec<Decision>>,
     },
 }
 
-/// Everything that the control thread works with.
+/// The control loop's state and channels.
 pub struct EntryControl {
-    /// The decisions.
+    /// The state machine that makes the decisions.
     pub state: EntryState,
-    /// Events from links, bounded: a link that brings too many waits.
+    /// Events from links. The channel is bounded, so that a link that sends too many waits.
     pub link_events: mpsc::Receiver<EntryEvent>,
-    /// Events from callers, a few for each of a bounded number of connections.
+    /// Events from callers. The channel needs no bound: each connection sends only a few, and
+    /// the number of connections is bounded.
     pub caller_events: mpsc::UnboundedReceiver<EntryEvent>,
     /// The configuration.
     pub catalog: watch::Receiver<Arc<Catalog>>,
-    /// What links are made of.
+    /// What link tasks need, shared by all links.
     pub link: LinkContext,
-    /// Where link tasks run.
+    /// The runtime on which link tasks run.
     pub traffic: Handle,
-    /// Claims and orders.
+    /// Claims and order queues in the store.
     pub records: StoreRecords,
-    /// What came of calls to the store.
+    /// Results of calls to the store.
     pub record_answers: mpsc::UnboundedReceiver<RecordAnswer>,
-    /// Questions that want an answer from the state as it is now.
+    /// Queries that are answered from the current state.
     pub queries: mpsc::Receiver<EntryQuery>,
-    /// Where the status is published.
+    /// The channel on which the status is published.
     pub status: watch::Sender<EntryStatus>,
-    /// Where figures go.
+    /// The metrics client.
     pub metrics: Metrics,
-    /// Rounds of heartbeats so far.
+    /// The number of heartbeat rounds so far.
     pub beats: u64,
-    /// The start of the entry's time.
+    /// When the entry started; its times in milliseconds count from here.
     pub started: Instant,
-    /// The same by the clock, in milliseconds since 1970, for operators to read.
+    /// The same as wall-clock time in milliseconds since 1970, shown to operators.
     pub started_unix_ms: u64,
     /// How often the status is published.
     pub status_every: Duration,
-    /// Ends the thread.
+    /// Stops the control loop.
     pub stop: CancellationToken,
 }
 
 impl EntryControl {
-    /// Runs until it is stopped.
+    /// Runs the control loop until `stop` is cancelled.
     pub async fn run(mut self) {
         let mut links = IndexMap::new();
         let mut batch = Vec::with_capacity(BATCH_EVENTS);
@@ -150,20 +152,20 @@
         let mut next_status = Instant::now();
         let mut paces = LinkPaces::default();
         let heartbeat = Duration::from_millis(self.link.pace.heartbeat_ms);
-        let mut beat_at = Instant::now();
+        let mut heartbeat_at = Instant::now();
         loop {
             for event in batch.drain(..) {
-                self.take(event, &mut links);
+                self.handle_event(event, &mut links);
             }
             if Instant::now() >= next_status {
                 self.publish();
                 next_status = Instant::now() + self.status_every;
             }
-            if Instant::now() >= beat_at {
-                self.keep_pace(&mut paces);
-                beat_at = Instant::now() + heartbeat;
+            if Instant::now() >= heartbeat_at {
+                self.maintain_links(&mut paces);
+                heartbeat_at = Instant::now() + heartbeat;
             }
-            if !self.wait(&mut batch, next_status.min(beat_at)).await {
+            if !self.wait(&mut batch, next_status.min(heartbeat_at)).await {
                 break;
             }
         }
@@ -172,11 +174,11 @@
         }
     }
 
-    /// Waits for events; false when the thread is to end.
+    /// Waits for events; returns false when the control loop must stop.
     async fn wait(&mut self, batch: &mut Vec<EntryEvent>, wake_at: Instant) -> bool {
         let ticks = [self.state.next_tick_ms(), self.records.next_tick_ms()];
         let tick_at = ticks.into_iter().flatten().min().map_or_else(
-            || Instant::now() + IDLE,
+            || Instant::now() + MAX_SLEEP,
             |at_ms| self.started + Duration::from_millis(at_ms),
         );
         tokio::select! {
@@ -197,7 +199,7 @@
                 true
             }
             Some(query) = self.queries.recv() => {
-                self.answer(query);
+                self.answer_query(query);
                 true
             }
             Ok(()) = self.catalog.changed() => {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Takes what is ready of both channels, in turn.
+    /// Adds the events that are ready to the batch, alternating between callers and links.
     fn take_ready(&mut self, batch: &mut Vec<EntryEvent>) {
         while batch.len() < BATCH_EVENTS {
             let from_caller = self.caller_events.try_recv().ok();
@@ -227,14 +229,14 @@
         }
     }
 
-    fn take(&mut self, event: EntryEvent, links: &mut IndexMap<Arc<str>, JoinHandle<()>>) {
+    fn handle_event(&mut self, event: EntryEvent, links: &mut IndexMap<Arc<str>, JoinHandle<()>>) {
         let now_ms = elapsed_ms(self.started);
         let publishes = matches!(event, EntryEvent::ShutDown | EntryEvent::CatalogChanged(_));
-        let mut events = VecDeque::from(self.hear_settled(now_ms, &event));
+        let mut events = VecDeque::from(self.apply_settlement(now_ms, &event));
         events.push_front(event);
         while let Some(event) = events.pop_front() {
             for step in self.state.handle(now_ms, event) {
-                events.extend(self.carry_out(now_ms, step, links));
+                events.extend(self.execute(now_ms, step, links));
             }
         }
         if publishes {
@@ -242,8 +244,9 @@
         }
     }
 
-    /// Orders may wait for an agent's word about an attempt of another entry.
-    fn hear_settled(&mut self, now_ms: u64, event: &EntryEvent) -> Vec<EntryEvent> {
+    /// Passes a settlement on to the store records: an order queue may wait for an agent to
+    /// settle another entry's attempt.
+    fn apply_settlement(&mut self, now_ms: u64, event: &EntryEvent) -> Vec<EntryEvent> {
         match event {
             EntryEvent::Agent {
                 message:
@@ -257,8 +260,8 @@
         }
     }
 
-    /// Carries a step out; what is decided at once comes back as events.
-    fn carry_out(
+    /// Executes a step; returns results that are available at once as events.
+    fn execute(
         &mut self,
         now_ms: u64,
         step: EntryStep,
@@ -285,7 +288,7 @@
                     link.abort();
                 }
             }
-            other => self.pass_on(other),
+            other => self.forward(other),
         }
         Vec::new()
     }
@@ -297,14 +300,14 @@
         links: &mut IndexMap<Arc<str>, JoinHandle<()>>,
     ) {
         let task = keep_link(agent.clone(), address, self.link.clone());
-        let earlier = links.insert(agent, self.traffic.spawn(task));
-        if let Some(earlier) = earlier {
-            earlier.abort();
+        let previous = links.insert(agent, self.traffic.spawn(task));
+        if let Some(previous) = previous {
+            previous.abort();
         }
     }
 
-    /// Passes a step on to links and callers.
-    fn pass_on(&self, step: EntryStep) {
+    /// Forwards a step to links and callers.
+    fn forward(&self, step: EntryStep) {
         let routes = &self.link.routes;
         match step {
             EntryStep::Send { agent, message } => self.link.links.send(&agent, message),
@@ -335,8 +338,8 @@
         }
     }
 
-    /// Sends the heartbeats that are due, and gives up links that are silent.
-    fn keep_pace(&mut self, paces: &mut LinkPaces) {
+    /// Sends due heartbeats and closes links that have been silent for too long.
+    fn maintain_links(&mut self, paces: &mut LinkPaces) {
         let now_ms = elapsed_ms(self.started);
         let links = self.state.counts().links;
         let revision = self.catalog.borrow().revision;
@@ -347,7 +350,7 @@
                 paces.swap_remove(agent);
                 continue;
             };
-            let (tell, hear) = watched(known);
+            let (tell, hear) = watch_levels(known);
             let view = LinkView {
                 tell,
                 hear,
@@ -360,18 +363,18 @@
                 PaceStep::Rest => {}
                 PaceStep::Beat => {
                     let sequence = self.beats;
-                    let beat = EntryMessage::Heartbeat { sequence, revision };
-                    self.link.links.send(agent, beat);
+                    let message = EntryMessage::Heartbeat { sequence, revision };
+                    self.link.links.send(agent, message);
                 }
                 PaceStep::GiveUp => self.link.links.close(agent),
             }
         }
     }
 
-    fn answer(&self, query: EntryQuery) {
+    fn answer_query(&self, query: EntryQuery) {
         match query {
             EntryQuery::Status(answer) => {
-                // Who has gone away does not want the answer.
+                // Fails if the receiver was dropped, which needs no handling.
                 let _gone = answer.send(self.current_status());
             }
             EntryQuery::Explain { request, answer } => {
@@ -441,10 +444,12 @@
     }
 }
 
-/// How a link is watched: what an agent says, by its heartbeats or by the answer itself, is
-/// missed by a caller at once. What this entry says of a running attempt is only missed when
-/// it has died, and then costs the upstream some work that nobody waits for.
-fn watched(agent: &Agent) -> (Watch, Watch) {
+/// Returns how closely each side of a link watches the other: first the agent watching this
+/// entry, then this entry watching the agent.
+///
+/// A caller notices at once when an agent's heartbeats or answers stop. If this entry dies
+/// while an attempt runs, the only cost is upstream work whose answer no caller waits for.
+fn watch_levels(agent: &Agent) -> (Watch, Watch) {
     if !agent.reserved.is_empty() {
         (Watch::Closely, Watch::Closely)
     } else if !agent.running.is_empty() {
@@ -464,7 +469,7 @@
     }
 }
 
-/// Milliseconds since the entry's start.
+/// Returns the milliseconds since the entry's start.
 #[must_use]
 pub fn elapsed_ms(started: Instant) -> u64 {
     u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX)
