--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -1,5 +1,5 @@
-//! An entry as a whole: callers' listener, links and thread of control, in one process or
-//! beside other roles.
+//! Starts and stops a complete entry: the callers' listener, the links to agents and the
+//! control thread. It may share its process with other roles.
 
 use std::io;
 use std::net::SocketAddr;
@@ -52,18 +52,20 @@
 use crate::tls::TlsFeed;
 use crate::tls::secured;
 
-/// Events of links that may wait for the control thread.
+/// The capacity of the channel for link events to the control thread.
 const LINK_EVENTS: usize = 8_192;
-/// Questions that may wait for the control thread.
+/// The capacity of the channel for queries to the control thread.
 const QUERIES: usize = 64;
-/// How often the status is published when nothing changes its meaning.
+/// The interval at which the status is published; a shutdown or a new catalog publishes it at
+/// once.
 const STATUS_EVERY: Duration = Duration::from_millis(200);
-/// Callers' connections at one time.
+/// The maximum number of simultaneous caller connections.
 const MAX_CONNECTIONS: usize = 20_000;
-/// Added to the longest deadline before a connection counts as idle.
+/// Added to the longer of the idle timeout and the maximum deadline before a connection is
+/// closed as idle.
 const IDLE_MARGIN_MS: u64 = 5_000;
 
-/// An entry that runs.
+/// A handle to a running entry.
 #[derive(Debug)]
 pub struct EntryHandle {
     address: SocketAddr,
@@ -83,7 +85,8 @@
 ///
 /// # Errors
 ///
-/// The listener can't be opened, or a thread can't be started.
+/// Returns an error if the listener, the TLS files or the store client can't be opened, or if a
+/// thread can't be started.
 ///
 /// ```
 /// use sardinewood::config::Config;
@@ -137,7 +140,7 @@
     let (record_sender, record_answers) = mpsc::unbounded_channel();
     let records = StoreRecords::new(store, traffic.handle().clone(), record_sender);
     let control = EntryControl {
-        state: EntryState::new(rules(settings), rand::random()),
+        state: EntryState::new(entry_rules(settings), rand::random()),
         link_events,
         caller_events,
         queries,
@@ -163,7 +166,7 @@
         connections,
         directory,
         status: status.clone(),
-        limits: limits(settings),
+        limits: caller_limits(settings),
         started,
     };
     let server = spawn_server(&traffic, settings, listener, api, stop_listening.clone())?;
@@ -183,26 +186,26 @@
 }
 
 impl EntryHandle {
-    /// Where callers reach it.
+    /// Returns the address on which callers connect.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The process that it says it is.
+    /// Returns the incarnation under which this process identifies itself to agents.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Asks it about itself as it is now; `None` once it has stopped.
+    /// Queries the current status; returns `None` once the entry has stopped.
     pub async fn ask_status(&self) -> Option<EntryStatus> {
         let (sender, answer) = oneshot::channel();
         self.queries.send(EntryQuery::Status(sender)).await.ok()?;
         answer.await.ok()
     }
 
-    /// Asks what was decided about a request; empty if it is not remembered here.
+    /// Returns the decisions about a request; empty if none are recorded here.
     pub async fn explain(&self, request: RequestId) -> Vec<Decision> {
         let (answer, decisions) = oneshot::channel();
         let query = EntryQuery::Explain { request, answer };
@@ -212,35 +215,36 @@
         decisions.await.unwrap_or_default()
     }
 
-    /// A way to ask it without holding it.
+    /// Returns a sender for queries that can be used without the handle.
     #[must_use]
     pub fn queries(&self) -> mpsc::Sender<EntryQuery> {
         self.queries.clone()
     }
 
-    /// What it says about itself, a short while ago.
+    /// Returns a receiver of the periodically published status.
     #[must_use]
     pub fn status(&self) -> watch::Receiver<EntryStatus> {
         self.status.clone()
     }
 
-    /// Shuts down without cutting off what is in flight.
+    /// Shuts down gracefully.
     ///
-    /// Readiness goes first, so that the balancer sends nothing more. What runs finishes.
-    /// What waits may finish in the first half of the grace; in the second half it is
-    /// handed back as "not run". After the grace the rest is cut.
+    /// The entry first reports that it is not ready, so that the load balancer sends no more
+    /// requests. Running requests may finish. Waiting requests may finish in the first half of
+    /// the grace period; in the second half they are returned to their callers as "not run".
+    /// After the grace period, remaining requests are cut off.
     pub async fn shut_down(mut self) {
-        // Without a control thread there is nothing to shut down.
+        // Fails only if the control thread has ended; then nothing is left to shut down.
         let _stopped = self.events.send(EntryEvent::ShutDown);
-        let half = self.grace / 2;
-        if timeout(half, self.drained()).await.is_err() {
+        let half_grace = self.grace / 2;
+        if timeout(half_grace, self.drained()).await.is_err() {
             let _stopped = self.events.send(EntryEvent::GracePeriodEnded);
-            let _late = timeout(half, self.drained()).await;
+            let _late = timeout(half_grace, self.drained()).await;
         }
         self.stop_listening.cancel();
         if let Some(server) = self.server.take() {
-            // Answers that callers have not read to their end.
-            let _late = timeout(half, server).await;
+            // Lets callers read the rest of their answers.
+            let _late = timeout(half_grace, server).await;
         }
         self.stop_control.cancel();
         if let Some(control) = self.control.take() {
@@ -249,7 +253,7 @@
     }
 
     async fn drained(&mut self) {
-        // A closed channel means that nothing is left to wait for.
+        // A closed channel means that the control thread has ended.
         let _closed = self
             .status
             .wait_for(|status| !status.is_ready && status.is_drained)
@@ -286,7 +290,7 @@
     Ok(listener)
 }
 
-fn rules(settings: &EntrySettings) -> EntryRules {
+fn entry_rules(settings: &EntrySettings) -> EntryRules {
     let defaults = EntryRules::new(settings.host.clone(), settings.data_centre.clone());
     EntryRules {
         queue: QueueLimits {
@@ -301,7 +305,7 @@
     }
 }
 
-fn limits(settings: &EntrySettings) -> CallerLimits {
+fn caller_limits(settings: &EntrySettings) -> CallerLimits {
     CallerLimits {
         max_body_bytes: settings.max_body_bytes,
         max_header_bytes: settings.max_header_bytes,
@@ -310,8 +314,8 @@
     }
 }
 
-/// Control state lives on a thread of its own, so that a burst of traffic does not hold a
-/// decision back and no lock is needed around the state.
+/// Starts the control loop on a dedicated thread, so that a burst of traffic doesn't delay
+/// decisions and the state needs no lock.
 fn spawn_control(control: EntryControl) -> io::Result<oneshot::Receiver<()>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -321,13 +325,13 @@
         .name("entry-control".into())
         .spawn(move || {
             runtime.block_on(control.run());
-            // Nobody waits for the end unless the entry is being shut down.
-            let _unwatched = ended_sender.send(());
+            // Fails if the handle was dropped; the receiver is only awaited during a shutdown.
+            let _receiver_gone = ended_sender.send(());
         })?;
     Ok(ended)
 }
 
-/// Keeps the index of customers up to date with the configuration.
+/// Starts a task that rebuilds the index of customers when the configuration changes.
 fn spawn_directory(
     traffic: &Runtime,
     mut catalog: watch::Receiver<Arc<Catalog>>,
@@ -339,7 +343,7 @@
             let newest = catalog.borrow_and_update().clone();
             sender.send_replace(Arc::new(CallerDirectory::new(newest)));
         }
-        // The last configuration stays in force when nothing feeds it any more.
+        // Keeps the last configuration in force after the catalog's sender is dropped.
         sender.closed().await;
     });
     directory
@@ -356,7 +360,7 @@
     let listener = TcpListener::from_std(listener)?;
     let tls = TlsFeed::open(&settings.tls).map_err(io::Error::other)?;
     drop(guard);
-    // A connection whose caller waits for a late answer is silent, too, and must live.
+    // A connection is also silent while its caller waits for a slow answer; it must stay open.
     let longest_ms = settings.idle_timeout_ms.max(settings.max_deadline_ms);
     let idle = Duration::from_millis(longest_ms + IDLE_MARGIN_MS);
     let acceptor = CallerListener::new(listener, MAX_CONNECTIONS, api.connections.clone());
