--- a/lib/src/entry/link.rs
+++ b/lib/src/entry/link.rs
@@ -1,4 +1,4 @@
-//! The entry's end of a link to an agent: dialled, kept alive, and dialled again.
+//! The entry's side of a link to an agent. A link that ends is dialled again after a backoff.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,12 +36,13 @@
 use crate::logging::Level;
 use crate::logging::Line;
 
-/// Messages that wait for the socket. A link that can't take more is replaced.
-const SEND_QUEUE: usize = 4_096;
-const FIRST_PAUSE_MS: u64 = 50;
-const LONGEST_PAUSE_MS: u64 = 2_000;
+/// Capacity of a link's send queue, in messages. A link whose queue is full is closed and
+/// dialled again.
+const SEND_QUEUE_MESSAGES: usize = 4_096;
+const MIN_REDIAL_BACKOFF_MS: u64 = 50;
+const MAX_REDIAL_BACKOFF_MS: u64 = 2_000;
 
-/// The sending sides of the open links, by agent.
+/// Send handles of the open links, by agent.
 ///
 /// ```
 /// use sardinewood::entry::link::OpenLinks;
@@ -53,47 +54,47 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OpenLinks {
-    by_agent: Arc<RwLock<IndexMap<Arc<str>, LinkEnd>>>,
+    by_agent: Arc<RwLock<IndexMap<Arc<str>, LinkHandle>>>,
 }
 
-/// What others hold of an open link.
+/// Send queue of an open link and the time of its last received message.
 #[derive(Clone, Debug)]
-struct LinkEnd {
+struct LinkHandle {
     sender: mpsc::Sender<EntryMessage>,
     heard: Heard,
 }
 
 impl OpenLinks {
-    /// Sends a message, which is lost if there is no link.
+    /// Queues a message for an agent. The message is dropped if no link to it is open.
     ///
-    /// A link whose queue is full is closed: its peer has not read for long, and a
-    /// message that is silently dropped from the middle of a link that lives on could be
-    /// the one that an attempt waits for. A closed link is settled when it is back.
+    /// A link whose send queue is full is closed, because the agent has stopped reading.
+    /// Dropping the message and keeping the link could lose the one message that an attempt
+    /// waits for. After a reconnect, the attempts of the closed link are settled.
     pub fn send(&self, agent: &str, message: EntryMessage) {
-        let link = self.read(agent);
-        let is_stuck = link.is_some_and(|link| {
+        let link = self.handle(agent);
+        let is_full = link.is_some_and(|link| {
             matches!(
                 link.sender.try_send(message),
                 Err(mpsc::error::TrySendError::Full(_))
             )
         });
-        if is_stuck {
+        if is_full {
             self.close(agent);
         }
     }
 
-    /// When anything was last heard on the link to an agent.
+    /// Returns the time of the last message from an agent, if a link to it is open.
     #[must_use]
     pub fn heard_at_ms(&self, agent: &str) -> Option<u64> {
-        self.read(agent).map(|link| link.heard.at_ms())
+        self.handle(agent).map(|link| link.heard.at_ms())
     }
 
-    fn read(&self, agent: &str) -> Option<LinkEnd> {
+    fn handle(&self, agent: &str) -> Option<LinkHandle> {
         let links = self.by_agent.read().unwrap_or_else(PoisonError::into_inner);
         links.get(agent).cloned()
     }
 
-    fn insert(&self, agent: Arc<str>, link: LinkEnd) {
+    fn insert(&self, agent: Arc<str>, link: LinkHandle) {
         let mut links = self
             .by_agent
             .write()
@@ -101,7 +102,7 @@
         links.insert(agent, link);
     }
 
-    /// Closes a link; it is dialled again.
+    /// Closes the link to an agent, which is then dialled again.
     pub fn close(&self, agent: &str) {
         let mut links = self
             .by_agent
@@ -111,22 +112,22 @@
     }
 }
 
-/// What all links of an entry share.
+/// State that all links of an entry share.
 #[derive(Clone, Debug)]
 pub struct LinkContext {
-    /// What this entry says first.
+    /// First message that this entry sends on each link.
     pub hello: Hello,
-    /// What proves entries and agents to each other.
+    /// Keys with which entries and agents authenticate each other.
     pub keys: PeerKeys,
-    /// Timings.
+    /// Heartbeat and silence intervals of a link.
     pub pace: PaceRules,
-    /// The start of the entry's time.
+    /// Origin of the entry's millisecond timestamps.
     pub started: Instant,
     /// The open links.
     pub links: OpenLinks,
-    /// Where the answers go.
+    /// Routes of response frames to the callers' tasks.
     pub routes: Arc<AnswerRoutes>,
-    /// Where everything else goes.
+    /// Channel to the control thread, for events and all other messages.
     pub events: mpsc::Sender<EntryEvent>,
 }
 
@@ -141,24 +142,25 @@
     Proof(#[from] ProofError),
     #[error("the agent closed the link")]
     Closed,
-    #[error("the link was given up: silent, or not read")]
-    GivenUp,
-    #[error("no hello came within {silent_ms} ms")]
+    #[error("the link was closed: the agent was silent or did not read its messages")]
+    ClosedLocally,
+    #[error("the agent sent no hello within {silent_ms} ms")]
     Silent { silent_ms: u64 },
-    #[error("the first message is not a hello")]
+    #[error("the agent's first message is not a hello")]
     NoHello,
-    #[error("the agent speaks protocol {0}, this entry {PROTOCOL_VERSION}")]
-    OtherProtocol(u32),
+    #[error("the agent uses protocol version {0}, this entry uses {PROTOCOL_VERSION}")]
+    ProtocolMismatch(u32),
     #[error("the agent at this address is {0}")]
-    OtherAgent(Arc<str>),
+    AgentMismatch(Arc<str>),
 }
 
-/// Keeps a link to an agent until the future is dropped.
+/// Keeps a link to an agent open, and dials it again when it ends, until the future is
+/// dropped.
 pub async fn keep_link(agent: Arc<str>, address: SocketAddr, context: LinkContext) {
-    let mut backoff = Backoff::new(FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
+    let mut backoff = Backoff::new(MIN_REDIAL_BACKOFF_MS, MAX_REDIAL_BACKOFF_MS);
     loop {
-        let opened = open(&agent, address, &context).await;
-        let error = match opened {
+        let result = open(&agent, address, &context).await;
+        let error = match result {
             Ok(link) => {
                 backoff.reset();
                 run(&agent, link, &context).await
@@ -170,25 +172,27 @@
             .field("address", address)
             .field("error", error.to_string())
             .send();
-        let pause_ms = backoff.next_ms(rand::random());
-        sleep(Duration::from_millis(pause_ms)).await;
+        let backoff_ms = backoff.next_ms(rand::random());
+        sleep(Duration::from_millis(backoff_ms)).await;
     }
 }
 
+/// A link after the handshake.
 struct OpenLink {
     reader: FrameReader<EntryEnd, OwnedReadHalf>,
     writer: OwnedWriteHalf,
     incarnation: Incarnation,
 }
 
+/// Dials an agent, authenticates both sides and exchanges hellos, all within `silent_ms`.
 async fn open(
     agent: &Arc<str>,
     address: SocketAddr,
     context: &LinkContext,
 ) -> Result<OpenLink, LinkError> {
     let silent_ms = context.pace.silent_ms;
-    let patience = Duration::from_millis(silent_ms);
-    let opening = async {
+    let open_timeout = Duration::from_millis(silent_ms);
+    let handshake = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         prove_as_entry(&mut stream, &context.keys, &rand::random()).await?;
@@ -202,7 +206,7 @@
             incarnation,
         })
     };
-    timeout(patience, opening)
+    timeout(open_timeout, handshake)
         .await
         .unwrap_or(Err(LinkError::Silent { silent_ms }))
 }
@@ -210,15 +214,17 @@
 async fn send_hello(writer: &mut OwnedWriteHalf, context: &LinkContext) -> Result<(), LinkError> {
     let (control, control_queue) = mpsc::channel(1);
     let (_, bulk_queue) = mpsc::channel(1);
-    // The channel is new and has room for one message.
+    // The channel is new and has capacity for one message.
     let _sent = control.try_send(EntryMessage::Hello(context.hello.clone()));
     drop(control);
     write_frames::<EntryEnd, _>(writer, control_queue, bulk_queue).await?;
     Ok(())
 }
 
-/// Takes the agent's hello. An address may have passed to another agent since it was
-/// configured; work that went there would reach an upstream that was not asked.
+/// Reads the agent's hello, checks protocol version and name, and returns the incarnation.
+///
+/// The address may belong to another agent since it was configured. Without the check of the
+/// name, requests would be dispatched to an upstream that was not selected.
 async fn expect_hello(
     agent: &Arc<str>,
     reader: &mut FrameReader<EntryEnd, OwnedReadHalf>,
@@ -230,36 +236,38 @@
         return Err(LinkError::NoHello);
     };
     if hello.protocol != PROTOCOL_VERSION {
-        return Err(LinkError::OtherProtocol(hello.protocol));
+        return Err(LinkError::ProtocolMismatch(hello.protocol));
     }
     if hello.name != *agent {
-        return Err(LinkError::OtherAgent(hello.name));
+        return Err(LinkError::AgentMismatch(hello.name));
     }
     Ok(hello.incarnation)
 }
 
-/// Takes the link out of the table when it ends in any way, so that nothing is sent
-/// into it any more.
-struct Registered<'a> {
+/// Removes the link from the open links on drop, however it ends, so that no more messages
+/// are queued for it.
+struct LinkRegistration<'a> {
     agent: &'a Arc<str>,
     links: &'a OpenLinks,
 }
 
-impl Drop for Registered<'_> {
+impl Drop for LinkRegistration<'_> {
     fn drop(&mut self) {
         self.links.close(self.agent);
     }
 }
 
+/// Registers an open link and passes messages in both directions until it ends. Returns why
+/// it ended.
 async fn run(agent: &Arc<str>, link: OpenLink, context: &LinkContext) -> LinkError {
-    let (sender, queue) = mpsc::channel(SEND_QUEUE);
+    let (sender, queue) = mpsc::channel(SEND_QUEUE_MESSAGES);
     let heard = Heard::new(context.started);
-    let end = LinkEnd {
+    let handle = LinkHandle {
         sender,
         heard: heard.clone(),
     };
-    context.links.insert(agent.clone(), end);
-    let registered = Registered {
+    context.links.insert(agent.clone(), handle);
+    let registration = LinkRegistration {
         agent,
         links: &context.links,
     };
@@ -274,24 +282,26 @@
         error = read_all(agent, link.reader, &heard, context) => error,
         error = write_all(link.writer, queue) => error,
     };
-    drop(registered);
+    drop(registration);
     let lost = EntryEvent::LinkLost {
         agent: agent.clone(),
     };
-    // Without a control thread nobody wants to know.
+    // The send fails only after the control thread has stopped, when no event is needed.
     let _stopped = context.events.send(lost).await;
     error
 }
 
+/// Writes queued messages until the queue is closed or the socket fails.
 async fn write_all(writer: OwnedWriteHalf, queue: mpsc::Receiver<EntryMessage>) -> LinkError {
-    // Everything goes through one queue: a cancel must not overtake its dispatch.
+    // All messages use one queue, so that a cancel can't overtake its dispatch.
     let (_, bulk) = mpsc::channel(1);
     match write_frames::<EntryEnd, _>(writer, queue, bulk).await {
-        Ok(()) => LinkError::GivenUp,
+        Ok(()) => LinkError::ClosedLocally,
         Err(error) => error.into(),
     }
 }
 
+/// Reads messages until the agent closes the link or the socket fails.
 async fn read_all(
     agent: &Arc<str>,
     mut reader: FrameReader<EntryEnd, OwnedReadHalf>,
@@ -302,7 +312,7 @@
         match reader.next().await {
             Ok(Some(message)) => {
                 heard.now();
-                take(agent, message, context).await;
+                handle_message(agent, message, context).await;
             }
             Ok(None) => return LinkError::Closed,
             Err(error) => return error.into(),
@@ -310,7 +320,9 @@
     }
 }
 
-async fn take(agent: &Arc<str>, message: AgentMessage, context: &LinkContext) {
+/// Routes response frames to their caller's task and all other messages to the control
+/// thread. The end of a response goes to both.
+async fn handle_message(agent: &Arc<str>, message: AgentMessage, context: &LinkContext) {
     match AnswerFrame::try_from(message) {
         Ok(AnswerFrame::End { attempt, end }) => {
             let frame = AnswerFrame::End {
@@ -318,18 +330,18 @@
                 end: end.clone(),
             };
             context.routes.deliver(frame);
-            control(agent, AgentMessage::End { attempt, end }, context).await;
+            send_to_control(agent, AgentMessage::End { attempt, end }, context).await;
         }
         Ok(frame) => context.routes.deliver(frame),
-        Err(other) => control(agent, other, context).await,
+        Err(other) => send_to_control(agent, other, context).await,
     }
 }
 
-async fn control(agent: &Arc<str>, message: AgentMessage, context: &LinkContext) {
+async fn send_to_control(agent: &Arc<str>, message: AgentMessage, context: &LinkContext) {
     let event = EntryEvent::Agent {
         agent: agent.clone(),
         message,
     };
-    // Without a control thread nobody wants to know.
+    // The send fails only after the control thread has stopped, when no event is needed.
     let _stopped = context.events.send(event).await;
 }
