--- a/lib/src/entry/caller_response.rs
+++ b/lib/src/entry/caller_response.rs
@@ -1,4 +1,4 @@
-//! Answers as they are written to callers: whole, or as their parts come.
+//! HTTP responses to callers, sent whole or streamed.
 
 use std::io;
 
@@ -21,36 +21,37 @@
 use crate::entry::caller_answer::Part;
 use crate::verdict::Failure;
 
-/// The response with an answer that is whole.
+/// Builds the HTTP response for a complete answer. `is_head` says that the request was a HEAD
+/// request, whose response keeps the upstream's `Content-Length`.
 #[must_use]
 pub fn whole_response(head: &AnswerHead, body: Bytes, is_head: bool) -> Response {
-    let mut response = response_of(head);
+    let mut response = response_from_head(head);
     if !is_head {
-        // The body itself tells its length.
+        // The HTTP server sets the length from the body.
         response.headers_mut().remove(header::CONTENT_LENGTH);
     }
     response.set_body(Body::from_bytes(body));
     response
 }
 
-/// An answer that is written as it comes.
+/// An answer that is streamed to its caller while it arrives.
 pub struct StreamedAnswer {
-    /// Where its parts come from.
+    /// Source of the body's parts.
     pub answer: CallerAnswer,
-    /// Counts how it ends.
+    /// Counts in the metrics how the answer ends.
     pub meter: AnswerMeter,
-    /// Cancelled when the caller goes away.
+    /// Token that is cancelled when the caller disconnects.
     pub gone: CancellationToken,
     /// Whether the request may run at most once.
     pub non_idempotent: bool,
-    /// Whether it is a stream of events.
+    /// Whether the answer is an event stream.
     pub is_event_stream: bool,
-    /// What the caller has already.
+    /// Drops the events that the caller already has.
     pub skip: EventSkip,
 }
 
 impl StreamedAnswer {
-    /// The next bytes for the caller, and the answer itself if more may follow.
+    /// Returns the next bytes for the caller, and the answer itself if more may follow.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Option<Self>)> {
         loop {
             let next = self.answer.next_bytes();
@@ -60,9 +61,9 @@
             };
             match part {
                 Part::Bytes(bytes) => {
-                    let fresh = self.skip.feed(bytes);
-                    if !fresh.is_empty() {
-                        return Some((Ok(fresh), Some(self)));
+                    let new_bytes = self.skip.feed(bytes);
+                    if !new_bytes.is_empty() {
+                        return Some((Ok(new_bytes), Some(self)));
                     }
                 }
                 Part::Whole => {
@@ -72,15 +73,16 @@
                 }
                 Part::Failed(failure) => {
                     self.meter.failed(failure);
-                    return Some((self.last_word(failure), None));
+                    return Some((self.final_item(failure), None));
                 }
             }
         }
     }
 
-    /// Ends a body that is not whole. An event tells a client library of the failure; in
-    /// any other body the connection breaks, so that a half can't be taken for the whole.
-    fn last_word(&self, failure: Failure) -> io::Result<Bytes> {
+    /// Returns the last item of an incomplete body. An event stream ends with an error event,
+    /// which client libraries report. Any other body ends with an I/O error that breaks the
+    /// connection, so that the caller can't take a partial body for a complete one.
+    fn final_item(&self, failure: Failure) -> io::Result<Bytes> {
         let error = ApiError::from_failure(failure, self.non_idempotent);
         if self.is_event_stream {
             Ok(error.to_event(self.answer.request()))
@@ -90,16 +92,17 @@
     }
 }
 
-/// The response with an answer that is written as it comes.
+/// Builds the HTTP response that streams an answer while it arrives.
 #[must_use]
 pub fn streamed_response(head: &AnswerHead, streamed: StreamedAnswer) -> Response {
-    let mut response = response_of(head);
+    let mut response = response_from_head(head);
     let parts = stream::unfold(Some(streamed), |streamed| async { streamed?.next().await });
     response.set_body(Body::from_bytes_stream(parts));
     response
 }
 
-fn response_of(head: &AnswerHead) -> Response {
+/// Builds a response with the status and headers of an answer, without hop-by-hop headers.
+fn response_from_head(head: &AnswerHead) -> Response {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::builder().status(status).finish();
     for (name, value) in &head.headers {
--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -1,5 +1,5 @@
-//! Carries out what claims and orders want of the platform's store, and brings their
-//! decisions to the entry.
+//! Runs the calls of claims and order queues to the platform's store, and returns their
+//! decisions as events of the entry.
 
 use std::sync::Arc;
 
@@ -44,42 +44,42 @@
 use crate::store::WriteAnswer;
 use crate::verdict::Failure;
 
-/// How long a claim must have been unchanged before it is swept away: the longest deadline
-/// that can be set, a day, and the retention of a name.
+/// Time for which a claim must be unchanged before the sweep removes it: the longest deadline
+/// that can be set, one day, plus the retention of an idempotency key.
 const SWEEP_AFTER_MS: u64 = 86_400_000 + 600_000;
 
-/// What came of a call to the store.
+/// Result of a call to the store.
 #[derive(Debug)]
 pub enum RecordAnswer {
-    /// The claims of one kind: their names and versions.
+    /// Names and versions of all claims of one kind.
     Listed {
-        /// What the store has.
+        /// Name and version of each claim in the store.
         claims: Vec<(Arc<str>, u64)>,
     },
-    /// About a claim.
+    /// Result of a call about a claim.
     Claim {
-        /// The request that claims.
+        /// Request that makes the claim.
         request: RequestId,
-        /// What is known.
+        /// Response of the store.
         answer: StoreResponse,
     },
-    /// About the queue of an order key.
+    /// Result of a call about the queue of an order key.
     Order {
-        /// Which queue.
+        /// Order key of the queue.
         order: OrderKey,
-        /// What is known.
+        /// Response of the store.
         answer: OrderResponse,
     },
-    /// About a bar before a request that is overdue.
+    /// Result of writing a bar against an overdue request.
     Bar {
-        /// In which queue.
+        /// Order key of the queue with the overdue request.
         order: OrderKey,
-        /// What is known.
+        /// Response of the store.
         answer: BarResponse,
     },
 }
 
-/// The claims and orders of one entry, with the store that holds them.
+/// Claims and order queues of one entry, and the client of the store that holds them.
 #[derive(Debug)]
 pub struct StoreRecords {
     claims: Claims,
@@ -91,8 +91,9 @@
 }
 
 impl StoreRecords {
-    /// Claims and orders in `store`. Calls run on `traffic`; what comes of them goes to
-    /// `answers` and from there to [`Self::answered`].
+    /// Creates the claims and order queues of an entry over `store`. Calls to the store run
+    /// on `traffic`. Their results are sent to `answers`, whose receiver passes them to
+    /// [`Self::answered`].
     #[must_use]
     pub fn new(
         store: StoreClient,
@@ -109,13 +110,14 @@
         }
     }
 
-    /// Claims a name for an attempt.
-    pub fn claim(&mut self, now_ms: u64, asked: ClaimRequest) -> Vec<EntryEvent> {
-        let steps = self.claims.claim(now_ms, asked);
-        self.follow_claims(steps)
+    /// Claims an idempotency key for a request.
+    pub fn claim(&mut self, now_ms: u64, claim_request: ClaimRequest) -> Vec<EntryEvent> {
+        let steps = self.claims.claim(now_ms, claim_request);
+        self.run_claim_steps(steps)
     }
 
-    /// Looks whether "not run" is true of a name.
+    /// Checks the claim of an idempotency key before a request is answered with `failure`,
+    /// which says that it has not run.
     pub fn vouch(
         &mut self,
         now_ms: u64,
@@ -124,16 +126,16 @@
         failure: Failure,
     ) -> Vec<EntryEvent> {
         let steps = self.claims.confirm_not_run(now_ms, request, name, failure);
-        self.follow_claims(steps)
+        self.run_claim_steps(steps)
     }
 
-    /// Takes a place in an order.
+    /// Adds a request to the queue of an order key.
     pub fn join(&mut self, now_ms: u64, order: OrderKey, place: Place) -> Vec<EntryEvent> {
         let steps = self.orders.join(now_ms, order, place);
-        self.follow_orders(steps)
+        self.run_order_steps(steps)
     }
 
-    /// Gives up the claim and the place of a request that is over.
+    /// Finishes the claim and the queue place of a request that has ended with `outcome`.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -143,16 +145,16 @@
     ) -> Vec<EntryEvent> {
         let may_have_run = outcome != RequestOutcome::NotRun;
         let steps = self.claims.finish(now_ms, request, may_have_run);
-        let mut events = self.follow_claims(steps);
+        let mut events = self.run_claim_steps(steps);
         if let Some(order) = order {
             let may_still_run = outcome == RequestOutcome::InDoubt;
             let steps = self.orders.finish(now_ms, order, request, may_still_run);
-            events.extend(self.follow_orders(steps));
+            events.extend(self.run_order_steps(steps));
         }
         events
     }
 
-    /// Takes what came of a call to the store.
+    /// Handles the result of a call to the store.
     pub fn answered(&mut self, now_ms: u64, answer: RecordAnswer) -> Vec<EntryEvent> {
         match answer {
             RecordAnswer::Listed { claims } => {
@@ -161,20 +163,20 @@
             }
             RecordAnswer::Claim { request, answer } => {
                 let steps = self.claims.handle_response(now_ms, request, answer);
-                self.follow_claims(steps)
+                self.run_claim_steps(steps)
             }
             RecordAnswer::Order { order, answer } => {
                 let steps = self.orders.handle_response(now_ms, order, answer);
-                self.follow_orders(steps)
+                self.run_order_steps(steps)
             }
             RecordAnswer::Bar { order, answer } => {
                 let steps = self.orders.handle_bar_response(now_ms, order, answer);
-                self.follow_orders(steps)
+                self.run_order_steps(steps)
             }
         }
     }
 
-    /// Takes an agent's word about an attempt.
+    /// Handles an agent's settlement of an attempt. Ignores it if no order queue waits for it.
     pub fn settled(
         &mut self,
         now_ms: u64,
@@ -185,22 +187,22 @@
             return Vec::new();
         }
         let steps = self.orders.handle_settlement(now_ms, attempt, settlement);
-        self.follow_orders(steps)
+        self.run_order_steps(steps)
     }
 
-    /// Makes the calls that are due.
+    /// Starts the calls to the store that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<EntryEvent> {
         let steps = self.claims.tick(now_ms);
-        let mut events = self.follow_claims(steps);
+        let mut events = self.run_claim_steps(steps);
         let steps = self.orders.tick(now_ms);
-        events.extend(self.follow_orders(steps));
+        events.extend(self.run_order_steps(steps));
         for step in self.sweep.tick(now_ms) {
-            self.sweep_claims(step);
+            self.run_sweep_step(step);
         }
         events
     }
 
-    /// When [`Self::tick`] is due next.
+    /// Returns the time at which [`Self::tick`] is due next.
     #[must_use]
     pub fn next_tick_ms(&self) -> Option<u64> {
         let claims = self.claims.next_tick_ms();
@@ -209,7 +211,7 @@
         claims.into_iter().chain(orders).chain([sweep]).min()
     }
 
-    fn follow_claims(&self, steps: Vec<ClaimStep>) -> Vec<EntryEvent> {
+    fn run_claim_steps(&self, steps: Vec<ClaimStep>) -> Vec<EntryEvent> {
         let mut events = Vec::new();
         for step in steps {
             match step {
@@ -217,7 +219,7 @@
                     request,
                     name,
                     call,
-                } => self.call_claim(request, name.to_string(), call),
+                } => self.spawn_claim_call(request, name.to_string(), call),
                 ClaimStep::Decided { request, decision } => {
                     events.push(EntryEvent::Claimed { request, decision });
                 }
@@ -226,16 +228,16 @@
         events
     }
 
-    fn follow_orders(&self, steps: Vec<OrderStep>) -> Vec<EntryEvent> {
+    fn run_order_steps(&self, steps: Vec<OrderStep>) -> Vec<EntryEvent> {
         let mut events = Vec::new();
         for step in steps {
             match step {
-                OrderStep::Call { order, call } => self.call_order(order, call),
+                OrderStep::Call { order, call } => self.spawn_order_call(order, call),
                 OrderStep::Bar {
                     order,
                     place,
                     replace,
-                } => self.call_bar(order, place, replace),
+                } => self.spawn_bar_write(order, place, replace),
                 OrderStep::Settle { holder } => events.push(EntryEvent::QueryAttempt { holder }),
                 OrderStep::Turn { request } => events.push(EntryEvent::TurnDecided {
                     request,
@@ -250,7 +252,7 @@
         events
     }
 
-    fn sweep_claims(&self, step: SweepStep) {
+    fn run_sweep_step(&self, step: SweepStep) {
         let store = self.store.clone();
         let answers = self.answers.clone();
         self.traffic.spawn(async move {
@@ -260,7 +262,7 @@
                     name,
                     version,
                 } => {
-                    // What is not removed now is seen again by the next sweep.
+                    // A claim that is not removed now is found again by the next sweep.
                     let _removed = store.delete(&kind, &name, version).await;
                 }
                 SweepStep::List { kind } => {
@@ -272,58 +274,62 @@
                         .into_iter()
                         .map(|object| (object.name, object.version))
                         .collect();
-                    // Without a control thread nobody wants to know.
+                    // The send fails only after the control thread has stopped, when no result is needed.
                     let _stopped = answers.send(RecordAnswer::Listed { claims });
                 }
             }
         });
     }
 
-    fn call_claim(&self, request: RequestId, name: String, call: StoreCall) {
+    fn spawn_claim_call(&self, request: RequestId, name: String, call: StoreCall) {
         let store = self.store.clone();
         let answers = self.answers.clone();
         self.traffic.spawn(async move {
             let kind = claim_kind(&name);
             let answer = match call {
-                StoreCall::Read => claim_read(store.get(&kind, &name).await),
+                StoreCall::Read => claim_from_read(store.get(&kind, &name).await),
                 StoreCall::Write { expected, claim } => {
                     let value = to_value(&claim);
-                    claim_written(store.put(&kind, &name, expect(expected), &value).await)
+                    claim_from_write(
+                        store
+                            .put(&kind, &name, expected_version(expected), &value)
+                            .await,
+                    )
                 }
                 StoreCall::Delete { version } => {
-                    claim_written(store.delete(&kind, &name, version).await)
+                    claim_from_write(store.delete(&kind, &name, version).await)
                 }
             };
-            // Without a control thread nobody wants to know.
+            // The send fails only after the control thread has stopped, when no result is needed.
             let _stopped = answers.send(RecordAnswer::Claim { request, answer });
         });
     }
 
-    fn call_order(&self, order: OrderKey, call: OrderCall) {
+    fn spawn_order_call(&self, order: OrderKey, call: OrderCall) {
         let store = self.store.clone();
         let answers = self.answers.clone();
         self.traffic.spawn(async move {
             let name = order.to_string();
             let answer = match call {
                 OrderCall::Read => match store.get(ORDER_KIND, &name).await {
-                    Ok(current) => order_current(current),
+                    Ok(current) => order_from_stored(current),
                     Err(_) => OrderResponse::Lost,
                 },
                 OrderCall::Write { expected, queue } => {
                     let value = to_value(&queue);
-                    let answer = store.put(ORDER_KIND, &name, expect(expected), &value);
-                    order_written(answer.await, false)
+                    let answer = store.put(ORDER_KIND, &name, expected_version(expected), &value);
+                    order_from_write(answer.await, false)
                 }
                 OrderCall::Delete { version } => {
-                    order_written(store.delete(ORDER_KIND, &name, version).await, true)
+                    order_from_write(store.delete(ORDER_KIND, &name, version).await, true)
                 }
             };
-            // Without a control thread nobody wants to know.
+            // The send fails only after the control thread has stopped, when no result is needed.
             let _stopped = answers.send(RecordAnswer::Order { order, answer });
         });
     }
 
-    fn call_bar(&self, order: OrderKey, place: Place, replace: Option<u64>) {
+    fn spawn_bar_write(&self, order: OrderKey, place: Place, replace: Option<u64>) {
         let store = self.store.clone();
         let answers = self.answers.clone();
         self.traffic.spawn(async move {
@@ -335,19 +341,20 @@
                 },
             };
             let value = to_value(&bar);
-            let written = store.put(&kind, &place.claim, expect(replace), &value);
-            let answer = bar_written(written.await);
-            // Without a control thread nobody wants to know.
+            let written = store.put(&kind, &place.claim, expected_version(replace), &value);
+            let answer = bar_from_write(written.await);
+            // The send fails only after the control thread has stopped, when no result is needed.
             let _stopped = answers.send(RecordAnswer::Bar { order, answer });
         });
     }
 }
 
-fn expect(version: Option<u64>) -> Expect {
+fn expected_version(version: Option<u64>) -> Expect {
     version.map_or(Expect::Absent, Expect::Version)
 }
 
-/// These objects hold texts and numbers only, which always have a JSON form.
+/// Converts an object to JSON. Claims and queues hold only strings and numbers, so the
+/// conversion can't fail.
 fn to_value(object: &impl Serialize) -> Value {
     serde_json::to_value(object).unwrap_or(Value::Null)
 }
@@ -356,25 +363,25 @@
     serde_json::from_value(object.value.clone()).ok()
 }
 
-fn stored_claim(current: Option<StoredObject>) -> StoreResponse {
+fn claim_from_stored(current: Option<StoredObject>) -> StoreResponse {
     StoreResponse::Current(current.map(|object| StoredClaim {
         version: object.version,
         claim: from_object(&object),
     }))
 }
 
-fn claim_read(read: Result<Option<StoredObject>, ReadError>) -> StoreResponse {
+fn claim_from_read(read: Result<Option<StoredObject>, ReadError>) -> StoreResponse {
     match read {
-        Ok(current) => stored_claim(current),
+        Ok(current) => claim_from_stored(current),
         Err(ReadError::Limited { retry_after_ms }) => StoreResponse::Limited { retry_after_ms },
         Err(_) => StoreResponse::Lost,
     }
 }
 
-fn claim_written(written: WriteAnswer) -> StoreResponse {
+fn claim_from_write(written: WriteAnswer) -> StoreResponse {
     match written {
         WriteAnswer::Written { version } => StoreResponse::Written { version },
-        WriteAnswer::Conflict { current } => stored_claim(current),
+        WriteAnswer::Conflict { current } => claim_from_stored(current),
         WriteAnswer::Limited { retry_after_ms } => StoreResponse::Limited { retry_after_ms },
         WriteAnswer::NotKnown { .. }
         | WriteAnswer::Unavailable { .. }
@@ -382,9 +389,9 @@
     }
 }
 
-/// A queue that can't be read is no queue to write over: the order waits until somebody
-/// has repaired it.
-fn order_current(current: Option<StoredObject>) -> OrderResponse {
+/// Converts a stored queue. A queue that can't be decoded counts as a lost response, so that it
+/// is not overwritten; requests of this order key wait until it is repaired.
+fn order_from_stored(current: Option<StoredObject>) -> OrderResponse {
     let Some(object) = current else {
         return OrderResponse::Current(StoredQueue::default());
     };
@@ -397,12 +404,12 @@
     }
 }
 
-fn order_written(written: WriteAnswer, is_removal: bool) -> OrderResponse {
+fn order_from_write(written: WriteAnswer, is_removal: bool) -> OrderResponse {
     match written {
         WriteAnswer::Written { version } => OrderResponse::Written {
             version: (!is_removal).then_some(version),
         },
-        WriteAnswer::Conflict { current } => order_current(current),
+        WriteAnswer::Conflict { current } => order_from_stored(current),
         WriteAnswer::Limited { .. }
         | WriteAnswer::NotKnown { .. }
         | WriteAnswer::Unavailable { .. }
@@ -410,7 +417,7 @@
     }
 }
 
-fn bar_written(written: WriteAnswer) -> BarResponse {
+fn bar_from_write(written: WriteAnswer) -> BarResponse {
     let current = match written {
         WriteAnswer::Written { .. } => return BarResponse::Barred,
         WriteAnswer::Conflict {
