--- a/lib/src/entry/caller_answer.rs
+++ b/lib/src/entry/caller_answer.rs
@@ -1,4 +1,5 @@
-//! One caller's answer: from notes and frames to what is written to the caller.
+//! The answer to one caller: turns notes of the control thread and frames of an agent into
+//! what is written to the caller.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -27,27 +28,28 @@
 use crate::verdict::Failure;
 use crate::verdict::FailureReason;
 
-/// An answer that is not a stream is held back up to this size until it is whole, so that
-/// a break before the end can be mended by another attempt and is never a half answer.
-const HOLD_BYTES: usize = 256 << 10;
-/// Bytes are acknowledged in steps of this size.
-const ACKNOWLEDGE_BYTES: u64 = 32 << 10;
-/// How long the reader of a shared answer waits before it asks for it again.
-const SHARED_SILENCE: Duration = Duration::from_millis(500);
-/// The content type of a stream of events, whose parts are passed on as they come.
+/// Maximum number of bytes of an answer that are buffered until it is complete. Event streams
+/// are not buffered. While an answer is buffered, another attempt can replace one that broke
+/// off, and the caller never gets a partial answer.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Number of newly read bytes after which an acknowledgement is sent.
+const ACKNOWLEDGE_STEP_BYTES: u64 = 32 << 10;
+/// Time without a delivery after which the reader of a shared answer requests it again.
+const SHARED_RESUME_TIMEOUT: Duration = Duration::from_millis(500);
+/// Content type of an event stream, which is passed on while it arrives.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Status and headers of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
     /// End-to-end headers.
     pub headers: Vec<(Arc<str>, Bytes)>,
 }
 
 impl AnswerHead {
-    /// A header's value, if it is there and is text.
+    /// Returns the value of a header if it is present and valid UTF-8.
     ///
     /// ```
     /// use bytes::Bytes;
@@ -66,7 +68,7 @@
         std::str::from_utf8(value).ok()
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is an event stream.
     ///
     /// ```
     /// use bytes::Bytes;
@@ -82,43 +84,43 @@
     }
 }
 
-/// What can be written to the caller.
+/// First output for a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// The answer is whole and this is all of it.
+    /// The complete answer.
     Whole { head: AnswerHead, body: Bytes },
-    /// The answer begins; its body follows from [`CallerAnswer::next_bytes`].
+    /// The head of an answer whose body is read with [`CallerAnswer::next_bytes`].
     Begins { head: AnswerHead },
-    /// There is no answer.
+    /// The request failed without an answer.
     Failed(Failure),
 }
 
-/// The next part of a body that is written as it comes.
+/// The next part of a streamed body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// These bytes follow.
+    /// The next bytes of the body.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     Whole,
-    /// The body ends before its time.
+    /// The body broke off.
     Failed(Failure),
 }
 
-/// What a caller's task needs of the entry.
+/// Parts of the entry that a caller's task uses.
 #[derive(Clone, Debug)]
 pub struct CallerContext {
-    /// The routes of answers.
+    /// Routes of answers to the callers' tasks.
     pub routes: Arc<AnswerRoutes>,
-    /// The open links.
+    /// Open links to agents.
     pub links: OpenLinks,
-    /// The way to the control thread.
+    /// Channel to the control thread.
     pub events: mpsc::UnboundedSender<EntryEvent>,
-    /// Where figures go.
+    /// Metrics of the entry.
     pub metrics: Metrics,
 }
 
-/// The answer to one request, as its caller's task reads it. Dropping it before the end
-/// tells the control thread that the caller is gone.
+/// The answer to one request, as its caller's task reads it. Dropping it before its end
+/// sends [`EntryEvent::CallerGone`] to the control thread.
 #[derive(Debug)]
 pub struct CallerAnswer {
     request: RequestId,
@@ -135,20 +137,20 @@
     is_over: bool,
 }
 
-/// Where reading stands after a delivery.
+/// State of the answer after a delivery.
 enum Progress {
-    /// Nothing that can be written yet.
+    /// The answer is incomplete.
     Going,
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
-    /// There is no answer.
+    /// The request failed without an answer.
     Failed(Failure),
 }
 
 impl CallerAnswer {
-    /// Opens the way of an answer. Do so before the request is submitted.
+    /// Opens the route of an answer. It must be open before the request is submitted.
     ///
-    /// An answer that `is_shared` may be read through other entries too.
+    /// `is_shared` says that the answer may also be read through other entries.
     #[must_use]
     pub fn open(request: RequestId, is_shared: bool, context: CallerContext) -> Self {
         Self {
@@ -167,33 +169,33 @@
         }
     }
 
-    /// The request.
+    /// Returns the id of the request.
     #[must_use]
     pub fn request(&self) -> RequestId {
         self.request
     }
 
-    /// Waits until something can be written to the caller.
+    /// Waits for the first output for the caller.
     pub async fn begin(&mut self) -> Written {
         loop {
             match self.advance().await {
-                Progress::Whole => return self.written_whole(),
+                Progress::Whole => return self.complete_answer(),
                 Progress::Failed(failure) => return Written::Failed(failure),
                 Progress::Going => {}
             }
-            if let Some(head) = self.head_to_pass() {
+            if let Some(head) = self.take_head_to_pass() {
                 self.passed = true;
                 return Written::Begins { head };
             }
         }
     }
 
-    /// Waits for the next part of a body that has begun.
+    /// Waits for the next part of a body whose head has been passed on.
     pub async fn next_bytes(&mut self) -> Part {
         loop {
             if let Some(bytes) = self.ready.pop_front() {
                 self.ready_bytes -= bytes.len();
-                self.acknowledge(ACKNOWLEDGE_BYTES);
+                self.acknowledge(ACKNOWLEDGE_STEP_BYTES);
                 return Part::Bytes(bytes);
             }
             if self.is_over {
@@ -206,7 +208,7 @@
         }
     }
 
-    fn written_whole(&mut self) -> Written {
+    fn complete_answer(&mut self) -> Written {
         let Some(head) = self.head.take() else {
             return Written::Failed(Failure::unknown(FailureReason::UpstreamFailed));
         };
@@ -220,11 +222,12 @@
         }
     }
 
-    /// The head, once it has to go out before the answer is whole.
-    fn head_to_pass(&mut self) -> Option<AnswerHead> {
+    /// Takes the head if it must be passed on before the answer is complete: when an event stream
+    /// has its first bytes, or when an answer exceeds [`MAX_BUFFERED_BYTES`].
+    fn take_head_to_pass(&mut self) -> Option<AnswerHead> {
         let head = self.head.as_ref()?;
         let is_stream_with_bytes = head.is_event_stream() && !self.ready.is_empty();
-        if is_stream_with_bytes || self.ready_bytes > HOLD_BYTES {
+        if is_stream_with_bytes || self.ready_bytes > MAX_BUFFERED_BYTES {
             return self.head.take();
         }
         None
@@ -232,10 +235,10 @@
 
     async fn advance(&mut self) -> Progress {
         match self.next_delivery().await {
-            Delivery::Note(note) => self.take_note(note),
-            Delivery::Frame(frame) => self.take_frame(frame),
+            Delivery::Note(note) => self.handle_note(note),
+            Delivery::Frame(frame) => self.handle_frame(frame),
             Delivery::Missed => {
-                self.resume();
+                self.request_resume();
                 Progress::Going
             }
             Delivery::Closed => {
@@ -245,20 +248,23 @@
         }
     }
 
-    /// The next delivery. An agent sends an answer to one link only, the one that asked
-    /// last. When a repetition through another entry has taken a shared answer away, this
-    /// caller would wait for ever; so it asks again after a while of silence.
+    /// Waits for the next delivery.
+    ///
+    /// An agent sends an answer only to the link that requested it last. A repeated request
+    /// through another entry can therefore divert a shared answer, and this caller would wait
+    /// forever. So a shared answer is requested again after [`SHARED_RESUME_TIMEOUT`].
     async fn next_delivery(&mut self) -> Delivery {
         if !self.is_shared || self.reader.is_none() {
             return self.route.next().await;
         }
-        let delivery = timeout(SHARED_SILENCE, self.route.next()).await;
+        let delivery = timeout(SHARED_RESUME_TIMEOUT, self.route.next()).await;
         delivery.unwrap_or(Delivery::Missed)
     }
 
-    fn take_note(&mut self, note: CallerNote) -> Progress {
+    fn handle_note(&mut self, note: CallerNote) -> Progress {
         match note {
-            // A second answer behind a part of the first would be neither the one nor the other.
+            // The caller already has a part of one attempt's answer. Another attempt's answer may
+            // differ and can't continue it.
             CallerNote::Begin { attempt, .. } if self.passed && !self.reads(attempt) => {
                 Progress::Failed(Failure::unknown(FailureReason::UpstreamFailed))
             }
@@ -270,7 +276,9 @@
                 self.resume_at(attempt, agent);
                 Progress::Going
             }
-            CallerNote::End { attempt, end } => self.take_frame(AnswerFrame::End { attempt, end }),
+            CallerNote::End { attempt, end } => {
+                self.handle_frame(AnswerFrame::End { attempt, end })
+            }
             CallerNote::Fail(failure) => {
                 self.is_over = true;
                 Progress::Failed(failure)
@@ -297,12 +305,12 @@
         };
         if reader.attempt() == attempt {
             *known_agent = agent;
-            self.resume();
+            self.request_resume();
         }
     }
 
-    /// Asks for the answer again from where it has been read.
-    fn resume(&mut self) {
+    /// Requests the answer again from the first byte that has not been read.
+    fn request_resume(&mut self) {
         let Some((reader, agent)) = &mut self.reader else {
             return;
         };
@@ -313,7 +321,7 @@
         self.context.links.send(agent, message);
     }
 
-    fn take_frame(&mut self, frame: AnswerFrame) -> Progress {
+    fn handle_frame(&mut self, frame: AnswerFrame) -> Progress {
         let Some((reader, agent)) = &mut self.reader else {
             return Progress::Going;
         };
@@ -337,18 +345,18 @@
                 };
                 self.context.links.send(agent, message);
             }
-            ReadStep::Whole => return self.whole(attempt),
+            ReadStep::Whole => return self.complete(attempt),
             ReadStep::Cut(end) => self.report(attempt, end),
         }
-        // What is held back is acknowledged too: it is bounded, and the agent must not
-        // wait for an acknowledgement that waits for the rest of the answer.
+        // Buffered bytes are acknowledged too. Their number is bounded, and otherwise the agent
+        // would wait for an acknowledgement that itself waits for the rest of the answer.
         if !self.passed {
-            self.acknowledge(ACKNOWLEDGE_BYTES);
+            self.acknowledge(ACKNOWLEDGE_STEP_BYTES);
         }
         Progress::Going
     }
 
-    fn whole(&mut self, attempt: AttemptId) -> Progress {
+    fn complete(&mut self, attempt: AttemptId) -> Progress {
         let Some((reader, _)) = &self.reader else {
             return Progress::Going;
         };
@@ -392,21 +400,22 @@
                 passed,
             }
         };
-        // Without a control thread nobody wants to know.
+        // The send fails only after the control thread has stopped, when no event is needed.
         let _stopped = self.context.events.send(event);
     }
 
-    /// Tells the agent what it need not keep, if that is at least `step_bytes` more.
+    /// Acknowledges the bytes that the agent need not keep, if at least `step_bytes` of them are
+    /// not yet acknowledged.
     fn acknowledge(&mut self, step_bytes: u64) {
         let Some((reader, agent)) = &self.reader else {
             return;
         };
-        let waiting_bytes = if self.passed && !self.is_over {
+        let unwritten_bytes = if self.passed && !self.is_over {
             self.ready_bytes as u64
         } else {
             0
         };
-        let through_bytes = reader.through_bytes().saturating_sub(waiting_bytes);
+        let through_bytes = reader.through_bytes().saturating_sub(unwritten_bytes);
         if through_bytes < self.acknowledged_bytes + step_bytes {
             return;
         }
@@ -426,7 +435,7 @@
             let event = EntryEvent::CallerGone {
                 request: self.request,
             };
-            // Without a control thread nobody wants to know.
+            // The send fails only after the control thread has stopped, when no event is needed.
             let _stopped = self.context.events.send(event);
         }
     }
--- a/lib/src/entry/caller_api.rs
+++ b/lib/src/entry/caller_api.rs
@@ -1,4 +1,4 @@
-//! What callers speak: the model API, plain services, and the balancer's checks.
+//! HTTP API for callers: the model API, plain services, and the load balancer's health checks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 use crate::link::wire::Call;
 use crate::ordering::queue::OrderKey;
 
-/// What a caller may send.
+/// Limits on the requests of callers.
 ///
 /// ```
 /// use sardinewood::entry::caller_api::CallerLimits;
@@ -61,13 +61,13 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest body.
+    /// Maximum length of a body.
     pub max_body_bytes: usize,
-    /// Longest headers, together.
+    /// Maximum total length of the headers of a request.
     pub max_header_bytes: usize,
-    /// How long the whole body may take to come.
+    /// Time within which the whole body must be received.
     pub body_patience_ms: u64,
-    /// The longest deadline; longer ones are cut to it.
+    /// Maximum deadline. Longer deadlines are reduced to it.
     pub max_deadline_ms: u64,
 }
 
@@ -82,33 +82,33 @@
     }
 }
 
-/// The API for callers.
+/// HTTP endpoint for callers.
 #[derive(Clone, Debug)]
 pub struct CallerApi {
-    /// The way to the rest of the entry.
+    /// Parts of the entry that the callers' tasks use.
     pub context: CallerContext,
-    /// The configuration.
+    /// Configuration of customers, profiles and models.
     pub directory: watch::Receiver<Arc<CallerDirectory>>,
-    /// The state of the entry.
+    /// Status of the entry.
     pub status: watch::Receiver<EntryStatus>,
-    /// The open connections.
+    /// Open connections of callers.
     pub connections: CallerConnections,
-    /// What a caller may send.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
-    /// The start of the entry's time.
+    /// Origin of the entry's millisecond timestamps.
     pub started: Instant,
 }
 
-/// A caller that may send requests, with the class of work that it chose.
-struct Admitted {
+/// An authenticated caller, with the profile of its request.
+struct AuthenticatedCaller {
     customer: Arc<Customer>,
     profile: Arc<Profile>,
     headers: CallerHeaders,
 }
 
-/// What a request asks for, read from its path and body.
-struct Work {
-    /// The last event that the caller has already, when it asks for the answer again.
+/// Target and call of a request, read from its path, headers and body.
+struct RequestedWork {
+    /// Last event that the caller has received, if it requests the answer again.
     skip_after: Option<u64>,
     target: Target,
     estimate: WorkEstimate,
@@ -131,7 +131,7 @@
     async fn answer(&self, id: RequestId, request: Request) -> Result<Response, ApiError> {
         let path = request.uri().path().to_owned();
         match path.as_str() {
-            "/healthz" => Ok(plain(StatusCode::OK, "ok")),
+            "/healthz" => Ok(text_response(StatusCode::OK, "ok")),
             "/readyz" => Ok(self.readiness()),
             "/v1/models" => self.models(&request),
             "/v1/chat/completions" => self.model_call(id, request, ModelCall::Chat).await,
@@ -149,14 +149,14 @@
 
     fn readiness(&self) -> Response {
         if self.status.borrow().is_ready {
-            plain(StatusCode::OK, "ready")
+            text_response(StatusCode::OK, "ready")
         } else {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
         }
     }
 
     fn models(&self, request: &Request) -> Result<Response, ApiError> {
-        expect_method(request, &Method::GET)?;
+        check_method(request, &Method::GET)?;
         let directory = self.directory.borrow().clone();
         let headers = CallerHeaders::read(request.headers())?;
         directory.customer(headers.bearer.as_deref())?;
@@ -179,44 +179,44 @@
         mut request: Request,
         call: ModelCall,
     ) -> Result<Response, ApiError> {
-        expect_method(&request, &Method::POST)?;
-        let admitted = self.admit(&request)?;
+        check_method(&request, &Method::POST)?;
+        let caller = self.authenticate(&request)?;
         let body = self.read_body(&mut request).await?;
-        let asked = read_model_request(call, body, &admitted.profile)?;
+        let model_request = read_model_request(call, body, &caller.profile)?;
         let gone = self.gone(&request);
-        let work = Work {
-            skip_after: admitted.headers.skip_after(),
-            target: Target::Model(asked.model),
-            estimate: asked.estimate,
-            call: call_of(&request, request.uri().path().into(), asked.body),
+        let work = RequestedWork {
+            skip_after: caller.headers.skip_after(),
+            target: Target::Model(model_request.model),
+            estimate: model_request.estimate,
+            call: call_from_request(&request, request.uri().path().into(), model_request.body),
         };
-        self.run(id, admitted, work, gone).await
+        self.run(id, caller, work, gone).await
     }
 
     async fn service_call(
         &self,
         id: RequestId,
         mut request: Request,
-        below: ServicePath,
+        service_path: ServicePath,
     ) -> Result<Response, ApiError> {
-        let admitted = self.admit(&request)?;
-        below.check()?;
+        let caller = self.authenticate(&request)?;
+        service_path.check()?;
         let body = self.read_body(&mut request).await?;
         let path = match request.uri().query() {
-            Some(query) => format!("{}?{query}", below.rest),
-            None => below.rest,
+            Some(query) => format!("{}?{query}", service_path.rest),
+            None => service_path.rest,
         };
         let gone = self.gone(&request);
-        let work = Work {
+        let work = RequestedWork {
             skip_after: None,
-            target: Target::Service(below.service),
+            target: Target::Service(service_path.service),
             estimate: WorkEstimate::default(),
-            call: call_of(&request, path.into(), body),
+            call: call_from_request(&request, path.into(), body),
         };
-        self.run(id, admitted, work, gone).await
+        self.run(id, caller, work, gone).await
     }
 
-    fn admit(&self, request: &Request) -> Result<Admitted, ApiError> {
+    fn authenticate(&self, request: &Request) -> Result<AuthenticatedCaller, ApiError> {
         if total_bytes(request.headers()) > self.limits.max_header_bytes {
             return Err(ApiError::refused(
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -228,7 +228,7 @@
         let directory = self.directory.borrow().clone();
         let customer = directory.customer(headers.bearer.as_deref())?;
         let profile = directory.profile(headers.profile.as_ref(), &customer)?;
-        Ok(Admitted {
+        Ok(AuthenticatedCaller {
             customer,
             profile,
             headers,
@@ -237,15 +237,15 @@
 
     async fn read_body(&self, request: &mut Request) -> Result<Bytes, ApiError> {
         let limit = self.limits.max_body_bytes;
-        let announced = request
+        let content_length = request
             .header(header::CONTENT_LENGTH)
             .and_then(|length| length.parse::<usize>().ok());
-        if announced.is_some_and(|length| length > limit) {
+        if content_length.is_some_and(|length| length > limit) {
             return Err(body_too_large(limit));
         }
         let reading = request.take_body().into_bytes_limit(limit);
-        let patience = Duration::from_millis(self.limits.body_patience_ms);
-        match timeout(patience, reading).await {
+        let body_timeout = Duration::from_millis(self.limits.body_patience_ms);
+        match timeout(body_timeout, reading).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(ReadBodyError::PayloadTooLarge)) => Err(body_too_large(limit)),
             Ok(Err(error)) => Err(ApiError::bad_request(
@@ -263,21 +263,21 @@
     async fn run(
         &self,
         id: RequestId,
-        admitted: Admitted,
-        work: Work,
+        caller: AuthenticatedCaller,
+        work: RequestedWork,
         gone: CancellationToken,
     ) -> Result<Response, ApiError> {
         let skip_after = work.skip_after;
         let is_head = &*work.call.method == Method::HEAD.as_str();
-        let submission = self.submission(id, admitted, work)?;
+        let submission = self.submission(id, caller, work)?;
         let non_idempotent = submission.non_idempotent;
         let is_shared = submission.named.is_some();
         let mut meter = AnswerMeter::start(self.context.metrics.clone(), submission.profile.tier);
         let mut answer = CallerAnswer::open(id, is_shared, self.context.clone());
         let event = EntryEvent::Submitted(Box::new(submission));
-        // Without a control thread the answer's channel is closed, too.
+        // Without a control thread the answer's channel is closed too, so the request fails.
         let _stopped = self.context.events.send(event);
-        // A caller that has gone reads no answer; dropping this one here cancels its work.
+        // The answer is dropped when the caller has disconnected, which cancels the request.
         let begun = gone.run_until_cancelled(answer.begin()).await;
         let Some(begun) = begun else {
             meter.caller_gone();
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Cancelled when the caller goes away.
+    /// Returns a token that is cancelled when the caller disconnects.
     fn gone(&self, request: &Request) -> CancellationToken {
         match request.remote_addr().as_socket_addr() {
             Some(address) => self.connections.gone(*address),
@@ -320,14 +320,14 @@
     fn submission(
         &self,
         id: RequestId,
-        admitted: Admitted,
-        work: Work,
+        caller: AuthenticatedCaller,
+        work: RequestedWork,
     ) -> Result<Submission, ApiError> {
-        let Admitted {
+        let AuthenticatedCaller {
             customer,
             profile,
             headers,
-        } = admitted;
+        } = caller;
         let deadline_ms = headers
             .deadline_ms
             .unwrap_or(profile.deadline_ms)
@@ -350,8 +350,10 @@
     }
 }
 
-/// The name of a request. One that has an order key and no name gets one of its own,
-/// because its successors find out by its claim whether it can still run.
+/// Returns the idempotency key and digest of a request.
+///
+/// A request that has an order key but no idempotency key gets a unique one, because its
+/// successors in the order read its claim to find out whether it can still run.
 fn named(
     id: RequestId,
     customer: &Customer,
@@ -381,7 +383,7 @@
     ApiError::bad_request("invalid_header", error.to_string())
 }
 
-fn call_of(request: &Request, path: Arc<str>, body: Bytes) -> Call {
+fn call_from_request(request: &Request, path: Arc<str>, body: Bytes) -> Call {
     Call {
         method: request.method().as_str().into(),
         path,
@@ -390,7 +392,7 @@
     }
 }
 
-fn expect_method(request: &Request, method: &Method) -> Result<(), ApiError> {
+fn check_method(request: &Request, method: &Method) -> Result<(), ApiError> {
     if request.method() == method {
         return Ok(());
     }
@@ -409,7 +411,7 @@
     )
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response {
+fn text_response(status: StatusCode, text: &'static str) -> Response {
     Response::builder()
         .status(status)
         .content_type("text/plain")
