--- a/lib/tests/test_caller_api.rs
+++ b/lib/tests/test_caller_api.rs
@@ -1,4 +1,5 @@
-//! The entry on real sockets, before an agent that grants everything at once.
+//! Tests of the entry's caller API over real sockets, with an agent that grants every
+//! reservation at once unless its behaviour says otherwise.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -44,25 +45,25 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 const KEY: &str = "key-of-rundu";
-/// Generous, so that it is reached only when what is waited for never comes.
-const CAP: Duration = Duration::from_secs(20);
+/// Timeout of a wait. It is long, so that it expires only if the condition never condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How the agent answers a call.
+/// How the test's agent answers a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
-    /// With the call as JSON, whole.
+    /// Answers with the call as JSON.
     Echo,
-    /// With two events and `[DONE]`.
+    /// Answers with two events and `[DONE]`.
     Stream,
-    /// With one event, and then nothing until it is cancelled.
+    /// Sends one event, and then nothing until the attempt is cancelled.
     Stuck,
-    /// With one event and a break.
+    /// Sends one event and then breaks off.
     Break,
-    /// With the whole answer of another length than it says.
-    Short,
-    /// Grants, and answers each dispatch as not sent.
+    /// Sends a complete answer whose checksum doesn't match its body.
+    WrongChecksum,
+    /// Grants reservations, and answers each dispatch with `NotSent`.
     Lapsed,
-    /// Says nothing to reservations.
+    /// Doesn't answer reservations.
     Silent,
 }
 
@@ -74,15 +75,15 @@
     cancelled: AtomicUsize,
 }
 
-/// An entry and the agent that it links to.
-struct Setting {
+/// An entry that is linked to a test agent.
+struct TestEntry {
     entry: EntryHandle,
     counts: Arc<Counts>,
     client: reqwest::Client,
     _catalog: watch::Sender<Arc<Catalog>>,
 }
 
-impl Setting {
+impl TestEntry {
     async fn start(behaviour: Behaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -97,25 +98,28 @@
             ..EntrySettings::default()
         };
         let entry = spawn(&settings, receiver, Metrics::disabled()).expect("an entry");
-        let setting = Self {
+        let test = Self {
             entry,
             counts,
             client: reqwest::Client::new(),
             _catalog: sender,
         };
-        setting
-            .wait("a link", |status| status.counts.links == 1)
-            .await;
-        setting
+        test.wait("a link", |status| status.counts.links == 1).await;
+        test
     }
 
-    async fn wait(&self, what: &str, holds: impl Fn(&EntryStatus) -> bool) {
-        let asking = async {
-            while !self.entry.ask_status().await.is_some_and(|now| holds(&now)) {
+    async fn wait(&self, what: &str, condition: impl Fn(&EntryStatus) -> bool) {
+        let polling = async {
+            while !self
+                .entry
+                .ask_status()
+                .await
+                .is_some_and(|now| condition(&now))
+            {
                 tokio::task::yield_now().await;
             }
         };
-        assert!(timeout(CAP, asking).await.is_ok(), "no {what}");
+        assert!(timeout(WAIT_TIMEOUT, polling).await.is_ok(), "no {what}");
     }
 
     async fn assert_nothing_left(&self) {
@@ -195,13 +199,13 @@
     let _sent = sender.send(AgentMessage::Hello(hello)).await;
     let mut grants = 0;
     while let Ok(Some(message)) = reader.next().await {
-        for answer in answers(message, behaviour, &mut grants, &counts) {
+        for answer in agent_responses(message, behaviour, &mut grants, &counts) {
             let _sent = sender.send(answer).await;
         }
     }
 }
 
-fn answers(
+fn agent_responses(
     message: EntryMessage,
     behaviour: Behaviour,
     grants: &mut u64,
@@ -235,7 +239,7 @@
         }
         EntryMessage::Dispatch { attempt, call, .. } => {
             counts.dispatched.fetch_add(1, Ordering::SeqCst);
-            run(attempt, &call, behaviour)
+            run_call(attempt, &call, behaviour)
         }
         EntryMessage::Cancel { attempt } => {
             counts.cancelled.fetch_add(1, Ordering::SeqCst);
@@ -248,7 +252,7 @@
     }
 }
 
-fn run(attempt: AttemptId, call: &Call, behaviour: Behaviour) -> Vec<AgentMessage> {
+fn run_call(attempt: AttemptId, call: &Call, behaviour: Behaviour) -> Vec<AgentMessage> {
     match behaviour {
         Behaviour::Echo => {
             let headers: Vec<_> = call.headers.iter().map(|(name, _)| &**name).collect();
@@ -256,15 +260,15 @@
                 "method": &*call.method, "path": &*call.path, "headers": headers,
                 "body": String::from_utf8_lossy(&call.body),
             });
-            whole(attempt, "application/json", &body.to_string())
+            complete_answer(attempt, "application/json", &body.to_string())
         }
         Behaviour::Stream => {
             let body = "id: 0\ndata: {}\n\nid: 1\ndata: {}\n\ndata: [DONE]\n\n";
-            whole(attempt, "text/event-stream", body)
+            complete_answer(attempt, "text/event-stream", body)
         }
-        Behaviour::Stuck => begun(attempt),
+        Behaviour::Stuck => first_event(attempt),
         Behaviour::Break => {
-            let mut messages = begun(attempt);
+            let mut messages = first_event(attempt);
             let reason = "reset".into();
             messages.push(AgentMessage::End {
                 attempt,
@@ -272,8 +276,8 @@
             });
             messages
         }
-        Behaviour::Short => {
-            let mut messages = whole(attempt, "application/json", "{}");
+        Behaviour::WrongChecksum => {
+            let mut messages = complete_answer(attempt, "application/json", "{}");
             messages.pop();
             let end = AnswerEnd::Complete {
                 length_bytes: 2,
@@ -307,14 +311,18 @@
     }
 }
 
-fn begun(attempt: AttemptId) -> Vec<AgentMessage> {
+fn first_event(attempt: AttemptId) -> Vec<AgentMessage> {
     vec![
         head(attempt, "text/event-stream"),
         data(attempt, 0, "id: 0\ndata: {}\n\n"),
     ]
 }
 
-fn whole(attempt: AttemptId, content_type: &'static str, body: &str) -> Vec<AgentMessage> {
+fn complete_answer(
+    attempt: AttemptId,
+    content_type: &'static str,
+    body: &str,
+) -> Vec<AgentMessage> {
     let (first, second) = body.split_at(body.len() / 2);
     let end = AnswerEnd::Complete {
         length_bytes: body.len() as u64,
@@ -339,8 +347,8 @@
 
 #[tokio::test]
 async fn chat_plain_is_whole() {
-    let setting = Setting::start(Behaviour::Echo).await;
-    let response = setting.chat().send().await.expect("an answer");
+    let test = TestEntry::start(Behaviour::Echo).await;
+    let response = test.chat().send().await.expect("an answer");
     assert_eq!(response.status(), StatusCode::OK);
     assert!(response.headers().contains_key("x-sardinewood-request-id"));
     let echo: Value = response.json().await.expect("JSON");
@@ -348,27 +356,27 @@
     assert_eq!(echo["body"], chat_body().to_string(), "byte for byte");
     let headers = echo["headers"].as_array().expect("headers");
     assert!(!headers.contains(&json!("authorization")), "{headers:?}");
-    setting.assert_nothing_left().await;
+    test.assert_nothing_left().await;
 }
 
 #[tokio::test]
 async fn chat_stream_passes_events() {
-    let setting = Setting::start(Behaviour::Stream).await;
-    let response = setting.chat().send().await.expect("an answer");
+    let test = TestEntry::start(Behaviour::Stream).await;
+    let response = test.chat().send().await.expect("an answer");
     assert_eq!(response.headers()["content-type"], "text/event-stream");
     let body = response.text().await.expect("a whole body");
     assert!(body.ends_with("data: [DONE]\n\n"), "{body}");
     assert_eq!(body.matches("id: ").count(), 2);
-    setting.assert_nothing_left().await;
+    test.assert_nothing_left().await;
 }
 
 #[tokio::test]
 async fn chat_stream_broken_ends_with_error_event() {
-    // The engine breaks off after the first event went to the caller. The caller's
-    // library must not take the events for a whole answer, so an error event follows and
-    // `[DONE]` does not.
-    let setting = Setting::start(Behaviour::Break).await;
-    let response = setting.chat().send().await.expect("an answer");
+    // The engine breaks off after the caller has received the first event. The caller's client
+    // library must not take the events for a complete answer, so the stream ends with an error
+    // event and without `[DONE]`.
+    let test = TestEntry::start(Behaviour::Break).await;
+    let response = test.chat().send().await.expect("an answer");
     let body = response.text().await.expect("a body");
     let last = body.trim_end().lines().last().expect("a line");
     let error: Value = last
@@ -377,200 +385,189 @@
         .expect("an error event");
     assert_eq!(error["error"]["outcome"], "unknown");
     assert!(!body.contains("[DONE]"));
-    setting.assert_nothing_left().await;
+    test.assert_nothing_left().await;
 }
 
 #[tokio::test]
 async fn chat_wrong_checksum_is_error() {
-    let setting = Setting::start(Behaviour::Short).await;
-    let response = setting.chat().send().await.expect("an answer");
+    let test = TestEntry::start(Behaviour::WrongChecksum).await;
+    let response = test.chat().send().await.expect("an answer");
     let (status, error) = error_of(response).await;
     assert_eq!(status, StatusCode::BAD_GATEWAY);
     assert_eq!(error["outcome"], "unknown");
-    assert_eq!(setting.counts.dispatched.load(Ordering::SeqCst), 1);
-    setting.assert_nothing_left().await;
+    assert_eq!(test.counts.dispatched.load(Ordering::SeqCst), 1);
+    test.assert_nothing_left().await;
 }
 
 #[tokio::test]
 async fn chat_caller_gone_cancels() {
-    // The caller leaves in the middle of a stream. The engine must not go on for nobody:
-    // the attempt is cancelled, and neither queue, slot nor route is left behind.
-    let setting = Setting::start(Behaviour::Stuck).await;
-    let response = setting.chat().send().await.expect("an answer");
+    // The caller disconnects in the middle of a stream. The engine must not keep running the
+    // request, so the attempt is cancelled, and no queue place, slot or route is left behind.
+    let test = TestEntry::start(Behaviour::Stuck).await;
+    let response = test.chat().send().await.expect("an answer");
     let mut body = response.bytes_stream();
     assert!(body.next().await.is_some_and(|bytes| bytes.is_ok()));
-    setting
-        .wait("a running request", |status| status.counts.running == 1)
+    test.wait("a running request", |status| status.counts.running == 1)
         .await;
     drop(body);
-    setting.assert_nothing_left().await;
-    assert_eq!(setting.counts.cancelled.load(Ordering::SeqCst), 1);
+    test.assert_nothing_left().await;
+    assert_eq!(test.counts.cancelled.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
 async fn chat_caller_gone_while_waiting_withdraws() {
-    let setting = Setting::start(Behaviour::Silent).await;
-    let waiting = tokio::spawn(setting.chat().send());
-    setting
-        .wait("a waiting request", |status| status.counts.waiting == 1)
+    let test = TestEntry::start(Behaviour::Silent).await;
+    let waiting = tokio::spawn(test.chat().send());
+    test.wait("a waiting request", |status| status.counts.waiting == 1)
         .await;
     waiting.abort();
-    setting.assert_nothing_left().await;
-    let counts = &setting.counts;
+    test.assert_nothing_left().await;
+    let counts = &test.counts;
     let withdrawn = async {
         while counts.withdrawn.load(Ordering::SeqCst) == 0 {
             tokio::task::yield_now().await;
         }
     };
-    assert!(timeout(CAP, withdrawn).await.is_ok(), "no withdrawal");
+    assert!(
+        timeout(WAIT_TIMEOUT, withdrawn).await.is_ok(),
+        "no withdrawal"
+    );
     assert_eq!(counts.dispatched.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
 async fn chat_deadline_is_not_run() {
-    let setting = Setting::start(Behaviour::Silent).await;
-    let request = setting.chat().header("x-sardinewood-deadline-ms", "30");
+    let test = TestEntry::start(Behaviour::Silent).await;
+    let request = test.chat().header("x-sardinewood-deadline-ms", "30");
     let response = request.send().await.expect("an answer");
     assert!(response.headers().contains_key("retry-after"));
     let (status, error) = error_of(response).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(error["outcome"], "not_run");
-    assert_eq!(setting.counts.dispatched.load(Ordering::SeqCst), 0);
-    setting.assert_nothing_left().await;
+    assert_eq!(test.counts.dispatched.load(Ordering::SeqCst), 0);
+    test.assert_nothing_left().await;
 }
 
 #[tokio::test]
 async fn chat_lapsed_grants_until_deadline_is_not_run() {
-    let setting = Setting::start(Behaviour::Lapsed).await;
-    let request = setting.chat().header("x-sardinewood-deadline-ms", "300");
+    let test = TestEntry::start(Behaviour::Lapsed).await;
+    let request = test.chat().header("x-sardinewood-deadline-ms", "300");
     let (status, error) = error_of(request.send().await.expect("an answer")).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(error["outcome"], "not_run");
-    setting.assert_nothing_left().await;
+    test.assert_nothing_left().await;
 }
 
 #[tokio::test]
 async fn bad_input_is_refused_and_leaves_nothing() {
-    let setting = Setting::start(Behaviour::Echo).await;
+    let test = TestEntry::start(Behaviour::Echo).await;
     let chat = "/v1/chat/completions";
     let long = "x".repeat(2_100);
     let other_model = json!({"model": "large", "messages": []}).to_string();
     let no_messages = json!({"model": "small"}).to_string();
     let list = json!(["small", 1, 1, [], null]).to_string();
-    let wrong_key = setting.chat().bearer_auth("wrong");
+    let wrong_key = test.chat().bearer_auth("wrong");
     let mut wrong_key = wrong_key.build().expect("a request");
     wrong_key
         .headers_mut()
         .insert("authorization", "Bearer wrong".parse().expect("a value"));
     let requests = [
-        (setting.post(chat, "{").build(), 400, "invalid_json"),
-        (setting.post(chat, list).build(), 400, "invalid_json"),
-        (
-            setting.post(chat, no_messages).build(),
-            400,
-            "field_missing",
-        ),
-        (setting.post(chat, other_model).build(), 404, "not_served"),
-        (
-            setting.post(chat, long.clone()).build(),
-            413,
-            "body_too_large",
-        ),
+        (test.post(chat, "{").build(), 400, "invalid_json"),
+        (test.post(chat, list).build(), 400, "invalid_json"),
+        (test.post(chat, no_messages).build(), 400, "field_missing"),
+        (test.post(chat, other_model).build(), 404, "not_served"),
+        (test.post(chat, long.clone()).build(), 413, "body_too_large"),
         (Ok(wrong_key), 401, "invalid_api_key"),
         (
-            setting
-                .chat()
-                .header("x-sardinewood-profile", "none")
-                .build(),
+            test.chat().header("x-sardinewood-profile", "none").build(),
             400,
             "unknown_profile",
         ),
         (
-            setting.chat().header("x-other", long).build(),
+            test.chat().header("x-other", long).build(),
             431,
             "headers_too_large",
         ),
         (
-            setting
-                .chat()
+            test.chat()
                 .header("x-sardinewood-deadline-ms", "-1")
                 .build(),
             400,
             "invalid_header",
         ),
         (
-            setting
-                .chat()
+            test.chat()
                 .header("x-sardinewood-non-idempotent", "yes")
                 .build(),
             400,
             "invalid_header",
         ),
-        (setting.post("/v1/other", "").build(), 404, "unknown_path"),
+        (test.post("/v1/other", "").build(), 404, "unknown_path"),
         (
-            setting.post("/v1/models", "").build(),
+            test.post("/v1/models", "").build(),
             405,
             "method_not_allowed",
         ),
-        (
-            setting.post("/services/none/x", "").build(),
-            404,
-            "not_served",
-        ),
+        (test.post("/services/none/x", "").build(), 404, "not_served"),
     ];
     for (request, expected_status, expected_code) in requests {
         let request = request.expect("a request");
-        let response = setting.client.execute(request).await.expect("an answer");
+        let response = test.client.execute(request).await.expect("an answer");
         let (status, error) = error_of(response).await;
         assert_eq!(error["code"], expected_code);
         assert_eq!(status.as_u16(), expected_status, "{expected_code}");
         assert_eq!(error["outcome"], "not_run");
     }
-    setting.assert_nothing_left().await;
-    assert_eq!(setting.counts.reserved.load(Ordering::SeqCst), 0);
+    test.assert_nothing_left().await;
+    assert_eq!(test.counts.reserved.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
 async fn models_lists_what_is_served() {
-    let setting = Setting::start(Behaviour::Echo).await;
-    let url = format!("http://{}/v1/models", setting.entry.address());
-    let response = setting.client.get(url).bearer_auth(KEY).send().await;
+    let test = TestEntry::start(Behaviour::Echo).await;
+    let url = format!("http://{}/v1/models", test.entry.address());
+    let response = test.client.get(url).bearer_auth(KEY).send().await;
     let list: Value = response.expect("an answer").json().await.expect("JSON");
     assert_eq!(list["data"][0]["id"], "small");
 }
 
 #[tokio::test]
 async fn shut_down_finishes_what_runs() {
-    // The entry is told to stop while a stream is open. Readiness goes off at once and
-    // new requests are refused as not run, but the open stream ends by its caller's
-    // wish and not by the shutdown.
-    let setting = Setting::start(Behaviour::Stuck).await;
-    let response = setting.chat().send().await.expect("an answer");
+    // The entry is shut down while a stream is open. It is no longer ready at once, and refuses
+    // new requests as not run. The open stream goes on until its caller ends it.
+    let test = TestEntry::start(Behaviour::Stuck).await;
+    let response = test.chat().send().await.expect("an answer");
     let mut body = response.bytes_stream();
     assert!(body.next().await.is_some_and(|bytes| bytes.is_ok()));
-    let mut status = setting.entry.status();
-    let address = setting.entry.address();
-    let stopping = tokio::spawn(setting.entry.shut_down());
+    let mut status = test.entry.status();
+    let address = test.entry.address();
+    let stopping = tokio::spawn(test.entry.shut_down());
     let off = status.wait_for(|status| !status.is_ready);
-    assert!(timeout(CAP, off).await.is_ok(), "readiness stays on");
-    let ready = setting.client.get(format!("http://{address}/readyz"));
+    assert!(
+        timeout(WAIT_TIMEOUT, off).await.is_ok(),
+        "readiness stays on"
+    );
+    let ready = test.client.get(format!("http://{address}/readyz"));
     let ready = ready.send().await.expect("an answer");
     assert_eq!(ready.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let refused = setting
+    let refused = test
         .client
         .post(format!("http://{address}/v1/chat/completions"))
         .bearer_auth(KEY)
         .body(chat_body().to_string());
     let (_, error) = error_of(refused.send().await.expect("an answer")).await;
     assert_eq!(error["code"], "shutting_down");
-    assert_eq!(setting.counts.cancelled.load(Ordering::SeqCst), 0);
+    assert_eq!(test.counts.cancelled.load(Ordering::SeqCst), 0);
     drop(body);
-    assert!(timeout(CAP, stopping).await.is_ok(), "it does not end");
+    assert!(
+        timeout(WAIT_TIMEOUT, stopping).await.is_ok(),
+        "it does not end"
+    );
 }
 
-// The caller, whose key is good, reaches an entry that has just started and has not heard from
-// the platform's store. It must not be told that its key is wrong, which would make it give
-// up: it is told to come back, and is answered once the configuration is there.
+// A caller with a valid key reaches an entry that has just started and has no configuration from
+// the platform's store yet. An answer that the key is invalid would make the caller give up, so
+// the entry asks it to retry, and serves it once the configuration is there.
 #[tokio::test]
 async fn chat_before_first_configuration_is_not_ready() {
     let (sender, receiver) = watch::channel(Arc::new(Catalog::default()));
@@ -594,17 +591,21 @@
             tokio::task::yield_now().await;
         }
     };
-    assert!(timeout(CAP, answered).await.is_ok(), "still not ready");
+    assert!(
+        timeout(WAIT_TIMEOUT, answered).await.is_ok(),
+        "still not ready"
+    );
 }
 
-// A caller of one service asks for a path with `..`, hoping for what else its server offers.
-// The HTTP client towards the upstream would resolve it, past the service's base URL, so the
-// entry refuses it. It is sent by hand since the test's own client would resolve it too.
+// A caller of one service requests a path with `..` to reach other paths of the service's server.
+// The HTTP client of the upstream would resolve the path to one outside the service's base URL, so
+// the entry refuses it. The test writes the request to a socket itself, because its HTTP client
+// would resolve the path too.
 #[tokio::test]
 async fn service_dot_segments_are_refused() {
-    let setting = Setting::start(Behaviour::Echo).await;
+    let test = TestEntry::start(Behaviour::Echo).await;
     for path in ["/a/../../v1/orders", "/%2e%2E/x", "/.", r"/a\..\b"] {
-        let mut stream = TcpStream::connect(setting.entry.address())
+        let mut stream = TcpStream::connect(test.entry.address())
             .await
             .expect("a connection");
         let request = format!(
@@ -617,6 +618,6 @@
         assert!(answer.starts_with("HTTP/1.1 400 "), "{path}: {answer}");
         assert!(answer.contains(r#""code":"invalid_path""#), "{path}");
     }
-    setting.assert_nothing_left().await;
-    assert_eq!(setting.counts.reserved.load(Ordering::SeqCst), 0);
+    test.assert_nothing_left().await;
+    assert_eq!(test.counts.reserved.load(Ordering::SeqCst), 0);
 }
