--- a/lib/src/entry/caller_answer.rs
+++ b/lib/src/entry/caller_answer.rs
@@ -129,8 +129,8 @@
     route: RouteReceiver,
     reader: Option<(AnswerReader, Arc<str>)>,
     head: Option<AnswerHead>,
-    ready: VecDeque<Bytes>,
-    ready_bytes: usize,
+    buffered: VecDeque<Bytes>,
+    buffered_bytes: usize,
     passed: bool,
     acknowledged_bytes: u64,
     length: AnswerLength,
@@ -140,10 +140,10 @@
 /// State of the answer after a delivery.
 enum Progress {
     /// The answer is incomplete.
-    Going,
+    Incomplete,
     /// The answer is complete.
-    Whole,
-    /// The request failed without an answer.
+    Complete,
+    /// The request failed, before or after parts of its answer were passed on.
     Failed(Failure),
 }
 
@@ -160,8 +160,8 @@
             context,
             reader: None,
             head: None,
-            ready: VecDeque::new(),
-            ready_bytes: 0,
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
             passed: false,
             acknowledged_bytes: 0,
             length: AnswerLength::default(),
@@ -179,9 +179,9 @@
     pub async fn begin(&mut self) -> Written {
         loop {
             match self.advance().await {
-                Progress::Whole => return self.complete_answer(),
+                Progress::Complete => return self.complete_answer(),
                 Progress::Failed(failure) => return Written::Failed(failure),
-                Progress::Going => {}
+                Progress::Incomplete => {}
             }
             if let Some(head) = self.take_head_to_pass() {
                 self.passed = true;
@@ -193,8 +193,8 @@
     /// Waits for the next part of a body whose head has been passed on.
     pub async fn next_bytes(&mut self) -> Part {
         loop {
-            if let Some(bytes) = self.ready.pop_front() {
-                self.ready_bytes -= bytes.len();
+            if let Some(bytes) = self.buffered.pop_front() {
+                self.buffered_bytes -= bytes.len();
                 self.acknowledge(ACKNOWLEDGE_STEP_BYTES);
                 return Part::Bytes(bytes);
             }
@@ -203,7 +203,7 @@
             }
             match self.advance().await {
                 Progress::Failed(failure) => return Part::Failed(failure),
-                Progress::Whole | Progress::Going => {}
+                Progress::Complete | Progress::Incomplete => {}
             }
         }
     }
@@ -212,8 +212,8 @@
         let Some(head) = self.head.take() else {
             return Written::Failed(Failure::unknown(FailureReason::UpstreamFailed));
         };
-        let mut body = BytesMut::with_capacity(self.ready_bytes);
-        for bytes in self.ready.drain(..) {
+        let mut body = BytesMut::with_capacity(self.buffered_bytes);
+        for bytes in self.buffered.drain(..) {
             body.extend_from_slice(&bytes);
         }
         Written::Whole {
@@ -226,8 +226,8 @@
     /// has its first bytes, or when an answer exceeds [`MAX_BUFFERED_BYTES`].
     fn take_head_to_pass(&mut self) -> Option<AnswerHead> {
         let head = self.head.as_ref()?;
-        let is_stream_with_bytes = head.is_event_stream() && !self.ready.is_empty();
-        if is_stream_with_bytes || self.ready_bytes > MAX_BUFFERED_BYTES {
+        let is_stream_with_bytes = head.is_event_stream() && !self.buffered.is_empty();
+        if is_stream_with_bytes || self.buffered_bytes > MAX_BUFFERED_BYTES {
             return self.head.take();
         }
         None
@@ -239,7 +239,7 @@
             Delivery::Frame(frame) => self.handle_frame(frame),
             Delivery::Missed => {
                 self.request_resume();
-                Progress::Going
+                Progress::Incomplete
             }
             Delivery::Closed => {
                 self.is_over = true;
@@ -270,11 +270,11 @@
             }
             CallerNote::Begin { attempt, agent } => {
                 self.start_reading(attempt, agent);
-                Progress::Going
+                Progress::Incomplete
             }
             CallerNote::Resume { attempt, agent } => {
                 self.resume_at(attempt, agent);
-                Progress::Going
+                Progress::Incomplete
             }
             CallerNote::End { attempt, end } => {
                 self.handle_frame(AnswerFrame::End { attempt, end })
@@ -294,8 +294,8 @@
     fn start_reading(&mut self, attempt: AttemptId, agent: Arc<str>) {
         self.reader = Some((AnswerReader::new(attempt), agent));
         self.head = None;
-        self.ready.clear();
-        self.ready_bytes = 0;
+        self.buffered.clear();
+        self.buffered_bytes = 0;
         self.acknowledged_bytes = 0;
     }
 
@@ -323,7 +323,7 @@
 
     fn handle_frame(&mut self, frame: AnswerFrame) -> Progress {
         let Some((reader, agent)) = &mut self.reader else {
-            return Progress::Going;
+            return Progress::Incomplete;
         };
         let attempt = reader.attempt();
         match reader.read(frame) {
@@ -334,9 +334,9 @@
                 self.head = Some(head);
             }
             ReadStep::Pass(bytes) => {
-                self.ready_bytes += bytes.len();
+                self.buffered_bytes += bytes.len();
                 self.length.read(&bytes);
-                self.ready.push_back(bytes);
+                self.buffered.push_back(bytes);
             }
             ReadStep::Resume { from_bytes } => {
                 let message = EntryMessage::Resume {
@@ -353,12 +353,12 @@
         if !self.passed {
             self.acknowledge(ACKNOWLEDGE_STEP_BYTES);
         }
-        Progress::Going
+        Progress::Incomplete
     }
 
     fn complete(&mut self, attempt: AttemptId) -> Progress {
         let Some((reader, _)) = &self.reader else {
-            return Progress::Going;
+            return Progress::Incomplete;
         };
         let end = AnswerEnd::Complete {
             length_bytes: reader.through_bytes(),
@@ -368,7 +368,7 @@
         self.report(attempt, end);
         self.is_over = true;
         self.acknowledge(0);
-        Progress::Whole
+        Progress::Complete
     }
 
     fn report_length(&self, attempt: AttemptId) {
@@ -411,7 +411,7 @@
             return;
         };
         let unwritten_bytes = if self.passed && !self.is_over {
-            self.ready_bytes as u64
+            self.buffered_bytes as u64
         } else {
             0
         };
