--- a/lib/src/entry/store_records.rs
+++ b/lib/src/entry/store_records.rs
@@ -135,7 +135,7 @@
         self.run_order_steps(steps)
     }
 
-    /// Finishes the claim and the queue place of a request that has ended with `outcome`.
+    /// Records in the claim and the order queue of a request that it has ended with `outcome`.
     pub fn finish(
         &mut self,
         now_ms: u64,
