--- a/lib/src/direct/sharing/admission.rs
+++ b/lib/src/direct/sharing/admission.rs
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Sets which upstreams, by name hash, are plain services; the others are engines.
+    /// Sets which upstreams, by upstream hash, are plain services; the others are engines.
     ///
     /// ```
     /// sardinewood::direct::sharing::admission::AdmissionController::default().set_plain_services(&[7].into_iter().collect());
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Sets the limits of upstreams, by name hash, in requests per 1,000 seconds; the others have
+    /// Sets the limits of upstreams, by upstream hash, in requests per 1,000 seconds; the others have
     /// none.
     ///
     /// Such a limit applies to all entries together, and no entry knows what the others send. The
--- a/lib/src/direct/sharing/quota.rs
+++ b/lib/src/direct/sharing/quota.rs
@@ -53,7 +53,7 @@
 
 /// Share of the burst, by tier, that is reserved for requests of more urgent tiers. The bucket of a
 /// customer above its rate stays nearly empty; without reserves, its reports wait behind its tags,
-/// which cost as many units for a twentieth of the worth. Reserves twice as large gained as much.
+/// which cost as many units for a twentieth of the worth.
 const TIER_RESERVES: [f64; 3] = [0.0, 0.05, 0.2];
 
 /// Whether other requests wait for the capacity that a request would take.
